--- /dev/null
+++ b/tests/format_compatibility_test.cpp
@@ -0,0 +1,231 @@
+// What an earlier version stored is read by this one, and the wire's messages and frames are as they were
+// (tests/data/README.md).
+#include <google/protobuf/descriptor.h>
+#include <gtest/gtest.h>
+
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+
+#include "agreement.pb.h"
+#include "agreement/state.h"
+#include "consensus.pb.h"
+#include "consensus/store_keeper.h"
+#include "control.pb.h"
+#include "echo.pb.h"
+#include "hollow.pb.h"
+#include "recovery/run_records.h"
+#include "report/frames.h"
+#include "routing_state/saved_state.h"
+#include "store/file_disk.h"
+#include "store/store.h"
+
+namespace myrtlecroft {
+namespace {
+
+namespace fs = std::filesystem;
+
+// What a State's digest was when its snapshot was written, and after the entries behind it.
+constexpr std::uint64_t kSnapshotDigest = 15827825439571547406u;
+constexpr std::uint64_t kLastDigest = 14849624970349031045u;
+
+std::string read_file(const std::string& name) {
+  std::ifstream in(fs::path(MYRTLECROFT_TEST_DATA) / name);
+  std::stringstream out;
+  out << in.rdbuf();
+  return out.str();
+}
+
+std::string hexadecimal(const std::string& bytes) {
+  std::string out;
+  for (unsigned char byte : bytes) {
+    constexpr char kDigits[] = "0123456789abcdef";
+    out += kDigits[byte >> 4];
+    out += kDigits[byte & 15];
+  }
+  return out;
+}
+
+// A copy of a stored folder that the test may write to.
+struct StoredFormatsTest : testing::Test {
+  StoredFormatsTest() {
+    char pattern[] = "/tmp/myrtlecroft-formats-XXXXXX";
+    folder = ::mkdtemp(pattern);
+  }
+  ~StoredFormatsTest() override { fs::remove_all(folder); }
+  std::string copy_of(const std::string& name) const {
+    fs::copy(fs::path(MYRTLECROFT_TEST_DATA) / name, folder / name, fs::copy_options::recursive);
+    return folder / name;
+  }
+  Nanos clock() { return ++ticks; }
+
+  fs::path folder;
+  Nanos ticks = 0;
+};
+
+TEST_F(StoredFormatsTest, ServerStoreIsReadWithItsAssignmentAndOutcomes) {
+  store::FileDisk disk(copy_of("server_store"));
+  store::Store store(
+      disk, {}, [this] { return clock(); }, 1);
+  store::Recovery found = store.open();
+  EXPECT_EQ(found.segments, 2u);
+  EXPECT_EQ(found.by_hint, 1u);
+  EXPECT_EQ(found.skipped, 0u);
+  EXPECT_EQ(store.size(), 5u);  // with the mark of the dropped one
+  EXPECT_FALSE(store.knows("book\nkey-dropped"));
+
+  recovery::RunRecords runs;
+  for (const char* key : {"book\nkey-intended", "book\nkey-done", "book\nkey-failed"}) {
+    std::optional<store::Record> record = store.get(key);
+    ASSERT_TRUE(record) << key;
+    EXPECT_EQ(record->window, 60 * kSecond);
+    EXPECT_TRUE(runs.recovered(key, record->value, record->window)) << key;
+  }
+  EXPECT_EQ(runs.state("book\nkey-intended"), recovery::State::kPerhaps);
+  EXPECT_EQ(runs.state("book\nkey-failed"), recovery::State::kFailed);
+  ASSERT_EQ(runs.state("book\nkey-done"), recovery::State::kDone);
+  EXPECT_EQ(runs.find("book\nkey-done")->result, "the result");
+
+  std::optional<store::Record> order = store.get("order");
+  ASSERT_TRUE(order);
+  EXPECT_EQ(hexadecimal(order->value) + "\n", read_file("frames.txt").substr(0, 2 * order->value.size() + 1));
+}
+
+TEST_F(StoredFormatsTest, SavedStateIsReadAndWrittenAgainToTheByte) {
+  store::FileDisk disk(copy_of("saved_state"));
+  store::Store store(
+      disk, {}, [this] { return clock(); }, 1);
+  store.open();
+  std::optional<store::Record> record = store.get("state");
+  ASSERT_TRUE(record);
+  std::optional<routing_state::SavedState> state = routing_state::unpacked(record->value);
+  ASSERT_TRUE(state);
+  EXPECT_EQ(routing_state::packed(*state), record->value);
+
+  using routing::State;
+  const std::vector<State> states = {State::kPresumed, State::kRamping, State::kServing, State::kLeaving,
+                                     State::kSick,     State::kMute,    State::kSilent};
+  ASSERT_EQ(state->memory.nodes.size(), states.size());
+  for (std::size_t i = 0; i < states.size(); ++i) {
+    EXPECT_EQ(state->memory.nodes[i].state, states[i]);
+    EXPECT_EQ(state->memory.nodes[i].life, 101 + i);
+  }
+  const routing::Snapshot& snapshot = state->memory.snapshot;
+  ASSERT_EQ(snapshot.nodes.size(), 3u);
+  EXPECT_EQ(snapshot.nodes[0].health, routing::Health::kHealthy);
+  EXPECT_EQ(snapshot.nodes[1].health, routing::Health::kDraining);
+  EXPECT_EQ(snapshot.nodes[2].health, routing::Health::kOut);
+  ASSERT_EQ(snapshot.groups.size(), 3u);
+  EXPECT_EQ(snapshot.groups[0].effect, Effect::kRepeatable);
+  EXPECT_EQ(snapshot.groups[1].effect, Effect::kDeduplicated);
+  EXPECT_EQ(snapshot.groups[2].effect, Effect::kMutating);
+  using routing::RepeatOn;
+  EXPECT_EQ(snapshot.groups[0].repeats.on,
+            (std::vector{RepeatOn::kNeverSent, RepeatOn::kDenied, RepeatOn::kReset, RepeatOn::kLate}));
+  EXPECT_EQ(snapshot.customers[0].share, 2500u);
+  EXPECT_EQ(state->memory.shards[5].node, "");
+}
+
+TEST_F(StoredFormatsTest, RaftLogIsReadAndAppliedToTheSameState) {
+  consensus::StoreKeeper keeper(
+      copy_of("raft_log"), [this] { return clock(); }, [] {});
+  EXPECT_EQ(keeper.owner(), 3u);
+  consensus::Kept kept = keeper.load();
+  EXPECT_EQ(kept.term, 4u);
+  EXPECT_EQ(kept.voted_for, 2u);
+  EXPECT_EQ(kept.first, 2u);
+  ASSERT_EQ(kept.entries.size(), 4u);
+  ASSERT_TRUE(kept.snapshot);
+  EXPECT_EQ(kept.snapshot->index(), 3u);
+  EXPECT_EQ(kept.snapshot->servers_size(), 3);
+
+  agreement::State state;
+  ASSERT_TRUE(state.restore(kept.snapshot->data()));
+  EXPECT_EQ(state.digest(), kSnapshotDigest);
+  EXPECT_EQ(state.shards()[3].state, routing::ShardState::kCooling);
+  for (std::uint64_t index : {4u, 5u}) {
+    EXPECT_EQ(state.apply(kept.entries[index - kept.first].data()), agreement::Verdict::kTaken);
+  }
+  EXPECT_EQ(state.digest(), kLastDigest);
+}
+
+// ---- Messages
+
+// A message or an enum by its place in its file: names of types do not travel.
+std::string place_of(const google::protobuf::Descriptor& message) {
+  std::string outer = message.containing_type() ? place_of(*message.containing_type()) + "."
+                                                : message.file()->name() + " message ";
+  return outer + std::to_string(message.index() + 1);
+}
+
+std::string type_of(const google::protobuf::FieldDescriptor& field) {
+  if (field.message_type()) return place_of(*field.message_type());
+  if (!field.enum_type()) return field.type_name();
+  std::string out = "enum of";
+  for (int i = 0; i < field.enum_type()->value_count(); ++i)
+    out += " " + std::to_string(field.enum_type()->value(i)->number());
+  return out;
+}
+
+void describe(const google::protobuf::Descriptor& message, std::string& out) {
+  out += place_of(message) + "\n";
+  for (int i = 0; i < message.field_count(); ++i) {
+    const google::protobuf::FieldDescriptor& field = *message.field(i);
+    out += "  " + std::to_string(field.number()) + " " + field.name() + ": " +
+           (field.is_repeated() ? "repeated " : "") + type_of(field) +
+           (field.real_containing_oneof() ? " in " + field.real_containing_oneof()->name() : "") + "\n";
+  }
+  for (int i = 0; i < message.nested_type_count(); ++i) describe(*message.nested_type(i), out);
+}
+
+void describe(const google::protobuf::FileDescriptor& file, std::string& out) {
+  out += "package " + file.package() + "\n";
+  for (int i = 0; i < file.message_type_count(); ++i) describe(*file.message_type(i), out);
+  for (int i = 0; i < file.service_count(); ++i) {
+    for (int k = 0; k < file.service(i)->method_count(); ++k) {
+      const google::protobuf::MethodDescriptor& method = *file.service(i)->method(k);
+      out += "/" + file.service(i)->full_name() + "/" + method.name() + ": " +
+             (method.client_streaming() ? "stream " : "") + place_of(*method.input_type()) + " -> " +
+             (method.server_streaming() ? "stream " : "") + place_of(*method.output_type()) + "\n";
+    }
+  }
+}
+
+TEST(MessageFormatsTest, FieldsOfEveryMessageAreAsBefore) {
+  std::string out;
+  for (const google::protobuf::FileDescriptor* file :
+       {agreement::Decision::descriptor()->file(), consensus::PeerMessage::descriptor()->file(),
+        control::AdminAnswer::descriptor()->file(), routing_state::Snapshot::descriptor()->file(),
+        standin::EchoRequest::descriptor()->file(), hollow::Command::descriptor()->file()}) {
+    describe(*file, out);
+  }
+  EXPECT_EQ(out, read_file("messages.txt"));
+}
+
+TEST(FrameFormatsTest, FramesAreAsBefore) {
+  fencing::Order order{
+      .epoch = {3, 9}, .life = 77, .shard_digits = 1, .shards = {1, 4, 15}, .answers = 5, .restart_as = 2};
+  report::NodeReport report{.node = "n3",
+                            .address = "127.0.0.3:4103",
+                            .life = 0x1122334455667788,
+                            .sequence = 9,
+                            .sent_unix = 1'700'000'000'000'000'001,
+                            .mode = Mode::kTrial,
+                            .cold = true,
+                            .leaving = true,
+                            .engine_up = true,
+                            .obeys = true,
+                            .epoch = {3, 8},
+                            .version = 4,
+                            .window = 123,
+                            .limit = 4.75,
+                            .held = 17,
+                            .running = 5,
+                            .core_time = 987'654'321,
+                            .groups = {{"read", 10, 2, 7, 6, 1}, {"book", 5, 4, 3, 2, 0}}};
+  EXPECT_EQ(hexadecimal(report::encode(order)) + "\n" + hexadecimal(report::encode(report)) + "\n",
+            read_file("frames.txt"));
+}
+
+}  // namespace
+}  // namespace myrtlecroft
