--- a/include/myrtlecroft/controller.h
+++ b/include/myrtlecroft/controller.h
@@ -1,81 +1,104 @@
-// The overload controller of one server: inputs go to Controller, effects come out through Host.
+// The overload controller of one server: events go in by Controller, decisions come out through
+// ControllerActions.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
 
-#include "myrtlecroft/exchange.h"
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/request.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft {
 
-// What the server as a whole does. The module alone changes it.
-enum class Mode { kServing, kStalled, kTrial, kLeaving };
+// What the server as a whole does.
+enum class Mode {
+  kServing,
+  kStalled,  // runs make no progress or fail: arrivals are rejected
+  kProbing,  // half-open: a few trial runs decide whether it serves again
+  kDraining  // graceful shutdown
+};
 
+// How a run or a dependency call ended.
 enum class Outcome { kOk, kFailed, kFull, kTimedOut, kUnreachable, kReset, kCanceled, kIgnored };
 
+// Measured by the server, where it can be.
 struct Gauges {
-  std::optional<double> core_use;
-  std::optional<double> on_cores;
+  std::optional<double> core_use;     // share of the cores' time
+  std::optional<double> on_cores;     // threads that run or want to run
   std::optional<double> connections;  // open ones
 };
 
-// How a Controller fares, for those who watch it. Nothing of it is an input to its decisions.
-struct Figures {
+// How a Controller fares, for monitoring. Nothing of it is an input to its decisions.
+struct ControllerStats {
   Mode mode = Mode::kServing;
-  bool cold = false;
+  bool warming_up = false;
   int window = 0;    // positions
-  double limit = 0;  // running exchanges
-  int held = 0;
+  double limit = 0;  // running requests
+  int held = 0;      // queued requests
   int running = 0;
 };
 
-// What a Controller may do. Calls take effect in the order made, at the time of the input.
-class Host {
+// Carries out what a Controller decides. Calls take effect in the order made, at the time of the event, and
+// must not call the Controller.
+class ControllerActions {
  public:
-  virtual ~Host() = default;
-  virtual void run(Exchange& ex) = 0;
-  virtual void stop_work(Exchange& ex) = 0;
-  virtual void deny(Exchange& ex, bool not_elsewhere, Nanos stay_away) = 0;
-  virtual void terminate(Exchange& ex) = 0;
-  virtual void call(Exchange& ex, Nanos longest) = 0;
-  virtual bool give_up_call(Exchange& ex) = 0;  // false where a call that is out can't be taken back
-  virtual void skip_call(Exchange& ex) = 0;
-  virtual void keep_key(Exchange& ex, Nanos lifetime) = 0;
-  virtual void drop_key(Exchange& ex) = 0;
-  // Writes down that it may run; Controller::recorded() follows. Asked for what came unrecorded only.
-  virtual void record(Exchange&) {}
-  virtual void attach(Exchange& ex) = 0;
-  virtual void report_health(bool good) = 0;
+  virtual ~ControllerActions() = default;
+  virtual void run(Request& request) = 0;
+  virtual void stop_work(Request& request) = 0;
+  // The final answer: it has not run. `no_failover`: another attempt elsewhere would not fare better;
+  // `retry_after`: when to come back, 0 where nothing is advised.
+  virtual void reject(Request& request, bool no_failover, Nanos retry_after) = 0;
+  // The final answer: it failed, and may have run.
+  virtual void fail(Request& request) = 0;
+  virtual void call(Request& request, Nanos longest) = 0;
+  // False where a call in flight can't be abandoned.
+  virtual bool abandon_call(Request& request) = 0;
+  virtual void skip_call(Request& request) = 0;
+  // Retains the request's key and result for retries, or forgets them.
+  virtual void retain_key(Request& request, Nanos lifetime) = 0;
+  virtual void forget_key(Request& request) = 0;
+  // Records durably that the request may run; Controller::intent_recorded() follows. Called only for a
+  // request with `awaits_intent`.
+  virtual void record_intent(Request&) {}
+  // The request gets the result of the one that it retries.
+  virtual void coalesce(Request& request) = 0;
+  virtual void report_health(bool healthy) = 0;
   virtual void advertise(double value) = 0;
-  virtual void close_idle(Nanos after) = 0;  // connections idle for this long
-  virtual void ring_in(Nanos delay, std::uint64_t token) = 0;
+  // Connections that have been idle for this long are closed from now on.
+  virtual void close_idle(Nanos after) = 0;
+  // Controller::timer_expired() follows with the token.
+  virtual void schedule_timer(Nanos delay, std::uint64_t token) = 0;
   virtual void log(const std::string& line) = 0;
-  // The Controller holds no pointer to it any more. The Host frees it after the present batch at the
-  // earliest.
-  virtual void release(Exchange& ex) = 0;
+  // The Controller holds no pointer to the request any more. It may be freed after the present batch of
+  // events at the earliest.
+  virtual void release(Request& request) = 0;
 };
 
-// The terms must outlive it: exchanges point to their groups and customers there.
+// Decides which requests one server admits, runs, rejects and fails, and when it calls its dependency. One
+// thread; the clock comes with each event, in nanoseconds, and never goes back. Events must not nest.
 class Controller {
  public:
-  Controller(const ServiceTerms& terms, Host& host, std::uint64_t seed);
+  // `config` must outlive it: requests point to their classes and tenants there.
+  Controller(const ServiceConfig& config, ControllerActions& actions, std::uint64_t seed);
   ~Controller();
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
   void start(Nanos now);
-  void read(Exchange& ex, Nanos now);
-  void reached_call(Exchange& ex, Nanos now);
-  void call_ended(Exchange& ex, Outcome outcome, Nanos took, Nanos now);
-  void settled(Exchange& ex, Outcome outcome, Nanos now);
-  // Whether it is known to be written down that it may run. If not it is denied, unless that was done.
-  void recorded(Exchange& ex, bool durable, Nanos now);
-  void caller_gone(Exchange& ex, Nanos now);
-  void rang(std::uint64_t token, const Gauges& gauges, Nanos now);
-  void leave_by(Nanos stop_at, Nanos now);
-  Figures figures() const;
+  void request_received(Request& request, Nanos now);
+  // The run waits for a dependency call.
+  void call_needed(Request& request, Nanos now);
+  void call_ended(Request& request, Outcome outcome, Nanos took, Nanos now);
+  void run_completed(Request& request, Outcome outcome, Nanos now);
+  // `durable`: the intent is known to be recorded. If not, a request that has not run is rejected.
+  void intent_recorded(Request& request, bool durable, Nanos now);
+  void caller_disconnected(Request& request, Nanos now);
+  void timer_expired(std::uint64_t token, const Gauges& gauges, Nanos now);
+  // Graceful shutdown: all requests are answered before `stop_at`.
+  void begin_drain(Nanos stop_at, Nanos now);
+  ControllerStats stats() const;
 
  private:
   class Core;
--- a/include/myrtlecroft/decaying_sum.h
+++ b/include/myrtlecroft/decaying_sum.h
@@ -3,7 +3,7 @@
 
 #include <cmath>
 
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft {
 
--- a/measure/agreement_rig.cpp
+++ b/measure/agreement_rig.cpp
@@ -21,7 +21,7 @@
 #include "../standin/node_config.h"
 #include "../standin/proxy.h"
 #include "../standin/relay.h"
-#include "control/ask.h"
+#include "control/admin_client.h"
 #include "net/address.h"
 #include "operator.h"
 #include "releases/plan.h"
@@ -36,10 +36,10 @@
 constexpr int kDigits = 16;             // shards
 constexpr Nanos kReadSlo = 500 * kMs;
 constexpr Nanos kReadTimeout = 1500 * kMs;
-constexpr Nanos kCold = 200 * kMs;       // of an engine that started
-constexpr Nanos kNoticed = 1500 * kMs;   // a node that fails is known to have failed
-constexpr int kStartMeAs = 100;          // exit code
-constexpr int kMostResumes = 2;          // of a release that is good and was halted
+constexpr Nanos kCold = 200 * kMs;      // of an engine that started
+constexpr Nanos kNoticed = 1500 * kMs;  // a server that fails is known to have failed
+constexpr int kStartMeAs = 100;         // exit code
+constexpr int kMaxResumes = 2;          // of a release that is good and was halted
 constexpr Nanos kLongestRelease = 120 * kSecond;
 
 // Groups of reads, beside the keyed one.
@@ -48,15 +48,15 @@
 standin::Behaviour behaviour_of(Bad bad) {
   switch (bad) {
     case Bad::kSlow:
-      return {.slow = 4, .after = 0, .from_runs = 0, .group = "", .silent = false};
+      return {.slow = 4, .after = 0, .from_runs = 0, .request_class = "", .silent = false};
     case Bad::kUnderLoad:
-      return {.slow = 4, .after = 0, .from_runs = 2, .group = "", .silent = false};
+      return {.slow = 4, .after = 0, .from_runs = 2, .request_class = "", .silent = false};
     case Bad::kLater:
-      return {.slow = 5, .after = 4 * kSecond, .from_runs = 0, .group = "", .silent = false};
-    case Bad::kOneGroup:
-      return {.slow = 5, .after = 0, .from_runs = 0, .group = "search", .silent = false};
-    case Bad::kSilent:
-      return {.slow = 1, .after = 0, .from_runs = 0, .group = "", .silent = true};
+      return {.slow = 5, .after = 4 * kSecond, .from_runs = 0, .request_class = "", .silent = false};
+    case Bad::kOneClass:
+      return {.slow = 5, .after = 0, .from_runs = 0, .request_class = "search", .silent = false};
+    case Bad::kLost:
+      return {.slow = 1, .after = 0, .from_runs = 0, .request_class = "", .silent = true};
     default:
       return {};
   }
@@ -86,10 +86,10 @@
 
 class Rig {
  public:
-  explicit Rig(const RigTerms& terms)
-      : terms_(terms),
-        random_(terms.seed),
-        random_faults_(terms.seed + 77),
+  explicit Rig(const RigOptions& options)
+      : options_(options),
+        random_(options.seed),
+        random_faults_(options.seed + 77),
         database_(loop_, log_),
         beat_(loop_.base(), [this] { beat(); }) {
     char name[] = "/tmp/myrtlecroft_rig.XXXXXX";
@@ -108,18 +108,19 @@
   RigResult run() {
     make_places();
     write_files();
-    for (int i = 0; i < terms_.incident.instances; ++i) start_instance(i, true);
-    for (int i = 0; i < terms_.incident.nodes; ++i) start_node(i);
-    for (int i = 0; i < terms_.incident.proxies; ++i) make_proxy(i);
+    for (int i = 0; i < options_.incident.instances; ++i) start_instance(i, true);
+    for (int i = 0; i < options_.incident.nodes; ++i) start_node(i);
+    for (int i = 0; i < options_.incident.proxies; ++i) make_proxy(i);
     wait_for([this] { return ready(); }, 30 * kSecond);
     std::vector<int> admins;
     for (const auto& place : control_->all()) admins.push_back(place.admin);
-    if (terms_.agreed) operator_ = std::make_unique<Operator>(admins);
+    if (options_.agreed) operator_ = std::make_unique<Operator>(admins);
     begun_ = next_key_ = next_read_ = loop_.now();
-    result_.allowed = static_cast<int>(terms_.incident.most_out * terms_.incident.nodes + 1e-9);
-    if (terms_.incident.services > 0)
-      result_.below_allowed = static_cast<int>(terms_.incident.service_most_out * terms_.incident.nodes /
-                                                   terms_.incident.services + 1e-9);
+    result_.allowed = static_cast<int>(options_.incident.max_unavailable * options_.incident.nodes + 1e-9);
+    if (options_.incident.services > 0)
+      result_.below_allowed = static_cast<int>(options_.incident.service_max_unavailable *
+                                                   options_.incident.nodes / options_.incident.services +
+                                               1e-9);
     next_fault_ = begun_ + kSecond;
     beat_.set(0);
     loop_.run();
@@ -147,8 +148,8 @@
     Nanos killed_at = 0;
     bool alive = false;
     int version = 1;
-    bool planned = false;        // went as it was told
-    bool chosen = false;         // out by choice: from when proxies send it nothing until it is back
+    bool planned = false;  // went as it was told
+    bool chosen = false;   // out by choice: from when proxies send it nothing until it is back
   };
   struct Going {
     ReleaseSeen seen;
@@ -164,32 +165,33 @@
 
   void make_places() {
     control_ = std::make_unique<standin::ControlFleet>(
-        standin::ControlFleetTerms{.folder = folder_,
-                                   .fleet = file("fleet.conf"),
-                                   .instances = terms_.incident.instances,
-                                   .agreed = terms_.agreed,
-                                   .more = {}},
+        standin::ControlFleetOptions{.folder = folder_,
+                                     .fleet = file("fleet.conf"),
+                                     .instances = options_.incident.instances,
+                                     .agreed = options_.agreed,
+                                     .more = {}},
         taken_);
-    for (int i = 0; i < terms_.incident.instances; ++i) {
+    for (int i = 0; i < options_.incident.instances; ++i) {
       instances_.emplace_back();
       InstancePlace& one = instances_.back();
       one.log = std::make_unique<Tail>(control_->log(i));
       std::string& reach = (*control_)[i].reach;
-      for (int k = 0; k < terms_.incident.instances; ++k) {
+      for (int k = 0; k < options_.incident.instances; ++k) {
         one.peers.push_back(
             std::make_unique<standin::Relay>(loop_, static_cast<std::uint16_t>((*control_)[k].peer)));
         if (k == i) continue;
-        reach += (reach.empty() ? "" : ",") + std::to_string(k + 1) + "=" + on_loopback(one.peers.back()->port());
+        reach +=
+            (reach.empty() ? "" : ",") + std::to_string(k + 1) + "=" + on_loopback(one.peers.back()->port());
       }
     }
-    for (int i = 0; i < terms_.incident.nodes; ++i) {
+    for (int i = 0; i < options_.incident.nodes; ++i) {
       nodes_.emplace_back();
       NodePlace& node = nodes_.back();
       node.port = free_port(taken_);
       node.faults = std::make_unique<standin::FaultFile>(file("faults-" + name(i)));
       node.engine = std::make_unique<standin::Engine>(loop_, log_, name(i), 2,
                                                       [this](const standin::RunSeen& run) { ran(run); });
-      if (terms_.incident.reads_per_s > 0) node.engine->queue_for_cores();
+      if (options_.incident.reads_per_s > 0) node.engine->queue_for_cores();
       for (const auto& one : control_->all()) {
         node.reports.push_back(
             std::make_unique<standin::Relay>(loop_, static_cast<std::uint16_t>(one.reports)));
@@ -201,50 +203,52 @@
   void write_files() {
     std::ofstream out(file("fleet.conf"));
     out << std::fixed << std::setprecision(3);
-    out << "version = 1; listener = \"fleet\"; proxies = " << terms_.incident.proxies << "; nodes = (";
-    for (int i = 0; i < terms_.incident.nodes; ++i) {
-      out << (i ? ", " : "") << "{ name = \"" << name(i) << "\"; zone = \"z" << i % terms_.incident.zones
-          << "\"; capacity = 2; address = \"" << on_loopback(nodes_[static_cast<std::size_t>(i)].port) << "\"; }";
+    out << "version = 1; listener = \"fleet\"; proxies = " << options_.incident.proxies << "; nodes = (";
+    for (int i = 0; i < options_.incident.nodes; ++i) {
+      out << (i ? ", " : "") << "{ name = \"" << name(i) << "\"; zone = \"z" << i % options_.incident.zones
+          << "\"; capacity = 2; address = \"" << on_loopback(nodes_[static_cast<std::size_t>(i)].port)
+          << "\"; }";
     }
     out << ");\ngroups = ({ name = \"booking\"; repeats = \"deduplicated\"; slo_ms = 400; timeout_ms = "
         << kTimeout / kMs << "; window_ms = " << kWindow / kMs << "; }";
-    if (terms_.incident.reads_per_s > 0) {
-      for (const char* group : kReads)
-        out << ", { name = \"" << group << "\"; repeats = \"repeatable\"; slo_ms = " << kReadSlo / kMs
+    if (options_.incident.reads_per_s > 0) {
+      for (const char* request_class : kReads)
+        out << ", { name = \"" << request_class << "\"; repeats = \"repeatable\"; slo_ms = " << kReadSlo / kMs
             << "; timeout_ms = " << kReadTimeout / kMs << "; }";
     }
     out << ");\nservices = (";
-    for (int k = 0; k < terms_.incident.services; ++k) {
-      out << (k ? ", " : "") << "{ name = \"below" << k << "\"; most_out = " << terms_.incident.service_most_out
-          << "; used_by = (";
-      for (int i = k; i < terms_.incident.nodes; i += terms_.incident.services)
+    for (int k = 0; k < options_.incident.services; ++k) {
+      out << (k ? ", " : "") << "{ name = \"below" << k
+          << "\"; most_out = " << options_.incident.service_max_unavailable << "; used_by = (";
+      for (int i = k; i < options_.incident.nodes; i += options_.incident.services)
         out << (i > k ? ", " : "") << '"' << name(i) << '"';
       out << "); }";
     }
-    out << ");\noutings = { most_out = " << terms_.incident.most_out << "; reserve = 0.05; };\n"
+    out << ");\noutings = { most_out = " << options_.incident.max_unavailable << "; reserve = 0.05; };\n"
         << "bounds = { silent_ms = 700; mute_ms = 700; dwell_ms = 500; ramp_ms = 500; shard_digits = 1; "
            "settle_ms = 50; };\n";
-    for (int i = 0; i < terms_.incident.nodes; ++i) {
+    for (int i = 0; i < options_.incident.nodes; ++i) {
       NodePlace& node = nodes_[static_cast<std::size_t>(i)];
       std::ofstream settings(file(name(i) + ".conf"));
       settings << "version = 1; reports = { to = (";
       for (std::size_t k = 0; k < node.reports.size(); ++k)
         settings << (k ? ", " : "") << '"' << on_loopback(node.reports[k]->port()) << '"';
       std::string reads;
-      for (const char* group : kReads) {
-        if (terms_.incident.reads_per_s <= 0) break;
-        reads += std::string(R"(,{"name":")") + group + R"(","effect":"idempotent","gain":1,"goalTimeNs":)" +
-                 std::to_string(kReadSlo) + R"(,"hardLimitNs":)" + std::to_string(kReadTimeout) + "}";
+      for (const char* request_class : kReads) {
+        if (options_.incident.reads_per_s <= 0) break;
+        reads += std::string(R"(,{"name":")") + request_class +
+                 R"(","effect":"idempotent","gain":1,"goalTimeNs":)" + std::to_string(kReadSlo) +
+                 R"(,"hardLimitNs":)" + std::to_string(kReadTimeout) + "}";
       }
-      settings << "); every_ms = 100; obey = " << (terms_.agreed ? "true" : "false") << "; };\n";
+      settings << "); every_ms = 100; obey = " << (options_.agreed ? "true" : "false") << "; };\n";
       standin::write_node_config(
           file(name(i) + ".json"),
           {.name = name(i),
            .port = node.port,
            .engine = node.engine->port(),
            .database = database_.port(),
-           .servers = terms_.incident.nodes,
-           .groups =
+           .servers = options_.incident.nodes,
+           .request_classes =
                R"({"name":"booking","effect":"deduplicated","gain":1,"goalTimeNs":400000000,"hardLimitNs":)" +
                std::to_string(kTimeout) + R"(,"dedupWindowNs":)" + std::to_string(kWindow) + "}" + reads,
            .family = R"("nCores":2,"ramKb":60000,"blowup":8,"keyKb":4,"idleNs":30000000000)"});
@@ -277,7 +281,7 @@
     held_.emplace_back();
     proxies_.push_back(std::make_unique<standin::Proxy>(
         loop_, log_, [link = links_.back().get()] { return link->applied(); }, i + 1,
-        terms_.seed + 100 + static_cast<unsigned>(i)));
+        options_.seed + 100 + static_cast<unsigned>(i)));
   }
 
   void wait_for(const std::function<bool()>& what, Nanos longest) {
@@ -287,7 +291,7 @@
     loop_.run();
   }
 
-  // Every proxy has a set, and a node completes what it is sent.
+  // Every proxy has a set, and a server completes what it is sent.
   bool ready() {
     for (const auto& link : links_) {
       if (!link->applied()) return false;
@@ -313,16 +317,16 @@
   }
   // Keyed, or a read of one of the groups.
   void send(const std::string& key, int read, std::function<void(const standin::Ended&)> ended) {
-    std::string group = read < 0 ? "booking" : kReads[read];
+    std::string request_class = read < 0 ? "booking" : kReads[read];
     std::ostringstream body;
-    body << group << ' ' << key << ' ' << (read < 0 ? 3 : terms_.incident.read_ms) << " 0";
-    standin::Exchange exchange{.path = "/api/v2/" + group,
-                               .key = read < 0 ? key : "",
-                               .body = body.str(),
-                               .accepted_unix = net::Loop::unix_now(),
-                               .wait = read < 0 ? kTimeout : kReadTimeout,
-                               .expected_ms = read < 0 ? 20 : static_cast<int>(terms_.incident.read_ms)};
-    proxies_[random_() % proxies_.size()]->send(std::move(exchange), std::move(ended));
+    body << request_class << ' ' << key << ' ' << (read < 0 ? 3 : options_.incident.read_ms) << " 0";
+    standin::Request request{.path = "/api/v2/" + request_class,
+                             .key = read < 0 ? key : "",
+                             .body = body.str(),
+                             .accepted_unix = net::Loop::unix_now(),
+                             .wait = read < 0 ? kTimeout : kReadTimeout,
+                             .expected_ms = read < 0 ? 20 : static_cast<int>(options_.incident.read_ms)};
+    proxies_[random_() % proxies_.size()]->send(std::move(request), std::move(ended));
   }
 
   struct Client {
@@ -346,14 +350,14 @@
       }
       bool keyed = client->read < 0;
       bool again = !completed || (keyed && client->tries == 1 && random_() % 4 == 0);
-      Nanos pause = std::clamp(ended.stay_away, 50 * kMs, 300 * kMs);
+      Nanos pause = std::clamp(ended.retry_after, 50 * kMs, 300 * kMs);
       Nanos patience = keyed ? kWindow - 100 * kMs : kReadTimeout;
       if (again && loop_.now() + pause < client->born + patience) {
         later_.emplace(loop_.now() + pause, [this, client] { attempt(client); });
       }
     });
   }
-  // An answer that never came, of a node that was not killed.
+  // An answer that never came, of a server that was not killed.
   void judge_cut(const std::string& address) {
     for (const NodePlace& node : nodes_) {
       if (on_loopback(node.port) != address || loop_.now() - node.killed_at <= 2 * kReadTimeout) continue;
@@ -364,7 +368,7 @@
   }
 
   void ran(const standin::RunSeen& run) {
-    if (begun_ == 0 || run.group != "booking") return;
+    if (begun_ == 0 || run.request_class != "booking") return;
     ++result_.runs;
     auto [first, fresh] = ran_.emplace(run.key, std::make_pair(run.node, run.at));
     if (!fresh && run.at < first->second.second + kWindow) {
@@ -399,7 +403,7 @@
     }
   }
 
-  // Nodes that get what has no key.
+  // Servers that get what has no key.
   static std::set<std::string> members_of(const standin::AppliedSet& set) {
     std::set<std::string> out;
     auto found = set.endpoints.find(std::string("group/") + kReads[0]);
@@ -408,7 +412,7 @@
     return out;
   }
 
-  // The cluster of one node that each shard's keys go to; empty: closed.
+  // The cluster of one server that each shard's keys go to; empty: closed.
   static std::vector<std::string> owners_of(const standin::AppliedSet& set) {
     std::vector<std::string> out(kDigits);
     for (const auto& host : set.routes->virtual_hosts()) {
@@ -453,7 +457,7 @@
     }
   }
 
-  // ---- Nodes that go as they are told, and come back
+  // ---- Servers that go as they are told, and come back
 
   void told_to_leave(NodePlace& node) {
     node.planned = true;
@@ -463,14 +467,14 @@
     if (!under_way) ++result_.unpermitted, note("a node left though nothing was under way");
   }
 
-  // What starts nodes again, as an installation would: in the version that the exit code names.
+  // What starts servers again, as an installation would: in the version that the exit code names.
   void supervise() {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       NodePlace& node = nodes_[i];
       if (!node.alive || !node.process.is_over()) continue;
       node.alive = false;
       int code = node.process.code();
-      if (terms_.plain_batches && code == 0) {
+      if (options_.plain_batches && code == 0) {
         code = kStartMeAs + node.version;
       } else if (code < kStartMeAs) {
         ++result_.crashed, note(name(static_cast<int>(i)) + " ended by itself with " + std::to_string(code));
@@ -478,14 +482,15 @@
       }
       node.planned = true;
       node.version = code - kStartMeAs;
-      later(terms_.incident.restart, [this, i] {
+      later(options_.incident.restart, [this, i] {
         if (!nodes_[i].alive) start_node(static_cast<int>(i));
       });
     }
   }
 
   bool sent_to(const std::string& node) const {
-    return std::any_of(held_.begin(), held_.end(), [&](const Held& held) { return held.members.contains(node); });
+    return std::any_of(held_.begin(), held_.end(),
+                       [&](const Held& held) { return held.members.contains(node); });
   }
 
   // More by choice than may be: together with what has failed for long enough to be known.
@@ -497,15 +502,17 @@
       bool dead = !one.alive && !one.planned && loop_.now() - one.killed_at > kNoticed;
       failed += dead && !one.chosen;
     }
-    if (chosen() + failed > result_.allowed && !terms_.plain_batches)
-      ++result_.over, note(std::to_string(chosen()) + " are out by choice and " + std::to_string(failed) + " failed");
+    if (chosen() + failed > result_.allowed && !options_.plain_batches)
+      ++result_.over,
+          note(std::to_string(chosen()) + " are out by choice and " + std::to_string(failed) + " failed");
   }
   int chosen() const {
-    return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one.chosen; }));
+    return static_cast<int>(
+        std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one.chosen; }));
   }
 
   void look_at_nodes() {
-    if (terms_.incident.reads_per_s <= 0) return;
+    if (options_.incident.reads_per_s <= 0) return;
     std::map<int, int> below;
     std::set<std::string> trips;
     if (operator_) {
@@ -515,15 +522,17 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       NodePlace& node = nodes_[i];
       bool gets = sent_to(name(static_cast<int>(i)));
-      // That it is by choice and not for its health is the agreed state's word; that it gets nothing is the proxies'.
+      // That it is by choice and not for its health is the agreed state's word; that it gets nothing is the
+      // proxies'.
       if (!gets && trips.contains(name(static_cast<int>(i)))) choose(node);
-      if (gets && node.alive && !node.planned && !node.engine->cold()) node.chosen = false;
-      if (terms_.incident.services > 0) below[static_cast<int>(i) % terms_.incident.services] += node.chosen;
+      if (gets && node.alive && !node.planned && !node.engine->warming_up()) node.chosen = false;
+      if (options_.incident.services > 0)
+        below[static_cast<int>(i) % options_.incident.services] += node.chosen;
     }
-    result_.most_out = std::max(result_.most_out, chosen());
+    result_.max_unavailable = std::max(result_.max_unavailable, chosen());
     for (const auto& [service, out] : below) {
-      result_.below_most_out = std::max(result_.below_most_out, out);
-      if (out > result_.below_allowed && !terms_.plain_batches)
+      result_.below_max_unavailable = std::max(result_.below_max_unavailable, out);
+      if (out > result_.below_allowed && !options_.plain_batches)
         ++result_.over, note(std::to_string(out) + " of a service are out by choice");
     }
   }
@@ -534,25 +543,25 @@
     agreement::Plan plan;
     plan.set_name(name_of(wanted.bad));
     plan.set_version(static_cast<std::uint32_t>(wanted.to));
-    plan.set_first_nodes(static_cast<std::uint32_t>(terms_.incident.first_nodes));
+    plan.set_first_nodes(static_cast<std::uint32_t>(options_.incident.first_nodes));
     for (std::uint32_t share : {100u, 400u, 1000u}) plan.add_waves(share);
-    plan.set_soak_ns(terms_.incident.soak);
-    plan.set_longest_soak_ns(5 * terms_.incident.soak);
+    plan.set_soak_ns(options_.incident.soak);
+    plan.set_longest_soak_ns(5 * options_.incident.soak);
     plan.set_empty_within_ns(6 * kSecond);
     plan.set_back_within_ns(8 * kSecond);
     plan.set_warm_within_ns(15 * kSecond);
     plan.set_way_back(true);
-    plan.set_most_failed(static_cast<std::uint32_t>(std::max(1, terms_.incident.nodes / 20)));
+    plan.set_most_failed(static_cast<std::uint32_t>(std::max(1, options_.incident.nodes / 20)));
     plan.set_least_exchanges(6);
     plan.set_worse_by(100);
     plan.set_good_within(300);
     plan.set_slower_by(250);
     plan.set_false_halts(20);
-    plan.set_false_goods(terms_.incident.nodes < 12 ? 200 : 50);  // so few can show no more
+    plan.set_false_goods(options_.incident.nodes < 12 ? 200 : 50);  // so few can show no more
     plan.set_alarm(400);
     plan.set_alarm_for_ns(5 * kSecond);
     plan.set_reserve(50);
-    for (const char* group : kReads) plan.add_groups(group);
+    for (const char* request_class : kReads) plan.add_groups(request_class);
     return plan;
   }
 
@@ -560,8 +569,9 @@
     Nanos now = loop_.now();
     if (!going_) {
       std::size_t next = result_.releases.size();
-      if (next >= terms_.incident.releases.size() || now < begun_ + terms_.incident.releases[next].at) return;
-      const ReleaseWanted& wanted = terms_.incident.releases[next];
+      if (next >= options_.incident.releases.size() || now < begun_ + options_.incident.releases[next].at)
+        return;
+      const ReleaseWanted& wanted = options_.incident.releases[next];
       behaviours_[wanted.to] = behaviour_of(wanted.bad);
       going_.emplace();
       going_->seen.wanted = wanted;
@@ -589,7 +599,7 @@
     }
     if (halted && now - going_->stopped > kSecond && !going_->told) {
       going_->told = true;
-      bool goes_on = seen.wanted.bad == Bad::kNone && going_->resumes++ < kMostResumes;
+      bool goes_on = seen.wanted.bad == Bad::kNone && going_->resumes++ < kMaxResumes;
       operator_->say(seen.wanted.by, goes_on || row.phase() != "halted" ? "release resume" : "release back");
     }
     if (!halted && going_->told && row.phase() != "going back") going_->stopped = 0, going_->told = false;
@@ -706,7 +716,7 @@
     bool in = step.way != Way::kThere;
     switch (step.fault) {
       case Fault::kStall:
-        // Two connections between instances, one opened by each; one only between a node and an instance.
+        // Two connections between instances, one opened by each; one only between a server and an instance.
         there.stall(out, back ? false : in);
         if (back) back->stall(in, false);
         break;
@@ -759,12 +769,12 @@
           faults->wall_step_ns = step.by;
           later(step.length, [&faults] { faults->wall_step_ns = 0; });
         }
-        for (int k = 0; link && k < terms_.incident.instances; ++k) {
+        for (int k = 0; link && k < options_.incident.instances; ++k) {
           if (step.others >> k & 1)
             fail_link(step, *nodes_[at].reports[static_cast<std::size_t>(k)], nullptr);
         }
       } else if (link) {
-        for (int k = 0; k < terms_.incident.instances; ++k) {
+        for (int k = 0; k < options_.incident.instances; ++k) {
           std::size_t other = static_cast<std::size_t>(k);
           if (k != i && (step.others >> k & 1))
             fail_link(step, *instances_[at].peers[other], instances_[other].peers[at].get());
@@ -795,33 +805,35 @@
   void beat() {
     beat_.set(kMs);
     Nanos now = loop_.now();
-    Nanos faults_end = begun_ + terms_.incident.length;
+    Nanos faults_end = begun_ + options_.incident.length;
     while (!later_.empty() && later_.begin()->first <= now) {
       auto what = std::move(later_.begin()->second);
       later_.erase(later_.begin());
       what();
     }
     for (; next_key_ <= now && now < faults_end;
-         next_key_ += static_cast<Nanos>(1e9 / terms_.incident.keys_per_s)) {
+         next_key_ += static_cast<Nanos>(1e9 / options_.incident.keys_per_s)) {
       ++result_.offered;
       ++seconds_[second()].offered;
       attempt(std::make_shared<Client>(Client{.key = make_key(), .born = now}));
     }
-    for (; terms_.incident.reads_per_s > 0 && next_read_ <= now && now < faults_end;
-         next_read_ += static_cast<Nanos>(1e9 / terms_.incident.reads_per_s)) {
+    for (; options_.incident.reads_per_s > 0 && next_read_ <= now && now < faults_end;
+         next_read_ += static_cast<Nanos>(1e9 / options_.incident.reads_per_s)) {
       ++result_.offered;
       ++seconds_[second()].offered;
-      attempt(std::make_shared<Client>(Client{.key = make_key(), .born = now, .read = static_cast<int>(random_() % 2)}));
+      attempt(std::make_shared<Client>(
+          Client{.key = make_key(), .born = now, .read = static_cast<int>(random_() % 2)}));
     }
-    while (step_ < terms_.incident.steps.size() && begun_ + terms_.incident.steps[step_].at <= now) {
-      act(terms_.incident.steps[step_++]);
+    while (step_ < options_.incident.steps.size() && begun_ + options_.incident.steps[step_].at <= now) {
+      act(options_.incident.steps[step_++]);
     }
-    if (terms_.incident.faults_per_s > 0 && now >= next_fault_ && now < faults_end - kSecond) {
-      // As many draws whatever is played, so that the same seed fails the same nodes.
+    if (options_.incident.faults_per_s > 0 && now >= next_fault_ && now < faults_end - kSecond) {
+      // As many draws whatever is played, so that the same seed fails the same servers.
       std::mt19937 draws(random_faults_());
-      Step step = drawn(draws, terms_.incident.instances, terms_.incident.nodes, terms_.incident.proxies);
-      if (terms_.control_faults || !of_control(step)) act(step);
-      next_fault_ = now + static_cast<Nanos>(1e9 / terms_.incident.faults_per_s *
+      Step step =
+          drawn(draws, options_.incident.instances, options_.incident.nodes, options_.incident.proxies);
+      if (options_.control_faults || !of_control(step)) act(step);
+      next_fault_ = now + static_cast<Nanos>(1e9 / options_.incident.faults_per_s *
                                              (0.5 + static_cast<double>(random_faults_() % 1000) / 1000.0));
     }
     if (now - looked_at_ > 10 * kMs) {
@@ -830,8 +842,8 @@
       look_at_logs();
       supervise();
       look_at_nodes();
-      if (operator_ && terms_.agreed && !terms_.plain_batches) run_releases();
-      if (terms_.plain_batches) restart_in_batches();
+      if (operator_ && options_.agreed && !options_.plain_batches) run_releases();
+      if (options_.plain_batches) restart_in_batches();
     }
     if (now > faults_end + 4 * kSecond && !healed_) healed_ = true, heal();
     if (now > faults_end + kSettle && !going_) loop_.stop();
@@ -857,7 +869,7 @@
             << "  " << row.notes << "\n";
     }
     result_.table = table.str();
-    if (!terms_.agreed) return;
+    if (!options_.agreed) return;
     std::map<std::uint64_t, std::string> digests;
     std::uint64_t highest = 0;
     for (int round = 0; round < 40; ++round) {
@@ -866,7 +878,8 @@
           continue;  // it refuses to start, which is right: an operator lets a new one in
         control::AdminAnswer answer;
         try {
-          answer = control::ask(net::loopback(static_cast<std::uint16_t>((*control_)[static_cast<int>(i)].admin)), "instances");
+          answer = control::ask(
+              net::loopback(static_cast<std::uint16_t>((*control_)[static_cast<int>(i)].admin)), "instances");
         } catch (const std::exception& error) {
           if (round == 0) ++result_.not_back, note("instance " + std::to_string(i + 1) + ": " + error.what());
           continue;
@@ -897,7 +910,7 @@
     std::set<std::string> members;
   };
 
-  RigTerms terms_;
+  RigOptions options_;
   std::mt19937 random_;
   std::mt19937 random_faults_;
   std::string folder_;
@@ -937,6 +950,6 @@
 
 }  // namespace
 
-RigResult play(const RigTerms& terms) { return Rig(terms).run(); }
+RigResult play(const RigOptions& options) { return Rig(options).run(); }
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/agreement_world.cpp
+++ b/measure/agreement_world.cpp
@@ -8,30 +8,30 @@
 namespace myrtlecroft::rehearsal {
 namespace {
 
-using fencing::Fence;
-using agreement::Instance;
-using fencing::Order;
+using agreement::ControlReplica;
+using fencing::FencingGuard;
+using fencing::ShardAssignment;
 
 constexpr Nanos kTick = 25 * kMs;
 constexpr Nanos kReportEvery = 250 * kMs;
-constexpr Nanos kTimeout = 500 * kMs;       // of one exchange
+constexpr Nanos kTimeout = 500 * kMs;       // of one request
 constexpr Nanos kStreamBreaks = 300 * kMs;  // a link that is cut for so long takes the stream with it
-constexpr Nanos kFresh = 1000 * kMs;         // an answer that restarts a node is no older
-constexpr Nanos kRace = 3000 * kMs;          // a leave that was taken back may still be acted on for so long
+constexpr Nanos kFresh = 1000 * kMs;        // an answer that restarts a server is no older
+constexpr Nanos kRace = 3000 * kMs;         // a leave that was taken back may still be acted on for so long
 constexpr Nanos kUnixStart = 1'700'000'000 * kSecond;
 
 }  // namespace
 
 // A folder: what is written lasts, what was only sent to it is lost with the process.
-struct World::Disk final : consensus::Keeper {
+struct World::Disk final : consensus::RaftStorage {
   explicit Disk(World& of) : world(of) {}
-  consensus::Kept load() override {
-    ++life;  // what is still on its way belongs to whoever was here before
+  consensus::PersistentState load() override {
+    ++incarnation;  // what is still on its way belongs to whoever was here before
     failed = false;
     return kept;
   }
   bool well() const override { return !sick; }
-  bool keep_vote(std::uint64_t term, consensus::InstanceId voted_for) override {
+  bool save_vote(std::uint64_t term, consensus::InstanceId voted_for) override {
     failed = failed || sick;
     if (failed) return false;
     kept.term = term;
@@ -50,38 +50,40 @@
         kept.entries.resize(static_cast<std::size_t>(from - kept.first));
     });
   }
-  void keep_snapshot(const consensus::LogSnapshot& snapshot, std::uint64_t first_kept, Done done) override {
-    write(std::move(done), [this, snapshot, first_kept] {
+  void save_snapshot(const consensus::LogSnapshot& snapshot, std::uint64_t first_retained,
+                     Done done) override {
+    write(std::move(done), [this, snapshot, first_retained] {
       kept.snapshot = snapshot;
-      std::uint64_t drop = first_kept > kept.first ? first_kept - kept.first : 0;
+      std::uint64_t drop = first_retained > kept.first ? first_retained - kept.first : 0;
       std::size_t count = std::min<std::size_t>(drop, kept.entries.size());
       kept.entries.erase(kept.entries.begin(), kept.entries.begin() + static_cast<long>(count));
-      kept.first = std::max(kept.first, first_kept);
+      kept.first = std::max(kept.first, first_retained);
     });
   }
-  void replace(const consensus::Kept& all) override { kept = all; }
+  void replace(const consensus::PersistentState& all) override { kept = all; }
 
   // In order, each after a while; none of a process that is gone.
   void write(Done done, std::function<void()> what) {
     free_at = std::max(free_at, world.now_) + world.between(kMs / 5, 4 * kMs);
-    world.later(free_at - world.now_, [this, life = life, done = std::move(done), what = std::move(what)] {
-      if (life != this->life) return;
-      failed = failed || sick;
-      if (!failed) what();
-      if (done) done(!failed);
-    });
+    world.later(free_at - world.now_,
+                [this, incarnation = incarnation, done = std::move(done), what = std::move(what)] {
+                  if (incarnation != this->incarnation) return;
+                  failed = failed || sick;
+                  if (!failed) what();
+                  if (done) done(!failed);
+                });
   }
 
   World& world;
-  consensus::Kept kept;
-  consensus::Kept copy;
+  consensus::PersistentState kept;
+  consensus::PersistentState copy;
   bool sick = false;
   bool failed = false;  // something was not kept since the last load
-  int life = 0;
+  int incarnation = 0;
   Nanos free_at = 0;
 };
 
-struct World::Line final : consensus::Wire {
+struct World::Line final : consensus::Transport {
   Line(World& of, int from_place) : world(of), from(from_place) {}
   void send(const consensus::PeerMessage& message, const std::string&) override;
   World& world;
@@ -98,11 +100,11 @@
   int place = 0;
   std::unique_ptr<Disk> disk;
   std::unique_ptr<Line> line;
-  std::unique_ptr<releases::Conductor> conductor;
-  std::unique_ptr<Instance> instance;  // none: it is dead
+  std::unique_ptr<releases::RolloutController> conductor;
+  std::unique_ptr<ControlReplica> instance;  // none: it is dead
   Nanos paused_until = 0;
   Nanos ahead = 0;  // of its clock
-  int life = 0;
+  int incarnation = 0;
   Nanos up_since = 0;
   bool retired = false;                        // its folder was too old
   std::vector<std::function<void()>> waiting;  // came while it was paused
@@ -113,11 +115,11 @@
 struct World::Node {
   int place = 0;
   std::string name;
-  std::uint64_t life = 1;
+  std::uint64_t incarnation = 1;
   bool alive = true;
   bool store = false;
   std::uint64_t sequence = 0;
-  Fence fence;
+  FencingGuard fence;
   fencing::Epoch highest;
   std::set<std::uint64_t> ran;
   std::uint32_t version = 1;
@@ -151,29 +153,29 @@
   });
 }
 
-World::World(const WorldTerms& terms) : terms_(terms), random_(terms.seed) {
+World::World(const WorldOptions& options) : options_(options), random_(options.seed) {
   std::vector<consensus::Server> servers;
-  for (int i = 0; i < terms_.instances; ++i) {
+  for (int i = 0; i < options_.instances; ++i) {
     servers.emplace_back();
     servers.back().set_id(static_cast<std::uint64_t>(i + 1));
     servers.back().set_address(std::to_string(i + 1));
     servers.back().set_role(1);
   }
-  for (int i = 0; i < terms_.instances; ++i) {
+  for (int i = 0; i < options_.instances; ++i) {
     auto control = std::make_unique<Control>();
     control->place = i;
     control->disk = std::make_unique<Disk>(*this);
     control->line = std::make_unique<Line>(*this, i);
-    consensus::Member::begin(*control->disk, servers);
+    consensus::RaftNode::bootstrap(*control->disk, servers);
     controls_.push_back(std::move(control));
   }
-  for (int i = 0; i < terms_.nodes; ++i) {
+  for (int i = 0; i < options_.nodes; ++i) {
     nodes_.push_back(std::make_unique<Node>());
     nodes_.back()->place = 1000 + i;
     nodes_.back()->name = "n" + std::to_string(i);
     nodes_.back()->store = i % 3 == 0;
   }
-  for (int i = 0; i < terms_.proxies; ++i) {
+  for (int i = 0; i < options_.proxies; ++i) {
     proxies_.push_back(std::make_unique<Proxy>());
     proxies_.back()->place = 5000 + i;
     proxies_.back()->id = "p" + std::to_string(i);
@@ -185,26 +187,26 @@
 fleet::Fleet World::fleet() const {
   fleet::Fleet out;
   out.listener = "world";
-  out.proxies = terms_.proxies;
+  out.proxies = options_.proxies;
   for (const auto& node : nodes_) {
     out.nodes.push_back({.name = node->name,
                          .zone = "a",
                          .host = "127.0.0.1",
                          .port = static_cast<std::uint16_t>(node->place)});
   }
-  out.groups.push_back({.name = "book",
-                        .path = "/book",
-                        .effect = Effect::kDeduplicated,
-                        .benefit = 1,
-                        .slo_time = kTimeout,
-                        .async_timeout = kTimeout,
-                        .repeat_window = terms_.window,
-                        .key_header = "Key",
-                        .most_out = {}});
-  out.outings.most_out = {.by_count = true, .most = static_cast<double>(terms_.most_out)};
+  out.request_classes.push_back({.name = "book",
+                                 .path = "/book",
+                                 .idempotency = Idempotency::kKeyed,
+                                 .priority_weight = 1,
+                                 .latency_objective = kTimeout,
+                                 .client_timeout = kTimeout,
+                                 .deduplication_window = options_.window,
+                                 .key_header = "Key",
+                                 .max_unavailable = {}});
+  out.outings.max_unavailable = {.by_count = true, .max = static_cast<double>(options_.max_unavailable)};
   out.outings.reserve = 0;
   out.outings.permit_lasts = 10 * kSecond;
-  out.bounds.shard_digits = terms_.shard_digits;
+  out.bounds.shard_digits = options_.shard_digits;
   out.bounds.ramp = 500 * kMs;
   out.bounds.dwell = 500 * kMs;
   return out;
@@ -231,7 +233,7 @@
   auto slow = slow_.find({from, to});
   Nanos delay = between(kMs / 2, 6 * kMs) + (slow == slow_.end() ? 0 : slow->second);
   auto at_door = [this, to, arrive = std::move(arrive)] {
-    if (to < terms_.instances) {
+    if (to < options_.instances) {
       Control& control = *controls_[static_cast<std::size_t>(to)];
       if (control.paused_until > now_) {
         control.waiting.push_back(arrive);
@@ -248,7 +250,7 @@
   ++count;
   if (result_.first.empty()) {
     result_.first =
-        "seed " + std::to_string(terms_.seed) + " at " + std::to_string(now_ / kMs) + " ms: " + what;
+        "seed " + std::to_string(options_.seed) + " at " + std::to_string(now_ / kMs) + " ms: " + what;
   }
 }
 
@@ -256,30 +258,30 @@
 
 void World::start(Control& control) {
   if (control.retired) return;
-  agreement::InstanceTerms terms;
-  terms.id = static_cast<std::uint64_t>(control.place + 1);
-  terms.address = std::to_string(control.place + 1);
-  terms.log.fleet = "world";
-  terms.log.snapshot_after = 40;  // so that snapshots come often
-  terms.log.snapshot_trailing = 10;
-  control.instance = std::make_unique<Instance>(
-      terms, *control.disk, *control.line, fleet(), true, [this, &control] { return now_ + control.ahead; },
+  agreement::ReplicaOptions options;
+  options.id = static_cast<std::uint64_t>(control.place + 1);
+  options.address = std::to_string(control.place + 1);
+  options.log.fleet = "world";
+  options.log.snapshot_after = 40;  // so that snapshots come often
+  options.log.snapshot_trailing = 10;
+  control.instance = std::make_unique<ControlReplica>(
+      options, *control.disk, *control.line, fleet(), true, [this, &control] { return now_ + control.ahead; },
       random_(), [](const std::string&) {});
-  control.conductor = std::make_unique<releases::Conductor>([](const std::string&) {});
+  control.conductor = std::make_unique<releases::RolloutController>([](const std::string&) {});
   control.instance->set_chapter(control.conductor.get());
   control.instance->start();
   control.up_since = now_;
-  int life = ++control.life;
-  later(between(0, kTick), [this, &control, life] {
-    if (life == control.life) run_control(control);
+  int incarnation = ++control.incarnation;
+  later(between(0, kTick), [this, &control, incarnation] {
+    if (incarnation == control.incarnation) run_control(control);
   });
 }
 
 void World::kill(Control& control) {
   if (!control.instance) return;
   control.instance.reset();
-  ++control.life;
-  ++control.disk->life;
+  ++control.incarnation;
+  ++control.disk->incarnation;
   control.waiting.clear();
   control.paused_until = 0;
   control.streams.clear();
@@ -291,17 +293,17 @@
 
 void World::run_control(Control& control) {
   if (!control.instance) return;
-  int life = control.life;
+  int incarnation = control.incarnation;
   if (control.paused_until > now_) {
-    later(control.paused_until - now_, [this, &control, life] {
-      if (life != control.life) return;
+    later(control.paused_until - now_, [this, &control, incarnation] {
+      if (incarnation != control.incarnation) return;
       auto waiting = std::exchange(control.waiting, {});
       for (auto& one : waiting) one();
       run_control(control);
     });
     return;
   }
-  google::protobuf::RepeatedPtrField<consensus::ProxyWord> words;
+  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
   for (const auto& [place, stream] : control.streams) {
     words.Add()->set_id("p" + std::to_string(place - 5000));
     words.rbegin()->set_applied(stream.applied);
@@ -314,7 +316,7 @@
     control.retired = true;
     return kill(control);
   }
-  const agreement::State& state = control.instance->agreed();
+  const agreement::ReplicatedState& state = control.instance->agreed();
   std::uint64_t number = state.epoch().number;
   auto [seen, first] = digests_.emplace(number, 0);
   std::uint64_t digest = state.digest();
@@ -327,8 +329,8 @@
   agreed_ = std::max(agreed_, number);
   result_.decisions = agreed_;
   serve(control);
-  later(kTick, [this, &control, life] {
-    if (life == control.life) run_control(control);
+  later(kTick, [this, &control, incarnation] {
+    if (incarnation == control.incarnation) run_control(control);
   });
 }
 
@@ -337,7 +339,7 @@
 void World::serve(Control& control) {
   auto set = control.instance->published();
   if (!set) return;
-  bool touch = control.instance->in_touch();
+  bool touch = control.instance->has_quorum();
   for (auto& [place, stream] : control.streams) {
     Proxy& proxy = *proxies_[static_cast<std::size_t>(place - 5000)];
     if (!control.instance->may_serve(proxy.id)) continue;
@@ -361,10 +363,10 @@
 
 // ---- Releases
 
-void World::follow_trips(const agreement::State& state) {
-  const agreement::Outings& outings = state.outings();
-  for (const auto& [node, trip] : outings.trips()) {
-    if (trip.place == agreement::TripPlace::kOrdered) let_go_[node] = now_;
+void World::follow_trips(const agreement::ReplicatedState& state) {
+  const agreement::MaintenanceState& outings = state.outings();
+  for (const auto& [node, trip] : outings.leases()) {
+    if (trip.place == agreement::MaintenancePhase::kOrdered) let_go_[node] = now_;
   }
   result_.releases = std::max(result_.releases, static_cast<int>(outings.release().id()));
   bool finished = outings.release().phase() == agreement::PHASE_DONE && outings.release().reason().empty();
@@ -372,8 +374,8 @@
     violate(result_.bad_finished, "a bad version is everywhere");
 }
 
-// What a node does with an order that tells it to start anew.
-void World::obey(Node& node, const Order& order, Nanos asked_at) {
+// What a server does with an order that tells it to start anew.
+void World::obey(Node& node, const ShardAssignment& order, Nanos asked_at) {
   if (!order.restart_as || now_ - asked_at > kFresh) return;
   auto leave = let_go_.find(node.name);
   if (leave == let_go_.end() || now_ - leave->second > kRace)
@@ -382,13 +384,13 @@
   node.alive = false;
   node.chosen = true;
   auto out = std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one->chosen; });
-  if (out > terms_.most_out) violate(result_.over, std::to_string(out) + " nodes are out by choice");
+  if (out > options_.max_unavailable) violate(result_.over, std::to_string(out) + " nodes are out by choice");
   // Now and then it comes back in another version, or late.
   std::uint32_t version = chance() < 0.03 ? node.version : *order.restart_as;
   later(chance() < 0.03 ? 8 * kSecond : between(200 * kMs, 2 * kSecond), [this, &node, version] {
     if (node.alive) return;
     node.alive = true;
-    ++node.life;
+    ++node.incarnation;
     node.sequence = node.in_time = 0;
     node.version = version;
     node.warm_at = now_ + 500 * kMs;
@@ -402,19 +404,20 @@
 // Any operator, any instance, any time.
 void World::operate() {
   later(between(kSecond, 6 * kSecond), [this] {
-    if (now_ < terms_.faults_for) operate();
+    if (now_ < options_.faults_for) operate();
   });
-  Control& one = *controls_[static_cast<std::size_t>(pick(terms_.instances))];
-  if (!one.instance || !one.instance->in_touch()) return;
-  const agreement::Outings& outings = one.instance->agreed().outings();
+  Control& one = *controls_[static_cast<std::size_t>(pick(options_.instances))];
+  if (!one.instance || !one.instance->has_quorum()) return;
+  const agreement::MaintenanceState& outings = one.instance->agreed().outings();
   if (chance() < 0.15) {
-    std::string node = nodes_[static_cast<std::size_t>(pick(terms_.nodes))]->name;
+    std::string node = nodes_[static_cast<std::size_t>(pick(options_.nodes))]->name;
     one.instance->command((outings.drains().empty() ? "drain " : "undrain ") +
                           (outings.drains().empty() ? node : *outings.drains().begin()));
     return;
   }
   if (outings.under_way()) {
-    constexpr const char* kSaid[] = {"release halt", "release resume", "release back", "release resume", "release end"};
+    constexpr const char* kSaid[] = {"release halt", "release resume", "release back", "release resume",
+                                     "release end"};
     one.instance->command(kSaid[pick(5)]);
     return;
   }
@@ -442,15 +445,15 @@
   one.instance->command(releases::start_command(plan));
 }
 
-// ---- Nodes and proxies
+// ---- Servers and proxies
 
 void World::run_node(Node& node) {
   later(kReportEvery, [this, &node] { run_node(node); });
   if (!node.alive) return;
-  report::NodeReport report;
+  report::LoadReport report;
   report.node = node.name;
   report.address = "127.0.0.1:" + std::to_string(node.place);
-  report.life = node.life;
+  report.incarnation = node.incarnation;
   report.sequence = ++node.sequence;
   report.sent_unix = kUnixStart + now_;
   report.engine_up = true;
@@ -459,10 +462,10 @@
   report.obeys = true;
   if (node.fence.order()) report.epoch = node.fence.order()->epoch;
   report.version = static_cast<std::uint8_t>(node.version);
-  report.cold = now_ < node.warm_at;
-  if (!report.cold) node.chosen = false;
+  report.warming_up = now_ < node.warm_at;
+  if (!report.warming_up) node.chosen = false;
   if (!bad_.contains(node.version)) node.in_time += 8;
-  report.groups.push_back({"book", 8 * node.sequence, 0, 8 * node.sequence, node.in_time, 0});
+  report.request_classes.push_back({"book", 8 * node.sequence, 0, 8 * node.sequence, node.in_time, 0});
   Nanos asked_at = now_;
   for (auto& control : controls_) {
     deliver(node.place, control->place, [this, &node, &to = *control, report, asked_at] {
@@ -470,13 +473,13 @@
       to.instance->router().report_link(node.name, true, now_ + to.ahead);
       to.instance->router().reported(report, now_ + to.ahead, kUnixStart + now_);
       if (to.instance->agreed().epoch().number >= agreed_) follow_trips(to.instance->agreed());
-      Order order = to.instance->order_for(node.name);
-      if (order.restart_as && !to.instance->in_touch()) return;
-      deliver(to.place, node.place, [this, &node, order, asked_at, life = report.life] {
-        if (!node.alive || node.life != life) return;
+      ShardAssignment order = to.instance->order_for(node.name);
+      if (order.restart_as && !to.instance->has_quorum()) return;
+      deliver(to.place, node.place, [this, &node, order, asked_at, incarnation = report.incarnation] {
+        if (!node.alive || node.incarnation != incarnation) return;
         if (order.restart_as && now_ - asked_at > kFresh) return;
-        Fence::Verdict verdict = node.fence.take(order, node.life);
-        if (verdict == Fence::Verdict::kTaken) {
+        FencingGuard::Verdict verdict = node.fence.take(order, node.incarnation);
+        if (verdict == FencingGuard::Verdict::kTaken) {
           if (order.epoch < node.highest) violate(result_.stale_acted, node.name + " took an older order");
           node.highest = order.epoch;
           obey(node, order, asked_at);
@@ -501,7 +504,7 @@
 }
 
 void World::connect(Proxy& proxy) {
-  Control& control = *controls_[static_cast<std::size_t>(pick(terms_.instances))];
+  Control& control = *controls_[static_cast<std::size_t>(pick(options_.instances))];
   if (!control.instance || cut(proxy.place, control.place) || cut(control.place, proxy.place)) return;
   proxy.at = control.place;
   proxy.cut_since = now_;
@@ -513,7 +516,7 @@
 }
 
 void World::send_key() {
-  later(static_cast<Nanos>(static_cast<double>(kSecond) / terms_.keys_per_s), [this] { send_key(); });
+  later(static_cast<Nanos>(static_cast<double>(kSecond) / options_.keys_per_s), [this] { send_key(); });
   auto key = std::make_shared<Key>();
   key->number = ++events_;
   char text[32];
@@ -524,16 +527,16 @@
   try_key(key);
   int tries = pick(4);
   for (int i = 0; i < tries; ++i) {
-    later(between(0, terms_.window - kMs), [this, key] { try_key(key); });
+    later(between(0, options_.window - kMs), [this, key] { try_key(key); });
   }
 }
 
 void World::try_key(std::shared_ptr<Key> key) {
-  Proxy& proxy = *proxies_[static_cast<std::size_t>(pick(terms_.proxies))];
-  auto shard = fencing::shard_of(key->text, terms_.shard_digits);
+  Proxy& proxy = *proxies_[static_cast<std::size_t>(pick(options_.proxies))];
+  auto shard = fencing::shard_of(key->text, options_.shard_digits);
   int owner = proxy.set && !proxy.closed ? proxy.set->snapshot.shards[*shard] : routing::kClosed;
   if (owner == routing::kClosed) {
-    ++result_.denied;
+    ++result_.rejected;
     return;
   }
   const std::string& name = proxy.set->snapshot.nodes[static_cast<std::size_t>(owner)].name;
@@ -543,8 +546,8 @@
 }
 
 void World::arrive(Node& node, std::shared_ptr<Key> key) {
-  if (!node.alive || (terms_.fences && !node.fence.admits(key->text))) {
-    ++result_.denied;
+  if (!node.alive || (options_.fences && !node.fence.admits(key->text))) {
+    ++result_.rejected;
     return;
   }
   if (!node.ran.insert(key->number).second) return;  // it knows the result
@@ -559,16 +562,16 @@
 // ---- Faults
 
 void World::fault() {
-  later(static_cast<Nanos>(static_cast<double>(kSecond) / terms_.faults_per_s * (0.3 + 1.4 * chance())),
+  later(static_cast<Nanos>(static_cast<double>(kSecond) / options_.faults_per_s * (0.3 + 1.4 * chance())),
         [this] {
-          if (now_ < terms_.faults_for) fault();
+          if (now_ < options_.faults_for) fault();
         });
   if (now_ < calm_until_) return;
   ++result_.faults;
-  int all = terms_.instances;
+  int all = options_.instances;
   Control& one = *controls_[static_cast<std::size_t>(pick(all))];
-  Node& node = *nodes_[static_cast<std::size_t>(pick(terms_.nodes))];
-  Proxy& proxy = *proxies_[static_cast<std::size_t>(pick(terms_.proxies))];
+  Node& node = *nodes_[static_cast<std::size_t>(pick(options_.nodes))];
+  Proxy& proxy = *proxies_[static_cast<std::size_t>(pick(options_.proxies))];
   Nanos length = between(300 * kMs, 7 * kSecond);
   auto cut_for = [this](int from, int to, Nanos how_long) {
     cuts_.insert({from, to});
@@ -635,7 +638,7 @@
       later(length, [&node] {
         if (node.alive) return;
         node.alive = true;
-        ++node.life;
+        ++node.incarnation;
         node.sequence = node.in_time = 0;
         if (node.store) return;
         node.ran.clear();
@@ -701,7 +704,7 @@
   loss_ = twice_ = 0;
   for (auto& control : controls_) {
     control->disk->sick = false;
-    if (control->instance && control->instance->member().role() == consensus::Role::kUnavailable)
+    if (control->instance && control->instance->raft_node().role() == consensus::Role::kUnavailable)
       kill(*control);
     if (!control->instance) start(*control);
   }
@@ -709,7 +712,7 @@
 
 void World::look() {
   later(50 * kMs, [this] { look(); });
-  std::vector<const std::string*> owners(std::size_t{1} << (4 * terms_.shard_digits), nullptr);
+  std::vector<const std::string*> owners(std::size_t{1} << (4 * options_.shard_digits), nullptr);
   for (const auto& proxy : proxies_) {
     if (!proxy->set || proxy->closed) continue;
     const routing::Snapshot& set = proxy->set->snapshot;
@@ -730,10 +733,10 @@
   for (auto& proxy : proxies_) later(between(0, kSecond), [this, &one = *proxy] { run_proxy(one); });
   later(kSecond, [this] { send_key(); });
   later(3 * kSecond, [this] { fault(); });
-  if (terms_.releases) later(4 * kSecond, [this] { operate(); });
+  if (options_.releases) later(4 * kSecond, [this] { operate(); });
   later(kSecond, [this] { look(); });
-  later(terms_.faults_for + 8 * kSecond, [this] { heal(); });
-  Nanos end = terms_.faults_for + 8 * kSecond + terms_.quiet_for;
+  later(options_.faults_for + 8 * kSecond, [this] { heal(); });
+  Nanos end = options_.faults_for + 8 * kSecond + options_.quiet_for;
   while (!queue_.empty() && queue_.top().at <= end) {
     now_ = queue_.top().at;
     auto happen = queue_.top().happen;
@@ -743,17 +746,17 @@
   int leaders = 0;
   for (auto& control : controls_) {
     if (control->retired) continue;
-    const Instance& instance = *control->instance;
+    const ControlReplica& instance = *control->instance;
     leaders += instance.decides();
     result_.wrong_drafts += static_cast<int>(instance.wrong_drafts());
     std::string who = "instance " + std::to_string(control->place + 1);
-    if (!instance.in_touch())
+    if (!instance.has_quorum())
       violate(result_.not_back,
-              who + " is out of touch after the quiet, " + consensus::name_of(instance.member().role()));
+              who + " is out of touch after the quiet, " + consensus::name_of(instance.raft_node().role()));
     if (instance.agreed().epoch().number + 3 < agreed_)
       violate(result_.lost_entries, who + " lacks what was agreed");
-    // Operators may have left nodes out.
-    std::size_t closed = instance.agreed().outings().trips().empty() ? instance.agreed().closed() : 0;
+    // Operators may have left servers out.
+    std::size_t closed = instance.agreed().outings().leases().empty() ? instance.agreed().closed() : 0;
     if (closed > 0)
       violate(result_.not_back, who + " has " + std::to_string(closed) + " shards closed after the quiet");
   }
--- a/measure/agreement_world.h
+++ b/measure/agreement_world.h
@@ -1,4 +1,4 @@
-// Instances of the control service, nodes and proxies in virtual time: the decision code as it runs in
+// Instances of the control service, servers and proxies in virtual time: the decision code as it runs in
 // processes, with links, disks, clocks and processes that fail as one seed says. The same seed plays the same
 // again.
 #pragma once
@@ -13,13 +13,13 @@
 #include <string>
 #include <vector>
 
-#include "fencing/fence.h"
-#include "agreement/instance.h"
-#include "releases/conductor.h"
+#include "agreement/control_replica.h"
+#include "fencing/fencing_guard.h"
+#include "releases/rollout_controller.h"
 
 namespace myrtlecroft::rehearsal {
 
-struct WorldTerms {
+struct WorldOptions {
   std::uint32_t seed = 1;
   int instances = 3;
   int nodes = 6;
@@ -30,29 +30,30 @@
   Nanos faults_for = 30 * kSecond;
   Nanos quiet_for = 25 * kSecond;  // then all is well again, and must come back
   Nanos window = 2000 * kMs;
-  bool fences = true;  // false: nodes take what comes, to see that it matters
-  // Operators start releases, some of a bad version, halt them, take them back and drain nodes, at any instance.
+  bool fences = true;  // false: servers take what comes, to see that it matters
+  // Operators start releases, some of a bad version, halt them, take them back and drain servers, at any
+  // instance.
   bool releases = true;
-  int most_out = 2;  // nodes at once
+  int max_unavailable = 2;  // servers at once
 };
 
 struct WorldResult {
   int faults = 0;
   std::uint64_t decisions = 0;
   std::uint64_t runs = 0;
-  std::uint64_t denied = 0;
+  std::uint64_t rejected = 0;
   int doubled = 0;          // keys that ran twice within their window
-  int split_owners = 0;     // two proxies had a shard open to different nodes at one time
-  int stale_acted = 0;      // a node took up an older order than it had
+  int split_owners = 0;     // two proxies had a shard open to different servers at one time
+  int stale_acted = 0;      // a server took up an older order than it had
   int lost_entries = 0;     // two states under one epoch, or one that was agreed and is gone
   int refused_folders = 0;  // put back from an older copy, and found out
   int wrong_drafts = 0;     // a leader drew up what the rules refuse
   int not_back = 0;         // after the quiet: no leader, somebody out of touch, or a shard still closed
   int releases = 0;         // begun
-  int restarts = 0;         // of nodes, as they were told
-  int over = 0;             // more nodes out by choice than may be
-  int unpermitted = 0;      // a node went that nobody had agreed to let go
-  int bad_finished = 0;     // a bad version that came to all nodes
+  int restarts = 0;         // of servers, as they were told
+  int over = 0;             // more servers out by choice than may be
+  int unpermitted = 0;      // a server went that nobody had agreed to let go
+  int bad_finished = 0;     // a bad version that came to all servers
   std::string first;        // what was violated first, and when
   int violations() const {
     return doubled + split_owners + stale_acted + lost_entries + not_back + over + unpermitted + bad_finished;
@@ -61,7 +62,7 @@
 
 class World {
  public:
-  explicit World(const WorldTerms& terms);
+  explicit World(const WorldOptions& options);
   ~World();
   WorldResult play();
 
@@ -84,9 +85,7 @@
   void later(Nanos delay, std::function<void()> happen);
   double chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
   int pick(int count) { return std::uniform_int_distribution<>(0, count - 1)(random_); }
-  Nanos between(Nanos least, Nanos most) {
-    return std::uniform_int_distribution<Nanos>(least, most)(random_);
-  }
+  Nanos between(Nanos min, Nanos max) { return std::uniform_int_distribution<Nanos>(min, max)(random_); }
   void deliver(int from, int to, std::function<void()> arrive);
   void stream(int from, int to, std::function<void()> arrive);
   bool cut(int from, int to) const;
@@ -103,14 +102,14 @@
   void arrive(Node& node, std::shared_ptr<Key> key);
   void fault();
   void operate();
-  void obey(Node& node, const fencing::Order& order, Nanos asked_at);
-  void follow_trips(const agreement::State& state);
+  void obey(Node& node, const fencing::ShardAssignment& order, Nanos asked_at);
+  void follow_trips(const agreement::ReplicatedState& state);
   void heal();
   void look();
   void violate(int& count, const std::string& what);
   fleet::Fleet fleet() const;
 
-  WorldTerms terms_;
+  WorldOptions options_;
   std::mt19937 random_;
   Nanos now_ = 0;
   std::uint64_t events_ = 0;
@@ -118,7 +117,7 @@
   std::vector<std::unique_ptr<Control>> controls_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<std::unique_ptr<Proxy>> proxies_;
-  // Places on the network: instances, then nodes, then proxies.
+  // Places on the network: instances, then servers, then proxies.
   std::set<std::pair<int, int>> cuts_;
   std::map<std::pair<int, int>, Nanos> slow_;
   bool put_back_ = false;
@@ -127,7 +126,7 @@
   double twice_ = 0;
   std::map<std::uint64_t, std::uint64_t> digests_;  // of each epoch's number, as first seen
   std::uint64_t agreed_ = 0;                        // the last that anybody applied
-  std::map<std::string, Nanos> let_go_;             // nodes, and when they last had leave to go
+  std::map<std::string, Nanos> let_go_;             // servers, and when they last had leave to go
   std::set<std::uint32_t> bad_;                     // versions
   std::uint32_t next_version_ = 2;
   WorldResult result_;
--- a/measure/capacity/change_watch.cpp
+++ b/measure/capacity/change_watch.cpp
@@ -11,7 +11,7 @@
 
 // A server's own cluster keeps its endpoint whatever becomes of it; who may be sent to is told by these.
 constexpr std::string_view kGroupClusters = "group/";
-constexpr std::size_t kLeastPrune = 1000;
+constexpr std::size_t kMinPrune = 1000;
 
 // `few` may be much shorter than `many`.
 ServerSet common(const ServerSet& many, const ServerSet& few) {
@@ -41,7 +41,7 @@
   known = {body, servers};
   if (known_.size() > prune_at_) {
     std::erase_if(known_, [](const auto& one) { return one.second.body.expired(); });
-    prune_at_ = std::max(kLeastPrune, 2 * known_.size());
+    prune_at_ = std::max(kMinPrune, 2 * known_.size());
   }
   return servers;
 }
--- a/measure/capacity/change_watch.h
+++ b/measure/capacity/change_watch.h
@@ -38,7 +38,7 @@
 
  private:
   struct Caller {
-    std::vector<std::shared_ptr<const ServerSet>> clusters;  // of endpoint groups
+    std::vector<std::shared_ptr<const ServerSet>> clusters;  // of request classes
     ServerSet lost;  // by the change that is expected, or the one before it
     bool touched = false;
     std::int64_t in_force_at_ns = 0;
--- a/measure/capacity/control_slopes.cpp
+++ b/measure/capacity/control_slopes.cpp
@@ -96,7 +96,7 @@
     make();
   }
   void change_a_share() {
-    published_.snapshot.customers.at(0).share += 1;
+    published_.snapshot.tenants.at(0).share += 1;
     ++published_.number;
     make();
   }
@@ -194,7 +194,7 @@
 
 // All there is to one fleet's instance, with the memory of it.
 void by_servers(const ControlOptions& options, Sheet& sheet) {
-  Sweep sweep{"servers", {500, 1000, 2000, 6100}, options.most_seconds};
+  Sweep sweep{"servers", {500, 1000, 2000, 6100}, options.max_seconds};
   auto fleet_of = [&](int servers) {
     return generated_fleet({.servers = servers, .subsetting = options.subsetting});
   };
@@ -213,7 +213,7 @@
 }
 
 void by_key_shards(const ControlOptions& options, Sheet& sheet) {
-  Sweep sweep{"key_shards", {16, 256, 4096, 65'536}, options.most_seconds};
+  Sweep sweep{"key_shards", {16, 256, 4096, 65'536}, options.max_seconds};
   auto fleet_of = [&](int shards) {
     return fleet_of_shards({.servers = kCostlyServers, .subsetting = options.subsetting}, shards);
   };
@@ -229,7 +229,7 @@
 }
 
 void by_services(const ControlOptions& options, Sheet& sheet) {
-  Sweep sweep{"services", {25, 50, 100, 200, 1000, 3000, 9300}, options.most_seconds};
+  Sweep sweep{"services", {25, 50, 100, 200, 1000, 3000, 9300}, options.max_seconds};
   auto fleet_of = [&](int services) {
     return generated_fleet({.servers = kCostlyServers,
                             .services = services,
@@ -247,7 +247,7 @@
 
 // A deduplicated service has a route to each owner of a shard, and one for shards that are closed.
 void by_routes(const ControlOptions& options, Sheet& sheet) {
-  Sweep sweep{"routes", {6'012, 12'024, 24'048, 49'098}, options.most_seconds};
+  Sweep sweep{"routes", {6'012, 12'024, 24'048, 49'098}, options.max_seconds};
   auto fleet_of = [&](int routes) {
     int deduplicated = routes / (kCostlyServers + 1);
     return generated_fleet({.servers = kCostlyServers,
@@ -266,7 +266,7 @@
 }
 
 void by_tenants(const ControlOptions& options, Sheet& sheet) {
-  Sweep sweep{"tenants", {25, 50, 100, 200, 4000, 40'000, 380'000}, options.most_seconds};
+  Sweep sweep{"tenants", {25, 50, 100, 200, 4000, 40'000, 380'000}, options.max_seconds};
   auto fleet_of = [&](int tenants) {
     return generated_fleet(
         {.servers = kCostlyServers, .tenants = tenants, .shard_digits = 2, .subsetting = options.subsetting});
@@ -312,7 +312,7 @@
 }
 
 void by_callers(const ControlOptions& options, Sheet& sheet) {
-  Sweep sweep{"callers", {1'250, 2'500, 5'000, kLostCallers}, options.most_seconds};
+  Sweep sweep{"callers", {1'250, 2'500, 5'000, kLostCallers}, options.max_seconds};
   auto fleet_of = [&](int) {
     return generated_fleet(
         {.servers = kServersOfManyCallers, .shard_digits = 2, .subsetting = options.subsetting});
--- a/measure/capacity/control_slopes.h
+++ b/measure/capacity/control_slopes.h
@@ -7,8 +7,8 @@
 namespace myrtlecroft::capacity {
 
 struct ControlOptions {
-  int subsetting = 0;        // servers that a caller uses of each service; 0: no subsets in the fleet file
-  double most_seconds = 30;  // of one size: one that would take longer, by the size before it, is not run
+  int subsetting = 0;       // servers that a caller uses of each service; 0: no subsets in the fleet file
+  double max_seconds = 30;  // of one size: one that would take longer, by the size before it, is not run
 };
 
 // Adds the slopes to the sheet, and tells on stdout which sizes were left out and why.
--- a/measure/capacity/generated_fleet.cpp
+++ b/measure/capacity/generated_fleet.cpp
@@ -121,10 +121,10 @@
 fleet::Fleet fleet_of_services(const FleetSize& size, int services) {
   fleet::Fleet out = generated_fleet(size);
   for (int service = size.services; service < services; ++service) {
-    fleet::Group group = out.groups.front();
-    group.name = service_name(service);
-    group.path = "/api/v2/" + group.name;
-    out.groups.push_back(std::move(group));
+    fleet::RequestClass request_class = out.request_classes.front();
+    request_class.name = service_name(service);
+    request_class.path = "/api/v2/" + request_class.name;
+    out.request_classes.push_back(std::move(request_class));
   }
   return out;
 }
--- a/measure/capacity/generated_fleet.h
+++ b/measure/capacity/generated_fleet.h
@@ -14,7 +14,7 @@
 
 struct FleetSize {
   int servers = 100;
-  int services = 4;      // endpoint groups in all; the first four are of every kind
+  int services = 4;      // request classes in all; the first four are of every kind
   int deduplicated = 1;  // of them, that have a route for each owner of a key shard
   int tenants = 2;
   int shard_digits = 3;
--- a/measure/capacity/instance_under_load.cpp
+++ b/measure/capacity/instance_under_load.cpp
@@ -10,7 +10,7 @@
 
 constexpr Nanos kBetweenSteps = 300 * kMs;  // longer than a server whose link broke is waited for
 constexpr int kStepsToSettle = 3;
-constexpr int kMostStepsToBegin = 20;
+constexpr int kMaxStepsToBegin = 20;
 
 }  // namespace
 
@@ -18,7 +18,7 @@
     : router_(std::move(fleet), std::nullopt, true, now_, [](const std::string&) {}),
       servers_(router_.fleet()) {
   servers_.connect(router_, now_);
-  for (int i = 0; i < kMostStepsToBegin && in_service() < servers_.size(); ++i) step_ms();
+  for (int i = 0; i < kMaxStepsToBegin && in_service() < servers_.size(); ++i) step_ms();
   if (in_service() < servers_.size()) throw std::runtime_error("not all servers came into service");
   settle();
 }
--- a/measure/capacity/log_slopes.cpp
+++ b/measure/capacity/log_slopes.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <thread>
 
-#include "consensus/store_keeper.h"
+#include "consensus/store_raft_storage.h"
 #include "cost.h"
 #include "generated_fleet.h"
 #include "logged_instance.h"
@@ -33,7 +33,7 @@
 };
 
 double apply_ms(const std::string& image, const std::string& entry) {
-  agreement::State state;
+  agreement::ReplicatedState state;
   if (!state.restore(image)) throw std::runtime_error("an image is not taken");
   agreement::Verdict verdict{};
   double cost = cpu_ms_of([&] { verdict = state.apply(entry); });
@@ -65,13 +65,13 @@
   at.add("log_entry_" + what, "B", std::move(cost.bytes));
 }
 
-void add_image(const At& at, const agreement::Instance& instance) {
+void add_image(const At& at, const agreement::ControlReplica& instance) {
   std::vector<double> make;
   std::vector<double> load;
   std::string image;
   for (int i = 0; i < kRepeats; ++i) {
     make.push_back(cpu_ms_of([&] { image = instance.snapshot(); }));
-    agreement::State state;
+    agreement::ReplicatedState state;
     load.push_back(cpu_ms_of([&] { state.restore(image); }));
   }
   at.add("log_image", "B", {static_cast<double>(image.size())});
@@ -93,7 +93,7 @@
 
 // ---- The store and a start from it
 
-void take_what_is_done(consensus::StoreKeeper& log) {
+void take_what_is_done(consensus::StoreRaftStorage& log) {
   log.take_done();
   std::this_thread::sleep_for(std::chrono::microseconds(50));
 }
@@ -103,7 +103,7 @@
   TemporaryFolder folder;
   std::uint64_t decided = 0;
   {
-    consensus::StoreKeeper log(folder.path().string(), steady, [] {});
+    consensus::StoreRaftStorage log(folder.path().string(), steady, [] {});
     begin_log(log);
     LoggedInstance leader(
         fleet, log, [&] { take_what_is_done(log); }, kSnapshotAfter);
@@ -119,7 +119,7 @@
   for (int i = 0; i < kRepeats; ++i) {
     double begin = wall_seconds();
     cpu.push_back(cpu_ms_of([&] {
-      consensus::StoreKeeper log(folder.path().string(), steady, [] {});
+      consensus::StoreRaftStorage log(folder.path().string(), steady, [] {});
       LoggedInstance again(
           fleet, log, [&] { take_what_is_done(log); }, kSnapshotAfter);
       again.start_again(decided);
@@ -139,7 +139,7 @@
 }
 
 // So many appended at once, all on the disk when it returns; the time of the wall.
-double append_wall_ms(consensus::StoreKeeper& log, std::uint64_t& next, int bytes, int count) {
+double append_wall_ms(consensus::StoreRaftStorage& log, std::uint64_t& next, int bytes, int count) {
   std::vector<consensus::LogEntry> entries(static_cast<std::size_t>(count), entry_of(bytes));
   bool over = false;
   bool kept = false;
@@ -157,7 +157,7 @@
 void by_entry_bytes(Sheet& sheet) {
   for (int bytes : {100, 4'000, 64'000, 512'000}) {
     TemporaryFolder folder;
-    consensus::StoreKeeper log(folder.path().string(), steady, [] {});
+    consensus::StoreRaftStorage log(folder.path().string(), steady, [] {});
     begin_log(log);
     std::uint64_t next = 2;
     std::vector<double> one;
@@ -174,7 +174,7 @@
 // ---- The variables
 
 void by_servers(const LogOptions& options, Sheet& sheet) {
-  Sweep sweep{"servers", {500, 1000, 2000, 6100}, options.most_seconds};
+  Sweep sweep{"servers", {500, 1000, 2000, 6100}, options.max_seconds};
   auto fleet_of = [&](int servers) {
     return generated_fleet({.servers = servers, .subsetting = options.subsetting});
   };
@@ -187,20 +187,20 @@
 
 // How much of the fleet one decision changes.
 void by_servers_leaving(const LogOptions& options, Sheet& sheet) {
-  Sweep sweep{"servers_leaving", {1, 4, 16, 40}, options.most_seconds};
+  Sweep sweep{"servers_leaving", {1, 4, 16, 40}, options.max_seconds};
   auto fleet_of = [&](int) {
     return generated_fleet({.servers = kServersOfOthers, .subsetting = options.subsetting});
   };
-  run(sweep, fleet_of, [&](int leaving, fleet::Fleet fleet) {
+  run(sweep, fleet_of, [&](int draining, fleet::Fleet fleet) {
     MemoryLog log;
     begin_log(log);
     LoggedInstance leader(
         std::move(fleet), log, [&] { log.deliver(); }, kRareSnapshots);
     leader.begin();
     auto leave = [&](int round) {
-      for (int i = 0; i < leaving; ++i) leader.leave(round * leaving + i);
+      for (int i = 0; i < draining; ++i) leader.leave(round * draining + i);
     };
-    add_decisions({sheet, sweep.by, static_cast<double>(leaving), 0}, "leaving",
+    add_decisions({sheet, sweep.by, static_cast<double>(draining), 0}, "leaving",
                   decisions(leader, log, Change::kPublished, leave));
   });
 }
--- a/measure/capacity/log_slopes.h
+++ b/measure/capacity/log_slopes.h
@@ -7,8 +7,8 @@
 namespace myrtlecroft::capacity {
 
 struct LogOptions {
-  int subsetting = 0;        // servers that a caller uses of each service; 0: no subsets in the fleet file
-  double most_seconds = 30;  // of one size, beyond the first four
+  int subsetting = 0;       // servers that a caller uses of each service; 0: no subsets in the fleet file
+  double max_seconds = 30;  // of one size, beyond the first four
 };
 
 // Adds the slopes to the sheet, and tells on stdout which sizes were left out and why.
--- a/measure/capacity/logged_instance.cpp
+++ b/measure/capacity/logged_instance.cpp
@@ -11,10 +11,10 @@
 constexpr Nanos kBetweenDecisions = 600 * kMs;  // longer than an instance goes without one
 constexpr int kDecisionsToSettle = 3;           // a new leader goes on from what was agreed first
 constexpr consensus::InstanceId kId = 1;
-constexpr double kMostSeconds = 30;  // for one thing to come
+constexpr double kMaxSeconds = 30;  // for one thing to come
 
-agreement::InstanceTerms terms_of(unsigned snapshot_after) {
-  agreement::InstanceTerms out;
+agreement::ReplicaOptions terms_of(unsigned snapshot_after) {
+  agreement::ReplicaOptions out;
   out.id = kId;
   out.address = "alone";
   out.log.fleet = "capacity";
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-bool MemoryLog::keep_vote(std::uint64_t term, consensus::InstanceId voted_for) {
+bool MemoryLog::save_vote(std::uint64_t term, consensus::InstanceId voted_for) {
   kept_.term = term;
   kept_.voted_for = voted_for;
   return true;
@@ -36,7 +36,7 @@
   due_.push_back(std::move(done));
 }
 
-void MemoryLog::keep_snapshot(const consensus::LogSnapshot&, std::uint64_t, Done done) {
+void MemoryLog::save_snapshot(const consensus::LogSnapshot&, std::uint64_t, Done done) {
   due_.push_back(std::move(done));
 }
 
@@ -48,15 +48,15 @@
   }
 }
 
-void begin_log(consensus::Keeper& log) {
+void begin_log(consensus::RaftStorage& log) {
   consensus::Server server;
   server.set_id(kId);
   server.set_address("alone");
   server.set_role(RAFT_VOTER);
-  consensus::Member::begin(log, {server});
+  consensus::RaftNode::bootstrap(log, {server});
 }
 
-LoggedInstance::LoggedInstance(fleet::Fleet fleet, consensus::Keeper& log, std::function<void()> deliver,
+LoggedInstance::LoggedInstance(fleet::Fleet fleet, consensus::RaftStorage& log, std::function<void()> deliver,
                                unsigned snapshot_after)
     : deliver_(std::move(deliver)),
       servers_(fleet),
@@ -71,8 +71,7 @@
   double begin = wall_seconds();
   while (!over()) {
     deliver_();
-    if (wall_seconds() - begin > kMostSeconds)
-      throw std::runtime_error(std::string("it never came: ") + what);
+    if (wall_seconds() - begin > kMaxSeconds) throw std::runtime_error(std::string("it never came: ") + what);
   }
 }
 
--- a/measure/capacity/logged_instance.h
+++ b/measure/capacity/logged_instance.h
@@ -7,44 +7,44 @@
 #include <string>
 #include <vector>
 
-#include "agreement/instance.h"
+#include "agreement/control_replica.h"
 #include "reporting_servers.h"
 
 namespace myrtlecroft::capacity {
 
 // The log's storage in memory: what is appended is done when deliver() is called.
-class MemoryLog final : public consensus::Keeper {
+class MemoryLog final : public consensus::RaftStorage {
  public:
-  consensus::Kept load() override { return kept_; }
+  consensus::PersistentState load() override { return kept_; }
   bool well() const override { return true; }
-  bool keep_vote(std::uint64_t term, consensus::InstanceId voted_for) override;
+  bool save_vote(std::uint64_t term, consensus::InstanceId voted_for) override;
   void append(std::uint64_t first, std::vector<consensus::LogEntry> entries, Done done) override;
   void truncate(std::uint64_t) override {}
-  void keep_snapshot(const consensus::LogSnapshot&, std::uint64_t, Done done) override;
-  void replace(const consensus::Kept& kept) override { kept_ = kept; }
+  void save_snapshot(const consensus::LogSnapshot&, std::uint64_t, Done done) override;
+  void replace(const consensus::PersistentState& kept) override { kept_ = kept; }
 
   void deliver();
   const std::string& last_entry() const { return last_entry_; }
 
  private:
-  consensus::Kept kept_;
+  consensus::PersistentState kept_;
   std::deque<Done> due_;
   std::string last_entry_;
 };
 
 // Nobody else belongs.
-class NoPeers final : public consensus::Wire {
+class NoPeers final : public consensus::Transport {
  public:
   void send(const consensus::PeerMessage&, const std::string&) override {}
 };
 
 // The first log, of this one instance.
-void begin_log(consensus::Keeper& log);
+void begin_log(consensus::RaftStorage& log);
 
 class LoggedInstance {
  public:
   // `deliver` lets the log tell what it has done.
-  LoggedInstance(fleet::Fleet fleet, consensus::Keeper& log, std::function<void()> deliver,
+  LoggedInstance(fleet::Fleet fleet, consensus::RaftStorage& log, std::function<void()> deliver,
                  unsigned snapshot_after);
 
   // Until all servers are in service as agreed, and it is at rest.
@@ -56,7 +56,7 @@
   double decide_ms();
   void leave(int server) { servers_.leave(server); }
 
-  agreement::Instance& instance() { return instance_; }
+  agreement::ControlReplica& instance() { return instance_; }
   std::uint64_t published() const { return instance_.agreed().published(); }
   std::uint64_t decisions() const { return instance_.agreed().epoch().number; }
 
@@ -67,7 +67,7 @@
   NoPeers wire_;
   std::function<void()> deliver_;
   ReportingServers servers_;
-  agreement::Instance instance_;
+  agreement::ControlReplica instance_;
 };
 
 }  // namespace myrtlecroft::capacity
--- a/measure/capacity/measure_capacity_real.cpp
+++ b/measure/capacity/measure_capacity_real.cpp
@@ -35,33 +35,33 @@
 
 class Measurement {
  public:
-  Measurement(capacity::RigTerms terms, std::string folder)
-      : terms_(std::move(terms)), folder_(std::move(folder)) {}
+  Measurement(capacity::RigOptions options, std::string folder)
+      : options_(std::move(options)), folder_(std::move(folder)) {}
 
   int run() {
     std::printf("load average at the start: %.1f\n", capacity::load_average());
     measure_server_side();
     for (double size : kServerSizes) {
-      auto servers = static_cast<int>(size * terms_.plan.servers / kServerSizes[3]);
-      measure_fleet(servers, servers == terms_.plan.servers);
+      auto servers = static_cast<int>(size * options_.plan.servers / kServerSizes[3]);
+      measure_fleet(servers, servers == options_.plan.servers);
     }
     by_servers_.print();
     by_callers_.print();
     std::printf("load average at the end: %.1f\n", capacity::load_average());
-    figures_.print(terms_.plan);
+    figures_.print(options_.plan);
     return figures_.faults() == 0 ? 0 : 1;
   }
 
  private:
   void measure_fleet(int servers, bool whole) {
-    capacity::RigTerms terms = terms_;
-    terms.plan.servers = servers;
+    capacity::RigOptions options = options_;
+    options.plan.servers = servers;
     const int few = few_callers();
-    if (!whole) terms.plan.callers = few;
-    terms.folder = folder_ + "/" + std::to_string(servers);
-    std::filesystem::create_directory(terms.folder);
+    if (!whole) options.plan.callers = few;
+    options.folder = folder_ + "/" + std::to_string(servers);
+    std::filesystem::create_directory(options.folder);
     capacity::Stopwatch watch;
-    capacity::RealRig rig(terms);
+    capacity::RealRig rig(options);
     if (!rig.start_servers()) figures_.fault("not all of " + std::to_string(servers) + " servers came up");
     std::printf("%d servers are up after %.1f s, load average %.1f\n", servers, watch.seconds(),
                 capacity::load_average());
@@ -73,30 +73,32 @@
     if (whole) measure_callers(rig);
   }
 
-  // Real server processes, by endpoint groups and by the instances that they report to; what they use without
+  // Real server processes, by request classes and by the instances that they report to; what they use without
   // reporting is taken off.
   void measure_server_side() {
-    std::vector<capacity::ServerProcessTerms> terms;
-    for (int groups : kGroupSizes) {
-      terms.push_back({.groups = groups, .instances = 0});
-      for (int instances : kInstances) terms.push_back({.groups = groups, .instances = instances});
+    std::vector<capacity::ServerProcessOptions> options;
+    for (int request_classes : kGroupSizes) {
+      options.push_back({.request_classes = request_classes, .instances = 0});
+      for (int instances : kInstances)
+        options.push_back({.request_classes = request_classes, .instances = instances});
     }
     auto rounds =
-        capacity::measure_server_processes(folder_, terms, kServerProcessesRounds, kServerProcessesMs);
+        capacity::measure_server_processes(folder_, options, kServerProcessesRounds, kServerProcessesMs);
     capacity::Sheet sheet;
     std::vector<double> idle;
-    for (std::size_t i = 0; i < terms.size(); ++i) {
+    for (std::size_t i = 0; i < options.size(); ++i) {
       std::vector<double> cpu_us, bytes;
       for (std::size_t round = 0; round < rounds.size(); ++round) {
-        if (terms[i].instances == 0) idle.resize(rounds.size()), idle[round] = rounds[round][i].cores;
+        if (options[i].instances == 0) idle.resize(rounds.size()), idle[round] = rounds[round][i].cores;
         cpu_us.push_back(std::max(0.0, rounds[round][i].cores - idle[round]) * 1e6);
         bytes.push_back(rounds[round][i].bytes_a_second);
       }
-      if (terms[i].instances == 0) continue;
-      std::string to = "_to_" + std::to_string(terms[i].instances);
-      sheet.add({"server_report_bytes" + to, "endpoint_groups", "B/s"}, terms[i].groups, bytes);
-      sheet.add({"server_report_cpu" + to, "endpoint_groups", "us/s"}, terms[i].groups, cpu_us);
-      if (terms[i].groups != terms_.report_groups || terms[i].instances != kInstances[1]) continue;
+      if (options[i].instances == 0) continue;
+      std::string to = "_to_" + std::to_string(options[i].instances);
+      sheet.add({"server_report_bytes" + to, "endpoint_groups", "B/s"}, options[i].request_classes, bytes);
+      sheet.add({"server_report_cpu" + to, "endpoint_groups", "us/s"}, options[i].request_classes, cpu_us);
+      if (options[i].request_classes != options_.reported_classes || options[i].instances != kInstances[1])
+        continue;
       figures_.node_bytes_s = capacity::spread_of(bytes).median;
       figures_.node_core_share = capacity::spread_of(cpu_us).median / 1e6;
     }
@@ -172,7 +174,8 @@
   }
 
   int few_callers() const {
-    return std::clamp(static_cast<int>(kFewCallers * terms_.plan.callers / kCallerSizes[3]), 1, kFewCallers);
+    return std::clamp(static_cast<int>(kFewCallers * options_.plan.callers / kCallerSizes[3]), 1,
+                      kFewCallers);
   }
 
   void grow(capacity::RealRig& rig, int callers) {
@@ -187,7 +190,7 @@
     const long few_kb = rig.rested_kb();
     const int few = rig.callers();
     for (double size : kCallerSizes) {
-      auto callers = static_cast<int>(size * terms_.plan.callers / kCallerSizes[3]);
+      auto callers = static_cast<int>(size * options_.plan.callers / kCallerSizes[3]);
       grow(rig, callers);
       figures_.kb_per_caller = static_cast<double>(rig.rested_kb() - few_kb) / (callers - few);
       by_callers_.add({"control_memory_of_caller", "callers", "kB"}, callers, {figures_.kb_per_caller});
@@ -249,7 +252,7 @@
                 static_cast<unsigned long long>(answer.endpoints_held() / std::max(1u, answer.callers())));
   }
 
-  capacity::RigTerms terms_;
+  capacity::RigOptions options_;
   std::string folder_;
   capacity::Sheet by_servers_;
   capacity::Sheet by_callers_;
@@ -259,8 +262,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  capacity::RigTerms terms;
-  capacity::FleetPlan& plan = terms.plan;
+  capacity::RigOptions options;
+  capacity::FleetPlan& plan = options.plan;
   CLI::App app("Measures one real control instance with hollow servers and callers round it");
   app.add_option("--servers", plan.servers)->capture_default_str();
   app.add_option("--callers", plan.callers)->capture_default_str();
@@ -270,17 +273,17 @@
   app.add_option(
       "--deduplicated-every", plan.deduplicated_every,
       "Each so-manieth service has keys with owners; left out: each 100th with subsets, else the last");
-  app.add_option("--report-every-ms", terms.report_every_ms)->capture_default_str();
-  app.add_option("--report-groups", terms.report_groups, "Endpoint groups in each report")
+  app.add_option("--report-every-ms", options.report_every_ms)->capture_default_str();
+  app.add_option("--report-groups", options.reported_classes, "Endpoint groups in each report")
       ->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   if (plan.deduplicated_every == 0)
     plan.deduplicated_every = plan.subsetting() ? kDeduplicatedEvery : plan.services;
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
-  terms.hollow_program = MYRTLECROFT_HOLLOW_FLEET;
+  options.hollow_program = MYRTLECROFT_HOLLOW_FLEET;
   capacity::TemporaryFolder folder;
   try {
-    return Measurement(terms, folder.path()).run();
+    return Measurement(options, folder.path()).run();
   } catch (const std::exception& error) {
     std::printf("the measurement broke off: %s\n", error.what());
     return 1;
--- a/measure/capacity/measure_capacity_slopes.cpp
+++ b/measure/capacity/measure_capacity_slopes.cpp
@@ -35,10 +35,10 @@
   app.add_flag("--before", before, "The version measured is the one before: the last line says so");
   LogOptions log;
   app.add_option("--subsetting", control.subsetting, "Servers that a caller uses of each service");
-  app.add_option("--most-seconds", control.most_seconds, "That one size may take, beyond the first four");
+  app.add_option("--most-seconds", control.max_seconds, "That one size may take, beyond the first four");
   CLI11_PARSE(app, count, words);
   log.subsetting = control.subsetting;
-  log.most_seconds = control.most_seconds;
+  log.max_seconds = control.max_seconds;
   try {
     measure(control, log, before);
   } catch (const std::exception& error) {
--- a/measure/capacity/real_fleet.cpp
+++ b/measure/capacity/real_fleet.cpp
@@ -28,7 +28,7 @@
   return out;
 }
 
-void write_group(std::ostream& out, const FleetPlan& plan, const FleetChoices& choices, int service) {
+void write_class(std::ostream& out, const FleetPlan& plan, const FleetChoices& choices, int service) {
   bool deduplicated = plan.deduplicated_every > 0 && service % plan.deduplicated_every == 0;
   out << "{ name = \"" << name_of_service(service) << "\"; timeout_ms = 2000; repeats = "
       << (deduplicated ? "\"deduplicated\"; window_ms = 10000;" : "\"repeatable\";");
@@ -64,9 +64,9 @@
 
 int zone_of_server(const FleetPlan& plan, int number) { return 1 + (number - 1) % plan.zones; }
 
-std::vector<std::uint32_t> servers_of_first_zone(const FleetPlan& plan, int most) {
+std::vector<std::uint32_t> servers_of_first_zone(const FleetPlan& plan, int max) {
   std::vector<std::uint32_t> out;
-  for (int server = 1; server <= plan.servers && static_cast<int>(out.size()) < most; server += plan.zones)
+  for (int server = 1; server <= plan.servers && static_cast<int>(out.size()) < max; server += plan.zones)
     out.push_back(static_cast<std::uint32_t>(server));
   return out;
 }
@@ -102,7 +102,7 @@
   out << ");\ngroups = (\n";
   for (int service = 1; service <= plan.services; ++service) {
     if (service > 1) out << ",\n";
-    write_group(out, plan, choices, service);
+    write_class(out, plan, choices, service);
   }
   // A server that may come back at once and whole, so that a change is one change.
   out << ");\nbounds = { dwell_ms = 0; ramp_ms = 0; settle_ms = 20; };\n";
--- a/measure/capacity/real_fleet.h
+++ b/measure/capacity/real_fleet.h
@@ -11,7 +11,7 @@
 struct FleetPlan {
   int servers = 6100;
   int callers = 10'000;  // that control is told to expect
-  int services = 4;      // endpoint groups
+  int services = 4;      // request classes
   int subset_size = 0;   // of a caller's servers in a service; 0: every server serves every service, to all
   int zones = 16;
   int servers_of_service = 200;  // with subsets
@@ -34,7 +34,7 @@
 // From 1, by turns.
 int zone_of_server(const FleetPlan& plan, int number);
 // The first so many servers of the first zone: a rack of it, or all of it.
-std::vector<std::uint32_t> servers_of_first_zone(const FleetPlan& plan, int most);
+std::vector<std::uint32_t> servers_of_first_zone(const FleetPlan& plan, int max);
 
 // Each service's servers and each caller's services.
 class FleetChoices {
--- a/measure/capacity/real_hollow_fleet.cpp
+++ b/measure/capacity/real_hollow_fleet.cpp
@@ -17,7 +17,7 @@
 
 using namespace myrtlecroft;
 
-constexpr std::size_t kMostDescriptors = 20'000;
+constexpr std::size_t kMaxDescriptors = 20'000;
 
 hollow::Answer carry_out(const hollow::Command& command, capacity::HollowServers* servers,
                          capacity::HollowCallers* callers) {
@@ -44,16 +44,16 @@
   app.require_subcommand(1);
   int socket = -1;
   capacity::FleetPlan plan;
-  capacity::HollowServersTerms terms;
+  capacity::HollowServersOptions options;
   std::uint16_t reports = 0;
   std::int64_t every_ms = 250;
   std::string discovery;
   CLI::App* servers_wanted = app.add_subcommand("servers", "Servers that report");
   servers_wanted->add_option("--reports", reports, "Port of control")->required();
-  servers_wanted->add_option("--first", terms.first)->required();
-  servers_wanted->add_option("--count", terms.count)->required();
+  servers_wanted->add_option("--first", options.first)->required();
+  servers_wanted->add_option("--count", options.count)->required();
   servers_wanted->add_option("--every-ms", every_ms);
-  servers_wanted->add_option("--groups", terms.groups);
+  servers_wanted->add_option("--groups", options.request_classes);
   CLI::App* callers_wanted = app.add_subcommand("callers", "Callers that listen");
   callers_wanted->add_option("--discovery", discovery, "Target of control")->required();
   callers_wanted->add_option("--servers", plan.servers);
@@ -65,14 +65,14 @@
 
   std::signal(SIGPIPE, SIG_IGN);
   google::protobuf::SetLogHandler(nullptr);
-  net::reserve_descriptors(kMostDescriptors);  // before any thread
+  net::reserve_descriptors(kMaxDescriptors);  // before any thread
   net::Loop loop;
   std::optional<capacity::HollowServers> servers;
   std::optional<capacity::HollowCallers> callers;
   if (servers_wanted->parsed()) {
-    terms.reports = net::loopback(reports);
-    terms.every = every_ms * kMs;
-    servers.emplace(loop, terms);
+    options.reports = net::loopback(reports);
+    options.every = every_ms * kMs;
+    servers.emplace(loop, options);
   }
   if (callers_wanted->parsed()) callers.emplace(discovery, plan);
   capacity::CommandServer commands(loop, socket, [&](const hollow::Command& command) {
--- a/measure/capacity/real_rig.cpp
+++ b/measure/capacity/real_rig.cpp
@@ -8,7 +8,7 @@
 
 #include "capacity/real_callers.h"
 #include "capacity/shard_owners.h"
-#include "control/ask.h"
+#include "control/admin_client.h"
 #include "net/address.h"
 
 namespace myrtlecroft::capacity {
@@ -36,15 +36,16 @@
 
 double ms_between(std::int64_t from, std::int64_t to) { return static_cast<double>(to - from) / 1e6; }
 
-standin::ControlFleetTerms control_terms(const RigTerms& terms) {
-  std::string file = terms.folder + "/fleet.conf";
-  std::ofstream(file) << fleet_file(terms.plan);
-  return {.folder = terms.folder, .fleet = file, .instances = 1, .agreed = false, .more = {}};
+standin::ControlFleetOptions control_options(const RigOptions& options) {
+  std::string file = options.folder + "/fleet.conf";
+  std::ofstream(file) << fleet_file(options.plan);
+  return {.folder = options.folder, .fleet = file, .instances = 1, .agreed = false, .more = {}};
 }
 
 }  // namespace
 
-RealRig::RealRig(RigTerms terms) : terms_(std::move(terms)), control_(control_terms(terms_), ports_) {
+RealRig::RealRig(RigOptions options)
+    : options_(std::move(options)), control_(control_options(options_), ports_) {
   control_.start_all();
 }
 
@@ -52,15 +53,16 @@
 
 bool RealRig::start_servers() {
   bool up = poll(kStartLimitMs, [&] { return ask("proxies").fault.empty(); });
-  for (int first = 1; first <= terms_.plan.servers; first += terms_.servers_of_process) {
-    int count = std::min(terms_.servers_of_process, terms_.plan.servers - first + 1);
-    servers_.start(terms_.hollow_program,
-                   {"servers", "--reports", std::to_string(control_[0].reports), "--first",
-                    std::to_string(first), "--count", std::to_string(count), "--every-ms",
-                    std::to_string(terms_.report_every_ms), "--groups", std::to_string(terms_.report_groups)},
-                   terms_.folder + "/servers.log");
+  for (int first = 1; first <= options_.plan.servers; first += options_.servers_of_process) {
+    int count = std::min(options_.servers_of_process, options_.plan.servers - first + 1);
+    servers_.start(
+        options_.hollow_program,
+        {"servers", "--reports", std::to_string(control_[0].reports), "--first", std::to_string(first),
+         "--count", std::to_string(count), "--every-ms", std::to_string(options_.report_every_ms), "--groups",
+         std::to_string(options_.reported_classes)},
+        options_.folder + "/servers.log");
   }
-  auto expected = static_cast<std::uint64_t>(terms_.plan.servers);
+  auto expected = static_cast<std::uint64_t>(options_.plan.servers);
   return up && poll(kStartLimitMs, [&] {
            hollow::Answer now = servers_.ask({});
            return now.servers_connected() == expected && now.reports_sent() >= kReportsBeforeStart * expected;
@@ -68,14 +70,14 @@
 }
 
 void RealRig::start_caller_processes() {
-  const FleetPlan& plan = terms_.plan;
-  int processes = (plan.callers + terms_.callers_of_process - 1) / terms_.callers_of_process;
+  const FleetPlan& plan = options_.plan;
+  int processes = (plan.callers + options_.callers_of_process - 1) / options_.callers_of_process;
   for (int i = 0; i < processes; ++i) {
     callers_.start(
-        terms_.hollow_program,
+        options_.hollow_program,
         {"callers", "--discovery", control_.discovery(0), "--servers", std::to_string(plan.servers),
          "--services", std::to_string(plan.services), "--subsetting", std::to_string(plan.subset_size)},
-        terms_.folder + "/callers.log");
+        options_.folder + "/callers.log");
   }
 }
 
@@ -135,7 +137,7 @@
   double reports = static_cast<double>(after.reports_sent() - before.reports_sent());
   return {.control_cores = (control().cpu_ms() - control_cpu) / passed_ms,
           .servers_cores = (servers_.cpu_ms() - servers_cpu) / passed_ms,
-          .bytes_a_server = bytes / terms_.plan.servers / passed_ms * 1e3,
+          .bytes_a_server = bytes / options_.plan.servers / passed_ms * 1e3,
           .reports_a_second = reports / passed_ms * 1e3};
 }
 
--- a/measure/capacity/real_rig.h
+++ b/measure/capacity/real_rig.h
@@ -12,12 +12,12 @@
 
 namespace myrtlecroft::capacity {
 
-struct RigTerms {
+struct RigOptions {
   std::string hollow_program;
   std::string folder;
   FleetPlan plan;
   int report_every_ms = 250;  // as a server's settings have it by themselves
-  int report_groups = 4;
+  int reported_classes = 4;
   int servers_of_process = 1600;
   int callers_of_process = 1000;
 };
@@ -64,7 +64,7 @@
 
 class RealRig {
  public:
-  explicit RealRig(RigTerms terms);
+  explicit RealRig(RigOptions options);
   ~RealRig();
 
   // False where they were not all heard of in time.
@@ -83,7 +83,7 @@
   // Control's memory once what a crowd left behind was given back.
   long rested_kb();
   CommandCost ask(const std::string& question);
-  const FleetPlan& plan() const { return terms_.plan; }
+  const FleetPlan& plan() const { return options_.plan; }
   long callers_kb() const { return callers_.resident_kb(); }
   int callers() const { return callers_started_; }
   standin::Child& control() { return control_[0].process; }
@@ -93,7 +93,7 @@
   void await_quiet();
   void begin(ChangeKind kind, const std::vector<std::uint32_t>& servers, hollow::Answer& begun);
 
-  RigTerms terms_;
+  RigOptions options_;
   std::set<int> ports_;
   standin::ControlFleet control_;
   HollowProcesses servers_;
--- a/measure/capacity/real_server_process.cpp
+++ b/measure/capacity/real_server_process.cpp
@@ -14,7 +14,7 @@
 #include "control_fleet.h"
 #include "net/address.h"
 #include "node_config.h"
-#include "report/frames.h"
+#include "report/load_report.h"
 
 namespace myrtlecroft::capacity {
 namespace {
@@ -51,7 +51,7 @@
     }
     report::Malformed malformed{};
     in_.erase(0, report::decode(
-                     in_, [this](const report::NodeReport&) { ++reports_; }, malformed));
+                     in_, [this](const report::LoadReport&) { ++reports_; }, malformed));
   }
 
  private:
@@ -65,18 +65,19 @@
 
 class ServerProcess {
  public:
-  ServerProcess(const std::string& folder, const ServerProcessTerms& terms, std::set<int>& taken) {
-    std::string stem =
-        folder + "/server-" + std::to_string(terms.groups) + "-" + std::to_string(terms.instances);
+  ServerProcess(const std::string& folder, const ServerProcessOptions& options, std::set<int>& taken) {
+    std::string stem = folder + "/server-" + std::to_string(options.request_classes) + "-" +
+                       std::to_string(options.instances);
     standin::NodeConfig config;
     for (int* port : {&config.port, &config.engine, &config.database}) *port = standin::free_port(taken);
-    for (int i = 1; i <= terms.groups; ++i) {
-      config.groups += std::string(i > 1 ? "," : "") + R"({"name":"s)" + std::to_string(i) +
-                       R"(","effect":"idempotent","gain":1,"goalTimeNs":500000000,"hardLimitNs":1000000000})";
+    for (int i = 1; i <= options.request_classes; ++i) {
+      config.request_classes +=
+          std::string(i > 1 ? "," : "") + R"({"name":"s)" + std::to_string(i) +
+          R"(","effect":"idempotent","gain":1,"goalTimeNs":500000000,"hardLimitNs":1000000000})";
     }
     config.family = R"("nCores":1,"ramKb":50000)";
     standin::write_node_config(stem + ".json", config);
-    write_settings(stem + ".conf", terms.instances);
+    write_settings(stem + ".conf", options.instances);
     child_ = standin::Child({MYRTLECROFT_PROGRAM}, stem + ".log",
                             {{"LB_CONFIG", stem + ".json"}, {"MYRTLECROFT_SETTINGS", stem + ".conf"}});
   }
@@ -160,11 +161,11 @@
 }  // namespace
 
 std::vector<ServerProcessCosts> measure_server_processes(const std::string& folder,
-                                                         const std::vector<ServerProcessTerms>& terms,
+                                                         const std::vector<ServerProcessOptions>& options,
                                                          int rounds, int round_ms) {
   std::set<int> taken;
   Processes all;
-  for (const ServerProcessTerms& one : terms)
+  for (const ServerProcessOptions& one : options)
     all.push_back(std::make_unique<ServerProcess>(folder, one, taken));
   bool up = read_until(all, kStartLimitMs, [&] {
     return std::all_of(all.begin(), all.end(), [](const auto& one) { return one->reports(); });
--- a/measure/capacity/real_server_process.h
+++ b/measure/capacity/real_server_process.h
@@ -8,9 +8,9 @@
 
 namespace myrtlecroft::capacity {
 
-struct ServerProcessTerms {
-  int groups = 4;     // endpoint groups
-  int instances = 0;  // of control that it reports to
+struct ServerProcessOptions {
+  int request_classes = 4;  // request classes
+  int instances = 0;        // of control that it reports to
 };
 
 struct ServerProcessCost {
@@ -23,7 +23,7 @@
 // themselves: what each costs in each round. Throws std::runtime_error where one of them does not report.
 using ServerProcessCosts = std::vector<ServerProcessCost>;
 std::vector<ServerProcessCosts> measure_server_processes(const std::string& folder,
-                                                         const std::vector<ServerProcessTerms>& terms,
+                                                         const std::vector<ServerProcessOptions>& options,
                                                          int rounds, int round_ms);
 
 }  // namespace myrtlecroft::capacity
--- a/measure/capacity/real_servers.cpp
+++ b/measure/capacity/real_servers.cpp
@@ -11,15 +11,16 @@
 
 }  // namespace
 
-report::NodeReport report_of(int server, int groups) {
-  report::NodeReport out;
+report::LoadReport report_of(int server, int request_classes) {
+  report::LoadReport out;
   out.node = name_of_server(server);
   out.address = address_of_server(server);
-  out.life = 1;
+  out.incarnation = 1;
   out.engine_up = true;
   out.window = kWindow;
   out.limit = kLimit;
-  for (int i = 1; i <= groups; ++i) out.groups.push_back({.group = name_of_service(i)});
+  for (int i = 1; i <= request_classes; ++i)
+    out.request_classes.push_back({.request_class = name_of_service(i)});
   return out;
 }
 
@@ -27,15 +28,15 @@
  public:
   Server(HollowServers& all, int number, Nanos first_report)
       : all_(all),
-        report_(report_of(number, all.terms_.groups)),
+        report_(report_of(number, all.options_.request_classes)),
         report_again_(all.loop_.base(), [this] { report(); }),
         connect_again_(all.loop_.base(), [this] { connect(); }) {
     connect();
     report_again_.set(first_report);
   }
 
-  void say(bool leaving) {
-    report_.leaving = leaving;
+  void say(bool draining) {
+    report_.draining = draining;
     send();
   }
   void reach(bool up) {
@@ -55,12 +56,12 @@
 
  private:
   void connect() {
-    connection_ = std::make_unique<net::Connection>(all_.loop_.base(), all_.terms_.reports, *this, all_.log_,
-                                                    "reports");
+    connection_ = std::make_unique<net::Connection>(all_.loop_.base(), all_.options_.reports, *this,
+                                                    all_.log_, "reports");
   }
   // The time between reports goes on by itself, connected or not.
   void report() {
-    report_again_.set(all_.terms_.every);
+    report_again_.set(all_.options_.every);
     send();
   }
   void send() {
@@ -74,17 +75,18 @@
   }
 
   HollowServers& all_;
-  report::NodeReport report_;
+  report::LoadReport report_;
   std::unique_ptr<net::Connection> connection_;
   net::Timer report_again_;
   net::Timer connect_again_;
 };
 
-HollowServers::HollowServers(net::Loop& loop, const HollowServersTerms& terms) : loop_(loop), terms_(terms) {
-  for (int i = 0; i < terms.count; ++i) {
-    int number = terms.first + i;
+HollowServers::HollowServers(net::Loop& loop, const HollowServersOptions& options)
+    : loop_(loop), options_(options) {
+  for (int i = 0; i < options.count; ++i) {
+    int number = options.first + i;
     servers_[static_cast<std::uint32_t>(number)] =
-        std::make_unique<Server>(*this, number, terms.every * i / terms.count);
+        std::make_unique<Server>(*this, number, options.every * i / options.count);
   }
 }
 
--- a/measure/capacity/real_servers.h
+++ b/measure/capacity/real_servers.h
@@ -10,24 +10,24 @@
 #include "hollow.pb.h"
 #include "net/connection.h"
 #include "no_log.h"
-#include "report/frames.h"
+#include "report/load_report.h"
 
 namespace myrtlecroft::capacity {
 
-struct HollowServersTerms {
+struct HollowServersOptions {
   sockaddr_in reports{};  // of control
   int first = 1;
   int count = 0;
   Nanos every = 250 * kMs;
-  int groups = 4;  // that each reports of
+  int request_classes = 4;  // that each reports of
 };
 
-// A report as a server with so many endpoint groups sends it.
-report::NodeReport report_of(int server, int groups);
+// A report as a server with so many request classes sends it.
+report::LoadReport report_of(int server, int request_classes);
 
 class HollowServers {
  public:
-  HollowServers(net::Loop& loop, const HollowServersTerms& terms);
+  HollowServers(net::Loop& loop, const HollowServersOptions& options);
   ~HollowServers();
 
   void say(const hollow::Command::Say& command);
@@ -37,7 +37,7 @@
  private:
   class Server;
   net::Loop& loop_;
-  HollowServersTerms terms_;
+  HollowServersOptions options_;
   standin::NoLog log_;
   std::uint64_t reports_sent_ = 0;
   std::uint64_t report_bytes_ = 0;
--- a/measure/capacity/reporting_servers.cpp
+++ b/measure/capacity/reporting_servers.cpp
@@ -8,17 +8,17 @@
 
 constexpr std::size_t kServicesInReport = 20;  // that a server answers for
 
-report::NodeReport first_report(const fleet::Fleet& fleet, const fleet::Node& node) {
-  report::NodeReport out;
+report::LoadReport first_report(const fleet::Fleet& fleet, const fleet::Node& node) {
+  report::LoadReport out;
   out.node = node.name;
   out.address = node.address();
-  out.life = 100;
+  out.incarnation = 100;
   out.engine_up = true;
   out.window = 20;
   out.limit = 4;
-  for (std::size_t i = 0; i < std::min(kServicesInReport, fleet.groups.size()); ++i) {
-    out.groups.emplace_back();
-    out.groups.back().group = fleet.groups[i].name;
+  for (std::size_t i = 0; i < std::min(kServicesInReport, fleet.request_classes.size()); ++i) {
+    out.request_classes.emplace_back();
+    out.request_classes.back().request_class = fleet.request_classes[i].name;
   }
   return out;
 }
@@ -30,26 +30,26 @@
 }
 
 void ReportingServers::connect(routing::Router& router, Nanos now) {
-  for (const report::NodeReport& report : reports_) router.report_link(report.node, true, now);
+  for (const report::LoadReport& report : reports_) router.report_link(report.node, true, now);
 }
 
 void ReportingServers::report(routing::Router& router, Nanos now) {
   for (std::size_t i = 0; i < reports_.size(); ++i) {
     if (lost_.contains(i)) continue;
-    report::NodeReport& report = reports_[i];
+    report::LoadReport& report = reports_[i];
     ++report.sequence;
     report.sent_unix = now;
-    for (report::GroupCounts& counts : report.groups) {
+    for (report::RequestClassCounts& counts : report.request_classes) {
       counts.read += 2;
       counts.completed += 2;
       counts.in_time += 2;
     }
-    if (router.reported(report, now, now) != routing::Members::Verdict::kTaken)
+    if (router.reported(report, now, now) != routing::ServerRegistry::Verdict::kTaken)
       throw std::runtime_error("a report was not taken: " + report.node);
   }
 }
 
-void ReportingServers::leave(int server) { reports_[static_cast<std::size_t>(server)].leaving = true; }
+void ReportingServers::leave(int server) { reports_[static_cast<std::size_t>(server)].draining = true; }
 
 void ReportingServers::lose(int first_server, int servers, routing::Router& router, Nanos now) {
   for (int i = first_server; i < first_server + servers; ++i) {
--- a/measure/capacity/reporting_servers.h
+++ b/measure/capacity/reporting_servers.h
@@ -23,7 +23,7 @@
   std::size_t size() const { return reports_.size(); }
 
  private:
-  std::vector<report::NodeReport> reports_;  // by the server's place in the fleet
+  std::vector<report::LoadReport> reports_;  // by the server's place in the fleet
   std::set<std::size_t> lost_;
 };
 
--- a/measure/capacity/server_latency.cpp
+++ b/measure/capacity/server_latency.cpp
@@ -20,7 +20,7 @@
 constexpr Nanos kStretch = 200 * kMs;
 constexpr Nanos kWarm = 500 * kMs;
 constexpr Nanos kRelayWithin = 5 * kSecond;
-constexpr Sizes kSizes{.tenants = static_cast<int>(kPlannedTenants), .groups = 3};
+constexpr Sizes kSizes{.tenants = static_cast<int>(kPlannedTenants), .request_classes = 3};
 
 double quantile(std::vector<double> samples, double share) {
   if (samples.empty()) throw std::runtime_error("no request was completed");
@@ -34,14 +34,14 @@
   std::vector<double> completed_us;
   std::vector<double> p99_of_stretches;
   int offered = 0;
-  int denied = 0;
+  int rejected = 0;
   int failed = 0;
 
   void add(const LoadResult& result) {
     completed_us.insert(completed_us.end(), result.completed_us.begin(), result.completed_us.end());
     p99_of_stretches.push_back(quantile(result.completed_us, 0.99));
     offered += result.offered;
-    denied += result.denied;
+    rejected += result.rejected;
     failed += result.failed;
   }
   double p50() const { return quantile(completed_us, 0.5); }
@@ -60,7 +60,7 @@
   std::vector<double> added_p99;
   std::vector<double> added_p99_of_a_stretch;
   int offered = 0;
-  int denied = 0;
+  int rejected = 0;
   int failed = 0;
 
   void add(const Side& server, const Side& relay) {
@@ -72,7 +72,7 @@
     added_p99.push_back(server.p99() - relay.p99());
     added_p99_of_a_stretch.push_back(server.p99_of_a_stretch() - relay.p99_of_a_stretch());
     offered += server.offered + relay.offered;
-    denied += server.denied + relay.denied;
+    rejected += server.rejected + relay.rejected;
     failed += server.failed + relay.failed;
   }
 };
@@ -96,7 +96,7 @@
 };
 
 void run_once(double rate, Load& server, Load& relay, Samples& samples) {
-  const LoadTerms stretch{.per_second = rate, .duration = kStretch};
+  const LoadOptions stretch{.per_second = rate, .duration = kStretch};
   Side through_server;
   Side through_relay;
   for (int i = 0; i < kStretches; ++i) {
@@ -112,7 +112,7 @@
       "offered %d denied %d failed %d\n",
       rate, spread_of(samples.server_p50).median, spread_of(samples.server_p99).median,
       spread_of(samples.relay_p50).median, spread_of(samples.relay_p99).median, kRuns, samples.offered,
-      samples.denied, samples.failed);
+      samples.rejected, samples.failed);
 }
 
 Added worst_of(const Added& one, const Added& other) {
--- a/measure/capacity/server_load.cpp
+++ b/measure/capacity/server_load.cpp
@@ -84,13 +84,13 @@
 
 Load::~Load() = default;
 
-LoadResult Load::run(const LoadTerms& terms, EachTurn each_turn) {
+LoadResult Load::run(const LoadOptions& options, EachTurn each_turn) {
   for (Nanos until = loop_.now() + kOpenWithin; !all_open() && loop_.now() < until;) {
     open_all();
     event_base_loop(loop_.base(), EVLOOP_ONCE);
   }
   each_turn_ = std::move(each_turn);
-  begin(terms);
+  begin(options);
   loop_.run();
   lost(in_flight());
   return std::exchange(result_, {});
@@ -125,8 +125,8 @@
   return count;
 }
 
-void Load::begin(const LoadTerms& terms) {
-  terms_ = terms;
+void Load::begin(const LoadOptions& options) {
+  options_ = options;
   result_ = {};
   begun_ = loop_.now();
   next_ = begun_ + next_pause();
@@ -136,19 +136,19 @@
 }
 
 Nanos Load::next_pause() {
-  double seconds = 1 / terms_.per_second;
-  if (terms_.spacing == Spacing::kPoisson)
+  double seconds = 1 / options_.per_second;
+  if (options_.spacing == Spacing::kPoisson)
     seconds *= -std::log(1 - std::generate_canonical<double, 32>(random_));
   return static_cast<Nanos>(seconds * 1e9);
 }
 
 void Load::send_due() {
   Nanos now = loop_.now();
-  while (next_ <= now && next_ < begun_ + terms_.duration) {
+  while (next_ <= now && next_ < begun_ + options_.duration) {
     send_one();
     next_ += next_pause();
   }
-  if (next_ < begun_ + terms_.duration) send_.set(std::max<Nanos>(0, next_ - now));
+  if (next_ < begun_ + options_.duration) send_.set(std::max<Nanos>(0, next_ - now));
 }
 
 void Load::send_one() {
@@ -162,7 +162,7 @@
   standin::CgiFields fields{.path = std::move(names.path),
                             .trace = ++traces_,
                             .accepted_unix = net::Loop::unix_now(),
-                            .customer = std::move(names.tenant),
+                            .tenant = std::move(names.tenant),
                             .wait = kPatience,
                             .key = {},
                             .body = "group - 0 0 " + std::to_string(kResultBytes),
@@ -172,9 +172,9 @@
 
 void Load::end_when_answered() {
   Nanos lasted = loop_.now() - begun_;
-  if (each_turn_ && each_turn_(lasted)) terms_.duration = std::min(terms_.duration, lasted);
-  bool over = lasted >= terms_.duration && in_flight() == 0;
-  if (over || lasted >= terms_.duration + kOverrun) return loop_.stop();
+  if (each_turn_ && each_turn_(lasted)) options_.duration = std::min(options_.duration, lasted);
+  bool over = lasted >= options_.duration && in_flight() == 0;
+  if (over || lasted >= options_.duration + kOverrun) return loop_.stop();
   open_all();
   turn_.set(kTurn);
 }
@@ -186,7 +186,7 @@
     result_.completed_us.push_back(static_cast<double>(now - sent_at) / 1e3);
     if (waiting_for_first_) loop_.stop();
   } else if (answer.starts_with("Status: 503")) {
-    ++result_.denied;
+    ++result_.rejected;
   } else {
     ++result_.failed;
   }
--- a/measure/capacity/server_load.h
+++ b/measure/capacity/server_load.h
@@ -19,7 +19,7 @@
   kEven,     // of a probe
 };
 
-struct LoadTerms {
+struct LoadOptions {
   double per_second = 0;
   Nanos duration = 0;
   Spacing spacing = Spacing::kPoisson;
@@ -27,13 +27,13 @@
 
 struct LoadResult {
   int offered = 0;
-  int denied = 0;
+  int rejected = 0;
   int failed = 0;                    // any other answer than 200 and 503, and requests that got none
   std::vector<double> completed_us;  // time from the send to the answer's last record
   Nanos largest_gap = 0;             // between two answers that came one after the other
 };
 
-// Which tenant and endpoint group the next request names.
+// Which tenant and request class the next request names.
 struct Names {
   std::string path;
   std::string tenant;
@@ -47,7 +47,7 @@
   // Told every millisecond how long the run has lasted; true ends the sending.
   using EachTurn = std::function<bool(Nanos)>;
   // Turns the loop until the duration is over and answers have come, or a second after it.
-  LoadResult run(const LoadTerms& terms, EachTurn each_turn = {});
+  LoadResult run(const LoadOptions& options, EachTurn each_turn = {});
   // One request until it gets a 200, tried again every 2 ms. False where none comes in that time.
   bool wait_for_answer(Nanos within);
 
@@ -56,7 +56,7 @@
 
   void open_all();
   bool all_open() const;
-  void begin(const LoadTerms& terms);
+  void begin(const LoadOptions& options);
   void send_due();
   void send_one();
   void end_when_answered();
@@ -73,7 +73,7 @@
   std::vector<std::unique_ptr<Kept>> kept_;
   net::Timer send_;
   net::Timer turn_;
-  LoadTerms terms_;
+  LoadOptions options_;
   LoadResult result_;
   EachTurn each_turn_;
   Nanos begun_ = 0;
--- a/measure/capacity/server_relay.cpp
+++ b/measure/capacity/server_relay.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t kReadAtOnce = std::size_t{64} << 10;
 constexpr int kEventsAtOnce = 64;
 constexpr int kBacklog = 64;
-constexpr std::size_t kMostConnections = 64;
+constexpr std::size_t kMaxConnections = 64;
 constexpr std::uint8_t kCgiStdin = 5;
 
 [[noreturn]] void die(const char* what) {
@@ -108,8 +108,8 @@
 void run_bare_relay(std::uint16_t listen, std::uint16_t to) { BareRelay(listen, to).run(); }
 
 Responder::Responder(net::Loop& loop)
-    : door_(loop, log_, net::loopback(0), "responder", kMostConnections,
-            {.came = [](control::Door::Id, net::Connection& connection, std::string_view bytes) {
+    : door_(loop, log_, net::loopback(0), "responder", kMaxConnections,
+            {.came = [](control::FrameServer::Id, net::Connection& connection, std::string_view bytes) {
               return came(connection, bytes);
             }}) {}
 
--- a/measure/capacity/server_relay.h
+++ b/measure/capacity/server_relay.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "../../standin/no_log.h"
-#include "control/door.h"
+#include "control/frame_server.h"
 
 namespace myrtlecroft::capacity {
 
@@ -28,7 +28,7 @@
   static std::size_t came(net::Connection& connection, std::string_view bytes);
 
   standin::NoLog log_;
-  control::Door door_;
+  control::FrameServer door_;
 };
 
 }  // namespace myrtlecroft::capacity
--- a/measure/capacity/server_rig.cpp
+++ b/measure/capacity/server_rig.cpp
@@ -69,7 +69,7 @@
   config.port = port_;
   config.engine = engine_.port();
   config.database = port_;  // no group makes calls
-  config.groups = group_list(sizes_.groups);
+  config.request_classes = group_list(sizes_.request_classes);
   config.tenants = tenant_list(sizes_.tenants);
   config.family = R"("nCores":)" + std::to_string(kCores) +
                   R"(,"ramKb":400000,"blowup":8,"keyKb":4,"idleNs":30000000000)";
@@ -93,7 +93,7 @@
 }
 
 ReloadResult ServerRig::reload() {
-  LoadTerms probe{.per_second = kProbesPerSecond, .duration = kReloadWithin, .spacing = Spacing::kEven};
+  LoadOptions probe{.per_second = kProbesPerSecond, .duration = kReloadWithin, .spacing = Spacing::kEven};
   ReloadResult result;
   const int before = lines_of_reload();
   Nanos told_at = 0;  // into the run; 0: not yet
@@ -134,7 +134,7 @@
 std::function<Names(std::mt19937&)> any_of(Sizes sizes) {
   return [sizes](std::mt19937& random) {
     auto below = [&](int count) { return static_cast<int>(random() % static_cast<std::uint32_t>(count)); };
-    return Names{.path = "/api/v2/" + group_name(below(sizes.groups)),
+    return Names{.path = "/api/v2/" + group_name(below(sizes.request_classes)),
                  .tenant = tenant_name(below(sizes.tenants))};
   };
 }
--- a/measure/capacity/server_rig.h
+++ b/measure/capacity/server_rig.h
@@ -1,4 +1,4 @@
-// The real server in a process of its own, with settings of so many tenants and endpoint groups, and a
+// The real server in a process of its own, with settings of so many tenants and request classes, and a
 // stand-in engine that ends each run at once.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 struct Sizes {
   int tenants = 1;
-  int groups = 3;
+  int request_classes = 3;
 };
 
 struct ReloadResult {
--- a/measure/capacity/server_sizes.cpp
+++ b/measure/capacity/server_sizes.cpp
@@ -109,20 +109,21 @@
 
 PlannedSize measure_sizes(Sheet& sheet) {
   std::vector<Samples> by_tenants(std::size(kTenants));
-  std::vector<Samples> by_groups(std::size(kGroups));
+  std::vector<Samples> by_request_classes(std::size(kGroups));
   for (int run = 0; run < kRuns; ++run) {
     for (std::size_t i = 0; i < by_tenants.size(); ++i) {
-      run_once({.tenants = kTenants[i], .groups = kFewGroups}, true, by_tenants[i]);
+      run_once({.tenants = kTenants[i], .request_classes = kFewGroups}, true, by_tenants[i]);
     }
-    for (std::size_t i = 0; i < by_groups.size(); ++i) {
-      run_once({.tenants = kFewTenants, .groups = kGroups[i]}, false, by_groups[i]);
+    for (std::size_t i = 0; i < by_request_classes.size(); ++i) {
+      run_once({.tenants = kFewTenants, .request_classes = kGroups[i]}, false, by_request_classes[i]);
     }
   }
   for (std::size_t i = 0; i < by_tenants.size(); ++i) {
     add_common(sheet, "tenants", kTenants[i], by_tenants[i]);
     add_reload(sheet, kTenants[i], by_tenants[i]);
   }
-  for (std::size_t i = 0; i < by_groups.size(); ++i) add_common(sheet, "groups", kGroups[i], by_groups[i]);
+  for (std::size_t i = 0; i < by_request_classes.size(); ++i)
+    add_common(sheet, "groups", kGroups[i], by_request_classes[i]);
   return planned(by_tenants.front(), by_tenants.back());
 }
 
--- a/measure/capacity/server_sizes.h
+++ b/measure/capacity/server_sizes.h
@@ -1,4 +1,4 @@
-// Memory, time on the cores, start and reload of a server by the tenants and the endpoint groups of its
+// Memory, time on the cores, start and reload of a server by the tenants and the request classes of its
 // settings.
 #pragma once
 
--- a/measure/capacity/sweep.cpp
+++ b/measure/capacity/sweep.cpp
@@ -37,7 +37,7 @@
                   error.what());
       return;
     }
-    if (ran.size() >= kFewestSizes && predicted(ran, size) > sweep.most_seconds) {
+    if (ran.size() >= kFewestSizes && predicted(ran, size) > sweep.max_seconds) {
       std::printf("not run: by=%s from %d on, would take %.0f s\n", sweep.by.c_str(), size,
                   predicted(ran, size));
       return;
--- a/measure/capacity/sweep.h
+++ b/measure/capacity/sweep.h
@@ -14,8 +14,8 @@
 
 struct Sweep {
   std::string by;
-  std::vector<int> sizes;   // rising
-  double most_seconds = 0;  // of the wall, that one size may take; the first four are run in any case
+  std::vector<int> sizes;  // rising
+  double max_seconds = 0;  // of the wall, that one size may take; the first four are run in any case
 };
 
 // A size whose fleet can't be read (settings::DocumentError) is left out, and so are larger ones; what is
--- a/measure/incident.cpp
+++ b/measure/incident.cpp
@@ -13,13 +13,13 @@
 using settings::Part;
 
 constexpr std::array<std::pair<const char*, Fault>, 15> kFaults = {{{"kill", Fault::kKill},
-                                                                   {"stop", Fault::kStop},
-                                                                   {"stall", Fault::kStall},
-                                                                   {"close", Fault::kClose},
-                                                                   {"late", Fault::kLate},
-                                                                   {"reset", Fault::kReset},
-                                                                   {"cut-frame", Fault::kCutFrame},
-                                                                   {"lose", Fault::kLose},
+                                                                    {"stop", Fault::kStop},
+                                                                    {"stall", Fault::kStall},
+                                                                    {"close", Fault::kClose},
+                                                                    {"late", Fault::kLate},
+                                                                    {"reset", Fault::kReset},
+                                                                    {"cut-frame", Fault::kCutFrame},
+                                                                    {"lose", Fault::kLose},
                                                                     {"disk-fails", Fault::kDiskFails},
                                                                     {"disk-full", Fault::kDiskFull},
                                                                     {"disk-slow", Fault::kDiskSlow},
@@ -33,8 +33,8 @@
                                                                        {"slow", Bad::kSlow},
                                                                        {"under-load", Bad::kUnderLoad},
                                                                        {"later", Bad::kLater},
-                                                                       {"one-group", Bad::kOneGroup},
-                                                                       {"silent", Bad::kSilent}}};
+                                                                       {"one-group", Bad::kOneClass},
+                                                                       {"silent", Bad::kLost}}};
 constexpr std::array<const char*, 4> kKinds = {"leader", "instance", "node", "proxy"};
 
 template <class Table>
@@ -48,7 +48,7 @@
   part.bad(name, "is none of " + all);
 }
 
-// "leader", "instance 2", "node 3-7", "node all", "proxy 1".
+// "leader", "instance 2", "server 3-7", "server all", "proxy 1".
 Who who_in(Part& part, const Incident& of) {
   std::string given = part.text("who");
   if (given == "leader") return {};
@@ -56,12 +56,12 @@
   for (std::size_t kind = 1; kind < kKinds.size(); ++kind) {
     if (space == std::string::npos || given.substr(0, space) != kKinds[kind]) continue;
     Who out{.kind = static_cast<Who::Kind>(kind)};
-    int most = out.kind == Who::Kind::kInstance ? of.instances
-               : out.kind == Who::Kind::kNode   ? of.nodes
-                                                : of.proxies;
+    int max = out.kind == Who::Kind::kInstance ? of.instances
+              : out.kind == Who::Kind::kNode   ? of.nodes
+                                               : of.proxies;
     std::string numbers = given.substr(space + 1);
     if (numbers == "all") {
-      out.last = most - 1;
+      out.last = max - 1;
       return out;
     }
     const char* end = numbers.data() + numbers.size();
@@ -72,8 +72,7 @@
         auto read = std::from_chars(past + 1, end, out.last);
         return std::pair(read.ptr, read.ec);
       }();
-    if (error != std::errc() || past != end || out.first < 1 || out.last < out.first || out.last > most)
-      break;
+    if (error != std::errc() || past != end || out.first < 1 || out.last < out.first || out.last > max) break;
     --out.first;
     --out.last;
     return out;
@@ -109,7 +108,8 @@
   if (out.fault == Fault::kNoise) out.times = part.number("times", 1, 100);
   if (out.fault == Fault::kCommand) out.say = part.text("say");
   bool of_nodes = out.who.kind == Who::Kind::kNode;
-  if ((out.fault == Fault::kNoise) != of_nodes && (out.fault == Fault::kNoise || out.fault == Fault::kCommand))
+  if ((out.fault == Fault::kNoise) != of_nodes &&
+      (out.fault == Fault::kNoise || out.fault == Fault::kCommand))
     part.bad("what", out.fault == Fault::kNoise ? "is for nodes only" : "is said to instances only");
   if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(part.whole("sync", 1, 1000));
   if (out.fault == Fault::kCutFrame) out.bytes = static_cast<std::size_t>(part.whole("bytes", 0, 10'000'000));
@@ -125,8 +125,8 @@
 }  // namespace
 
 bool on_links(Fault fault) {
-  return fault == Fault::kStall || fault == Fault::kClose || fault == Fault::kLate || fault == Fault::kReset ||
-         fault == Fault::kCutFrame;
+  return fault == Fault::kStall || fault == Fault::kClose || fault == Fault::kLate ||
+         fault == Fault::kReset || fault == Fault::kCutFrame;
 }
 
 const char* name_of(Bad bad) { return kBadWords[static_cast<std::size_t>(bad)].first; }
@@ -149,9 +149,9 @@
   Part root = document.root();
   root.whole("version", 1, 1);
   Incident out;
-  out.instances = static_cast<int>(root.whole_or("instances", out.instances, 1, 7));
-  out.nodes = static_cast<int>(root.whole_or("nodes", out.nodes, 1, 300));
-  out.proxies = static_cast<int>(root.whole_or("proxies", out.proxies, 1, 64));
+  out.instances = static_cast<int>(root.integer_or("instances", out.instances, 1, 7));
+  out.nodes = static_cast<int>(root.integer_or("nodes", out.nodes, 1, 300));
+  out.proxies = static_cast<int>(root.integer_or("proxies", out.proxies, 1, 64));
   out.keys_per_s = root.number_or("keys_per_s", out.keys_per_s, 1, 2000);
   out.length = static_cast<Nanos>(root.number("seconds", 1, 600) * static_cast<double>(kSecond));
   out.faults_per_s = root.number_or("faults_per_s", 0, 0, 20);
@@ -164,19 +164,19 @@
                    [](const Step& a, const Step& b) { return a.at < b.at; });
   out.reads_per_s = root.number_or("reads_per_s", out.reads_per_s, 0, 5000);
   out.read_ms = root.number_or("read_ms", out.read_ms, 1, 10'000);
-  out.zones = static_cast<int>(root.whole_or("zones", out.zones, 1, 20));
-  out.services = static_cast<int>(root.whole_or("services", out.services, 0, 50));
-  out.most_out = root.number_or("most_out", out.most_out, 0, 1);
-  out.service_most_out = root.number_or("service_most_out", out.service_most_out, 0, 1);
+  out.zones = static_cast<int>(root.integer_or("zones", out.zones, 1, 20));
+  out.services = static_cast<int>(root.integer_or("services", out.services, 0, 50));
+  out.max_unavailable = root.number_or("most_out", out.max_unavailable, 0, 1);
+  out.service_max_unavailable = root.number_or("service_most_out", out.service_max_unavailable, 0, 1);
   out.restart = root.millis_or("restart_ms", out.restart, 1, 60'000);
   out.soak = root.millis_or("soak_ms", out.soak, 100, 600'000);
-  out.first_nodes = static_cast<int>(root.whole_or("first_nodes", out.first_nodes, 1, 300));
+  out.first_nodes = static_cast<int>(root.integer_or("first_nodes", out.first_nodes, 1, 300));
   for (Part& part : root.list("releases")) {
     ReleaseWanted one;
     one.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
     one.to = static_cast<int>(part.whole("to", 1, 99));
     if (part.has("bad")) one.bad = word_in(part, "bad", kBadWords);
-    one.by = static_cast<int>(part.whole_or("by", 1, 1, out.instances)) - 1;
+    one.by = static_cast<int>(part.integer_or("by", 1, 1, out.instances)) - 1;
     part.nothing_else();
     out.releases.push_back(one);
   }
--- a/measure/incident.h
+++ b/measure/incident.h
@@ -6,30 +6,30 @@
 #include <string>
 #include <vector>
 
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft::rehearsal {
 
 enum class Fault {
-  kKill,      // the process; it starts again on its folder afterwards
-  kStop,      // stands still
-  kStall,     // bytes wait where they are
-  kClose,     // nobody gets through; who was through is reset
-  kLate,      // each byte, by so much
-  kReset,     // once
-  kCutFrame,  // after so many bytes more that go there, once
-  kLose,      // killed, and its folder is gone
-  kDiskFails,  // every sync fails
-  kDiskFull,   // every write does
-  kDiskSlow,   // each sync takes so long
-  kClock,      // the wall clock is off by so much
+  kKill,        // the process; it starts again on its folder afterwards
+  kStop,        // stands still
+  kStall,       // bytes wait where they are
+  kClose,       // nobody gets through; who was through is reset
+  kLate,        // each byte, by so much
+  kReset,       // once
+  kCutFrame,    // after so many bytes more that go there, once
+  kLose,        // killed, and its folder is gone
+  kDiskFails,   // every sync fails
+  kDiskFull,    // every write does
+  kDiskSlow,    // each sync takes so long
+  kClock,       // the wall clock is off by so much
   kKillAtSync,  // killed as it begins its Nth sync from now; it starts again afterwards
-  kNoise,       // a node's engine is slower by so many times
+  kNoise,       // a server's engine is slower by so many times
   kCommand      // operators say something to an instance
 };
 enum class Way { kThere, kBack, kBoth };  // seen from whom the step names
 
-// Whom a step names: the leader, an instance, a node, a proxy's stream, or all of a kind.
+// Whom a step names: the leader, an instance, a server, a proxy's stream, or all of a kind.
 struct Who {
   enum class Kind { kLeader, kInstance, kNode, kProxy };
   Kind kind = Kind::kLeader;
@@ -55,8 +55,8 @@
 // Of a link between two processes, not of one process.
 bool on_links(Fault fault);
 
-// What is wrong with a version of the node's program.
-enum class Bad { kNone, kSlow, kUnderLoad, kLater, kOneGroup, kSilent };
+// What is wrong with a version of the server's program.
+enum class Bad { kNone, kSlow, kUnderLoad, kLater, kOneClass, kLost };
 constexpr int kBads = 6;
 const char* name_of(Bad bad);
 
@@ -76,14 +76,14 @@
   Nanos length = 20 * kSecond;
   double faults_per_s = 0;  // drawn, beside the steps
   std::vector<Step> steps;
-  // For releases: reads beside the keyed exchanges, of two groups, and a fleet with budgets.
+  // For releases: reads beside the keyed requests, of two groups, and a fleet with budgets.
   double reads_per_s = 0;
   double read_ms = 100;  // of a core
   int zones = 2;
   int services = 0;
-  double most_out = 0.1;
-  double service_most_out = 0.25;
-  Nanos restart = 800 * kMs;  // from a node's end to its start in the other version
+  double max_unavailable = 0.1;
+  double service_max_unavailable = 0.25;
+  Nanos restart = 800 * kMs;  // from a server's end to its start in the other version
   Nanos soak = 6 * kSecond;
   int first_nodes = 3;
   std::vector<ReleaseWanted> releases;
@@ -94,7 +94,7 @@
 
 // One fault, the same for the same draws.
 Step drawn(std::mt19937& draws, int instances, int nodes, int proxies);
-// Whether it touches instances, their links or their streams: the rest is nodes' own.
+// Whether it touches instances, their links or their streams: the rest is servers' own.
 bool of_control(const Step& step);
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/measure_agreement.cpp
+++ b/measure/measure_agreement.cpp
@@ -12,15 +12,15 @@
 using namespace myrtlecroft;
 using namespace myrtlecroft::rehearsal;
 
-void print(const char* what, const RigTerms& terms, const RigResult& result) {
+void print(const char* what, const RigOptions& options, const RigResult& result) {
   std::printf(
       "%-22s instances %d nodes %d faults %3d: offered %6d completed %.3f runs %6d doubled %d lost %d split "
       "%d stale %d "
       "lost entries %d not back %d, %d failovers p50 %.0f p99 %.0f ms%s%s\n",
-      what, terms.incident.instances, terms.incident.nodes, result.faults, result.offered, result.benefit(),
-      result.runs, result.doubled, result.lost, result.split_owners, result.stale_acted, result.lost_entries,
-      result.not_back, result.failovers, result.failover_p50_ms, result.failover_p99_ms,
-      result.first.empty() ? "" : "; first ",
+      what, options.incident.instances, options.incident.nodes, result.faults, result.offered,
+      result.priority_weight(), result.runs, result.doubled, result.lost, result.split_owners,
+      result.stale_acted, result.lost_entries, result.not_back, result.failovers, result.failover_p50_ms,
+      result.failover_p99_ms, result.first.empty() ? "" : "; first ",
       (result.first + (result.folder.empty() ? "" : ", logs in " + result.folder)).c_str());
   std::fflush(stdout);
 }
@@ -29,26 +29,26 @@
 
 int main(int count, char** words) {
   auto number = [&](int at, int otherwise) { return count > at ? std::atoi(words[at]) : otherwise; };
-  RigTerms terms;
-  terms.incident = {.instances = 3,
-                    .nodes = number(2, 100),
-                    .proxies = 8,
-                    .keys_per_s = 150,
-                    .length = number(1, 110) * kSecond,
-                    .faults_per_s = 1.0,
-                    .steps = {}};
-  terms.seed = static_cast<unsigned>(number(3, 1));
-  RigTerms nodes_only = terms;
+  RigOptions options;
+  options.incident = {.instances = 3,
+                      .nodes = number(2, 100),
+                      .proxies = 8,
+                      .keys_per_s = 150,
+                      .length = number(1, 110) * kSecond,
+                      .faults_per_s = 1.0,
+                      .steps = {}};
+  options.seed = static_cast<unsigned>(number(3, 1));
+  RigOptions nodes_only = options;
   nodes_only.control_faults = false;
   RigResult untouched = play(nodes_only);
   print("control untouched", nodes_only, untouched);
-  RigResult three = play(terms);
-  print("three beside faults", terms, three);
-  RigTerms more = terms;
+  RigResult three = play(options);
+  print("three beside faults", options, three);
+  RigOptions more = options;
   more.incident.instances = 5;
   RigResult five = play(more);
   print("five beside faults", more, five);
-  RigTerms before = terms;
+  RigOptions before = options;
   before.agreed = false;
   before.incident.instances = 2;
   before.incident.nodes = std::min(10, before.incident.nodes);
@@ -61,10 +61,13 @@
       "stale_acted=%d "
       "split_owners=%d lost_entries=%d doubled=%d lost=%d not_back=%d doubled_before=%d split_before=%d "
       "benefit_ratio=%.3f\n",
-      terms.incident.nodes, three.faults + five.faults, std::max(three.failover_p50_ms, five.failover_p50_ms),
+      options.incident.nodes, three.faults + five.faults,
+      std::max(three.failover_p50_ms, five.failover_p50_ms),
       std::max(three.failover_p99_ms, five.failover_p99_ms), three.stale_acted + five.stale_acted,
       three.split_owners + five.split_owners, three.lost_entries + five.lost_entries, doubled,
       three.lost + five.lost, three.not_back + five.not_back, alone.doubled, alone.split_owners,
-      untouched.benefit() > 0 ? std::min(three.benefit(), five.benefit()) / untouched.benefit() : 0);
+      untouched.priority_weight() > 0
+          ? std::min(three.priority_weight(), five.priority_weight()) / untouched.priority_weight()
+          : 0);
   return three.violations() + five.violations() > 0;
 }
--- a/measure/measure_agreement_sim.cpp
+++ b/measure/measure_agreement_sim.cpp
@@ -21,19 +21,19 @@
   int broken = 0;
   auto work = [&] {
     for (int at = next++; at < seeds; at = next++) {
-      rehearsal::WorldTerms terms;
-      terms.seed = static_cast<std::uint32_t>(first + at);
-      terms.instances = number(3, at % 2 ? 5 : 3);
-      terms.nodes = number(4, 6);
-      terms.proxies = number(5, 4);
-      terms.shard_digits = number(6, 1);
-      terms.fences = number(7, 1) != 0;
-      rehearsal::WorldResult one = rehearsal::World(terms).play();
+      rehearsal::WorldOptions options;
+      options.seed = static_cast<std::uint32_t>(first + at);
+      options.instances = number(3, at % 2 ? 5 : 3);
+      options.nodes = number(4, 6);
+      options.proxies = number(5, 4);
+      options.shard_digits = number(6, 1);
+      options.fences = number(7, 1) != 0;
+      rehearsal::WorldResult one = rehearsal::World(options).play();
       std::lock_guard lock(mutex);
       all.faults += one.faults;
       all.decisions += one.decisions;
       all.runs += one.runs;
-      all.denied += one.denied;
+      all.rejected += one.rejected;
       all.doubled += one.doubled;
       all.split_owners += one.split_owners;
       all.stale_acted += one.stale_acted;
@@ -55,10 +55,11 @@
   std::printf(
       "measured agreement_sim seeds=%d broken=%d faults=%d decisions=%llu runs=%llu denied=%llu doubled=%d "
       "split_owners=%d "
-      "stale_acted=%d lost_entries=%d wrong_drafts=%d not_back=%d refused_folders=%d releases=%d restarts=%d over=%d unpermitted=%d "
+      "stale_acted=%d lost_entries=%d wrong_drafts=%d not_back=%d refused_folders=%d releases=%d restarts=%d "
+      "over=%d unpermitted=%d "
       "bad_finished=%d\n",
       seeds, broken, all.faults, static_cast<unsigned long long>(all.decisions),
-      static_cast<unsigned long long>(all.runs), static_cast<unsigned long long>(all.denied), all.doubled,
+      static_cast<unsigned long long>(all.runs), static_cast<unsigned long long>(all.rejected), all.doubled,
       all.split_owners, all.stale_acted, all.lost_entries, all.wrong_drafts, all.not_back,
       all.refused_folders, all.releases, all.restarts, all.over, all.unpermitted, all.bad_finished);
   return broken > 0;
--- a/measure/measure_ready.cpp
+++ b/measure/measure_ready.cpp
@@ -1,4 +1,4 @@
-// 30 nodes killed and started again together: how soon they are ready, with the engine up at once and late,
+// 30 servers killed and started again together: how soon they are ready, with the engine up at once and late,
 // and with the membership service up and down.
 #include <algorithm>
 #include <cstdio>
--- a/measure/measure_releases.cpp
+++ b/measure/measure_releases.cpp
@@ -1,6 +1,6 @@
-// Releases among real nodes beside faults: make measure-releases. The same load and faults are played without
-// a release, with good and bad versions one after the other, and with restarts in fixed batches that nobody
-// agreed to. Arguments: NODES SEED SECONDS.
+// Releases among real servers beside faults: make measure-releases. The same load and faults are played
+// without a release, with good and bad versions one after the other, and with restarts in fixed batches that
+// nobody agreed to. Arguments: NODES SEED SECONDS.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -20,14 +20,14 @@
 constexpr double kStartAndWarm =
     1.6;  // seconds from a start to full service at best: start, cold engine, dwell, ramp
 
-void print(const char* what, const RigTerms& terms, const RigResult& result) {
+void print(const char* what, const RigOptions& options, const RigResult& result) {
   std::printf(
       "%-12s nodes %d faults %3d: offered %6d completed %.4f doubled %d lost %d drain violations %d crashed "
       "%d, out by "
       "choice at most %d of %d, of one service %d of %d, over %d, unpermitted %d, other violations %d%s%s\n",
-      what, terms.incident.nodes, result.faults, result.offered, result.benefit(), result.doubled,
-      result.lost, result.drain_violations, result.crashed, result.most_out, result.allowed,
-      result.below_most_out, result.below_allowed, result.over, result.unpermitted,
+      what, options.incident.nodes, result.faults, result.offered, result.priority_weight(), result.doubled,
+      result.lost, result.drain_violations, result.crashed, result.max_unavailable, result.allowed,
+      result.below_max_unavailable, result.below_allowed, result.over, result.unpermitted,
       result.split_owners + result.stale_acted + result.lost_entries + result.not_back,
       result.first.empty() ? "" : "; first ",
       (result.first + (result.folder.empty() ? "" : ", logs in " + result.folder)).c_str());
@@ -43,8 +43,8 @@
 
 int main(int count, char** words) {
   auto number = [&](int at, int otherwise) { return count > at ? std::atoi(words[at]) : otherwise; };
-  RigTerms terms;
-  Incident& incident = terms.incident;
+  RigOptions options;
+  Incident& incident = options.incident;
   incident.instances = 3;
   incident.nodes = number(1, 100);
   incident.proxies = 8;
@@ -55,27 +55,27 @@
   incident.faults_per_s = 0.3;
   incident.zones = 4;
   incident.services = 5;
-  incident.most_out = 0.1;
-  incident.service_most_out = 0.2;
-  terms.seed = static_cast<unsigned>(number(2, 1));
+  incident.max_unavailable = 0.1;
+  incident.service_max_unavailable = 0.2;
+  options.seed = static_cast<unsigned>(number(2, 1));
 
-  RigTerms without = terms;
+  RigOptions without = options;
   without.incident.length = std::min(25 * kSecond, incident.length);
   RigResult calm = play(without);
   print("no release", without, calm);
 
-  RigTerms plain = without;
+  RigOptions plain = without;
   plain.plain_batches = true;
   RigResult batches = play(plain);
   print("fixed batches", plain, batches);
 
-  constexpr Bad kInOrder[] = {Bad::kSlow,     Bad::kNone,   Bad::kLater,
-                              Bad::kOneGroup, Bad::kSilent, Bad::kUnderLoad};
+  constexpr Bad kInOrder[] = {Bad::kSlow,     Bad::kNone, Bad::kLater,
+                              Bad::kOneClass, Bad::kLost, Bad::kUnderLoad};
   int to = 2;
   for (Bad bad : kInOrder)
     incident.releases.push_back({.at = 2 * kSecond, .to = to++, .bad = bad, .by = to % 3});
-  RigResult agreed = play(terms);
-  print("agreed", terms, agreed);
+  RigResult agreed = play(options);
+  print("agreed", options, agreed);
 
   int bads = 0;
   int halted = 0;
@@ -85,8 +85,9 @@
   double time_ratio = 0;
   std::vector<double> back;
   double batch_s = static_cast<double>(incident.restart) / 1e9 + kStartAndWarm;
-  double shortest = std::ceil(incident.nodes / std::max(1.0, incident.most_out * incident.nodes)) * batch_s +
-                    4 * static_cast<double>(incident.soak) / 1e9;
+  double shortest =
+      std::ceil(incident.nodes / std::max(1.0, incident.max_unavailable * incident.nodes)) * batch_s +
+      4 * static_cast<double>(incident.soak) / 1e9;
   for (const ReleaseSeen& one : agreed.releases) {
     if (one.wanted.bad == Bad::kNone) {
       ++goods;
@@ -107,10 +108,11 @@
       "lost=%d "
       "doubled=%d drain_violations=%d benefit_ratio=%.3f time_ratio=%.2f benefit_plain=%.3f "
       "most_out_plain=%d\n",
-      incident.nodes, agreed.releases.size(), agreed.faults, agreed.most_out, agreed.allowed,
-      agreed.below_most_out, agreed.below_allowed, agreed.over, agreed.unpermitted, halted, bads, false_halts,
-      goods, reached, back.empty() ? 0 : back.back(), agreed.lost, agreed.doubled, agreed.drain_violations,
-      calm.benefit() > 0 ? agreed.benefit() / calm.benefit() : 0, time_ratio, batches.benefit(),
-      batches.most_out);
+      incident.nodes, agreed.releases.size(), agreed.faults, agreed.max_unavailable, agreed.allowed,
+      agreed.below_max_unavailable, agreed.below_allowed, agreed.over, agreed.unpermitted, halted, bads,
+      false_halts, goods, reached, back.empty() ? 0 : back.back(), agreed.lost, agreed.doubled,
+      agreed.drain_violations,
+      calm.priority_weight() > 0 ? agreed.priority_weight() / calm.priority_weight() : 0, time_ratio,
+      batches.priority_weight(), batches.max_unavailable);
   return agreed.violations() > 0 || halted < bads;
 }
--- a/measure/measure_routing.cpp
+++ b/measure/measure_routing.cpp
@@ -7,8 +7,8 @@
 int main() {
   using namespace myrtlecroft::measure;
   auto told = [](const char* what, const Figures& figures) {
-    std::printf("%s: benefit %.3f, completed %d of %d\n%s\n", what, figures.benefit, figures.completed,
-                figures.offered, figures.table.c_str());
+    std::printf("%s: benefit %.3f, completed %d of %d\n%s\n", what, figures.priority_weight,
+                figures.completed, figures.offered, figures.table.c_str());
   };
   Figures fixed = play({.instances = 0});
   told("even, static weights", fixed);
@@ -23,8 +23,11 @@
       "measured routing benefit_static=%.3f benefit_control=%.3f benefit_three=%.3f lost=%d doubled=%d "
       "drain_violations=%d half_applied=%d offered=%d completed_static=%d completed_control=%d "
       "completed_three=%d\n",
-      fixed.benefit, one.benefit, three.benefit, one.lost + three.lost, one.doubled + three.doubled,
-      one.drain_violations + three.drain_violations, one.half_applied + three.half_applied, one.offered,
-      fixed.completed, one.completed, three.completed);
-  return wrong(one) + wrong(three) == 0 && one.benefit > fixed.benefit && three.benefit > fixed.benefit ? 0 : 1;
+      fixed.priority_weight, one.priority_weight, three.priority_weight, one.lost + three.lost,
+      one.doubled + three.doubled, one.drain_violations + three.drain_violations,
+      one.half_applied + three.half_applied, one.offered, fixed.completed, one.completed, three.completed);
+  return wrong(one) + wrong(three) == 0 && one.priority_weight > fixed.priority_weight &&
+                 three.priority_weight > fixed.priority_weight
+             ? 0
+             : 1;
 }
--- a/measure/measure_slow.cpp
+++ b/measure/measure_slow.cpp
@@ -1,5 +1,5 @@
-// Slow callers of every kind beside a normal load near capacity: one node, a stand-in engine, real sockets.
-// Plays the normal load alone, with the slow callers, and with them against an earlier build of the node.
+// Slow callers of every kind beside a normal load near capacity: one server, a stand-in engine, real sockets.
+// Plays the normal load alone, with the slow callers, and with them against an earlier build of the server.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <netinet/tcp.h>
@@ -33,7 +33,7 @@
 constexpr double kWorkMs = 8;
 constexpr double kPerSecond = 440;  // of 500 that the cores can do
 constexpr int kConnections = 16;
-constexpr int kMostOpen = 32;
+constexpr int kMaxOpen = 32;
 constexpr Nanos kSlo = 300 * kMs;
 constexpr Nanos kTimeout = 2 * kSecond;
 constexpr Nanos kWarm = 4 * kSecond;
@@ -41,15 +41,15 @@
 constexpr int kMemoryMb = 192;
 
 struct Result {
-  double benefit = 0;
+  double priority_weight = 0;
   double p99_ms = 0;
   long rss_kb = 0;
   int lost = 0;
   int doubled = 0;
   int offered = 0;
-  int denied = 0;
+  int rejected = 0;
   int failed = 0;
-  int dropped = 0;    // slow callers' connections that the node ended
+  int dropped = 0;      // slow callers' connections that the server ended
   int turned_away = 0;  // normal callers' connections that it ended with nothing open
 };
 
@@ -63,7 +63,7 @@
 class SlowCaller {
  public:
   enum class Kind {
-    kSilent,
+    kLost,
     kStopsInHeader,
     kStopsInParameters,
     kStopsInBody,
@@ -81,7 +81,7 @@
   SlowCaller(Kind kind, int number, const sockaddr_in& to) : kind_(kind), number_(number), to_(to) {}
   ~SlowCaller() { close(false); }
 
-  // Does what it does; returns when to come again. `ended` counts connections that the node closed.
+  // Does what it does; returns when to come again. `ended` counts connections that the server closed.
   Nanos act(Nanos now, std::uint64_t& traces, int& ended) {
     if (socket_ < 0) return open(now, traces);
     pollfd look{.fd = socket_, .events = POLLRDHUP, .revents = 0};
@@ -101,7 +101,8 @@
       case Kind::kReadsNothing:
       case Kind::kReadsByteByByte: {
         char byte;
-        if (kind_ == Kind::kReadsByteByByte && recv(socket_, &byte, 1, MSG_DONTWAIT) < 0) return now + 200 * kMs;
+        if (kind_ == Kind::kReadsByteByByte && recv(socket_, &byte, 1, MSG_DONTWAIT) < 0)
+          return now + 200 * kMs;
         if (sent_ == bytes_.size()) fill(traces);
         send(bytes_.size());
         return now + 200 * kMs;
@@ -137,7 +138,8 @@
     if (narrow) setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &few, sizeof few);
     int yes = 1;
     setsockopt(socket_, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
-    if (::connect(socket_, reinterpret_cast<const sockaddr*>(&to_), sizeof to_) != 0 && errno != EINPROGRESS) {
+    if (::connect(socket_, reinterpret_cast<const sockaddr*>(&to_), sizeof to_) != 0 &&
+        errno != EINPROGRESS) {
       close(false);
       return now + kSecond;
     }
@@ -185,10 +187,10 @@
                               .key = hex(trace) + hex(trace)};
     fields.body = "claim " + fields.key + " 0 0 4000";
     body_ = fields.body.size();
-    bytes_ = standin::cgi_request(fields, 1 + next_id_++ % kMostOpen, true);
+    bytes_ = standin::cgi_request(fields, 1 + next_id_++ % kMaxOpen, true);
   }
-  void send(std::size_t most) {
-    std::size_t size = std::min(most, bytes_.size() - sent_);
+  void send(std::size_t max) {
+    std::size_t size = std::min(max, bytes_.size() - sent_);
     ssize_t sent = ::send(socket_, bytes_.data() + sent_, size, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent > 0) sent_ += static_cast<std::size_t>(sent);
   }
@@ -231,7 +233,8 @@
     to_ = net::loopback(static_cast<std::uint16_t>(port_));
     for (int i = 0; i < slow; ++i) {
       // Of a hundred, one floods: it is held back by what it leaves unread, not by being one of many.
-      int kind = i % 100 == 0 ? static_cast<int>(SlowCaller::Kind::kFloods) : i % static_cast<int>(SlowCaller::Kind::kCount);
+      int kind = i % 100 == 0 ? static_cast<int>(SlowCaller::Kind::kFloods)
+                              : i % static_cast<int>(SlowCaller::Kind::kCount);
       if (kind == static_cast<int>(SlowCaller::Kind::kFloods) && i % 100) kind = 0;
       slow_.push_back(std::make_unique<SlowCaller>(static_cast<SlowCaller::Kind>(kind), i, to_));
     }
@@ -264,11 +267,12 @@
   class Kept final : public net::ConnectionOwner {
    public:
     explicit Kept(Play& play) : play_(play) {}
-    bool can() const { return up_ && open_.size() < kMostOpen; }
+    bool can() const { return up_ && open_.size() < kMaxOpen; }
     std::size_t load() const { return open_.size(); }
     void connect() {
       if (connection_) return;
-      connection_ = std::make_unique<net::Connection>(play_.loop_.base(), play_.to_, *this, play_.log_, "normal");
+      connection_ =
+          std::make_unique<net::Connection>(play_.loop_.base(), play_.to_, *this, play_.log_, "normal");
     }
     void send(const standin::CgiFields& fields, bool counts) {
       int id = 1;
@@ -306,7 +310,8 @@
   };
 
   void start_node() {
-    std::string times = R"(,"goalTimeNs":)" + std::to_string(kSlo) + R"(,"hardLimitNs":)" + std::to_string(kTimeout);
+    std::string times =
+        R"(,"goalTimeNs":)" + std::to_string(kSlo) + R"(,"hardLimitNs":)" + std::to_string(kTimeout);
     std::string window = times + R"(,"dedupWindowNs":5000000000})";
     standin::write_node_config(
         folder_ + "/node.json",
@@ -315,10 +320,11 @@
          .database = database_.port(),
          .memory_mb = kMemoryMb,
          .descriptors = descriptors_,
-         .groups = R"({"name":"look-up","effect":"idempotent","gain":1)" + times +
-                   R"(},{"name":"booking","effect":"deduplicated","gain":1)" + window +
-                   R"(,{"name":"claim","effect":"deduplicated","gain":0.02)" + window,
-         .family = R"("nCores":)" + std::to_string(kCores) + R"(,"ramKb":400000,"blowup":8,"keyKb":4,"idleNs":30000000000)"});
+         .request_classes = R"({"name":"look-up","effect":"idempotent","gain":1)" + times +
+                            R"(},{"name":"booking","effect":"deduplicated","gain":1)" + window +
+                            R"(,{"name":"claim","effect":"deduplicated","gain":0.02)" + window,
+         .family = R"("nCores":)" + std::to_string(kCores) +
+                   R"(,"ramKb":400000,"blowup":8,"keyKb":4,"idleNs":30000000000)"});
     node_ = standin::Child({program_}, folder_ + "/node.log", {{"LB_CONFIG", folder_ + "/node.json"}});
     for (int i = 0; i < kConnections; ++i) kept_.push_back(std::make_unique<Kept>(*this));
   }
@@ -349,7 +355,8 @@
     tick_.set(2 * kMs);
     for (auto& kept : kept_) kept->connect();
     while (next_ <= now && now < begun_ + kWarm + kMeasured) {
-      next_ += static_cast<Nanos>(-std::log(1 - std::generate_canonical<double, 32>(random_)) / kPerSecond * 1e9);
+      next_ +=
+          static_cast<Nanos>(-std::log(1 - std::generate_canonical<double, 32>(random_)) / kPerSecond * 1e9);
       send_normal(now >= begun_ + kWarm);
     }
     result_.rss_kb = std::max(result_.rss_kb, node_.resident_kb());
@@ -383,9 +390,9 @@
     Nanos took = loop_.now() - sent.at;
     if (sent.answer.starts_with("Status: 200")) {
       took_.push_back(static_cast<double>(took) / 1e6);
-      if (took <= kSlo) result_.benefit += 1;
+      if (took <= kSlo) result_.priority_weight += 1;
     } else if (protocol == 2 || sent.answer.starts_with("Status: 503")) {
-      ++result_.denied;
+      ++result_.rejected;
     } else {
       ++result_.failed;
     }
@@ -397,9 +404,10 @@
 
   void finish() {
     for (auto& kept : kept_) result_.lost += static_cast<int>(kept->load());
-    if (result_.offered) result_.benefit /= result_.offered;
+    if (result_.offered) result_.priority_weight /= result_.offered;
     std::sort(took_.begin(), took_.end());
-    if (!took_.empty()) result_.p99_ms = took_[static_cast<std::size_t>(0.99 * static_cast<double>(took_.size() - 1))];
+    if (!took_.empty())
+      result_.p99_ms = took_[static_cast<std::size_t>(0.99 * static_cast<double>(took_.size() - 1))];
   }
 
   std::string program_;
@@ -426,17 +434,19 @@
 
 Result play(const char* what, const std::string& program, int slow, int descriptors) {
   Result result = Play(program, slow, descriptors).run();
-  std::printf("%-14s offered %d benefit %.4f p99 %.1f ms denied %d failed %d lost %d doubled %d, slow ended %d, "
-              "normal ended %d, node %ld kB\n",
-              what, result.offered, result.benefit, result.p99_ms, result.denied, result.failed, result.lost,
-              result.doubled, result.dropped, result.turned_away, result.rss_kb);
+  std::printf(
+      "%-14s offered %d benefit %.4f p99 %.1f ms denied %d failed %d lost %d doubled %d, slow ended %d, "
+      "normal ended %d, node %ld kB\n",
+      what, result.offered, result.priority_weight, result.p99_ms, result.rejected, result.failed,
+      result.lost, result.doubled, result.dropped, result.turned_away, result.rss_kb);
   std::fflush(stdout);
   return result;
 }
 
 }  // namespace
 
-// Arguments: the node of an earlier version (none: not compared), how many slow callers, how many descriptors.
+// Arguments: the server of an earlier version (none: not compared), how many slow callers, how many
+// descriptors.
 int main(int argc, char** argv) {
   rlimit files{};
   getrlimit(RLIMIT_NOFILE, &files);
@@ -449,10 +459,11 @@
   Result mixed = play("mixed", MYRTLECROFT_PROGRAM, peers, descriptors);
   Result earlier;
   if (!before.empty()) earlier = play("mixed, before", before, peers, descriptors);
-  std::printf("measured slow peers=%d alone=%.4f mixed=%.4f mixed_before=%.4f p99_ratio=%.3f rss_kb_max=%ld "
-              "lost=%d doubled=%d limit_kb=%d p99_before_ratio=%.3f\n",
-              peers, alone.benefit, mixed.benefit, earlier.benefit, mixed.p99_ms / alone.p99_ms,
-              std::max(alone.rss_kb, mixed.rss_kb), alone.lost + mixed.lost, alone.doubled + mixed.doubled,
-              kMemoryMb * 1024, earlier.p99_ms / alone.p99_ms);
+  std::printf(
+      "measured slow peers=%d alone=%.4f mixed=%.4f mixed_before=%.4f p99_ratio=%.3f rss_kb_max=%ld "
+      "lost=%d doubled=%d limit_kb=%d p99_before_ratio=%.3f\n",
+      peers, alone.priority_weight, mixed.priority_weight, earlier.priority_weight,
+      mixed.p99_ms / alone.p99_ms, std::max(alone.rss_kb, mixed.rss_kb), alone.lost + mixed.lost,
+      alone.doubled + mixed.doubled, kMemoryMb * 1024, earlier.p99_ms / alone.p99_ms);
   return 0;
 }
--- a/measure/measure_store.cpp
+++ b/measure/measure_store.cpp
@@ -1,6 +1,6 @@
-// What the store costs and keeps, on files: appends with shared syncs, recovery of a gigabyte with and without
-// hints, commits beside compaction, and kills at random moments. Beside it, as the baseline, a plain log with one
-// sync for each append and a full scan at the start.
+// What the store costs and keeps, on files: appends with shared syncs, recovery of a gigabyte with and
+// without hints, commits beside compaction, and kills at random moments. Beside it, as the baseline, a plain
+// log with one sync for each append and a full scan at the start.
 #include <fcntl.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -26,14 +26,14 @@
 #include "../standin/node_config.h"
 #include "net/address.h"
 #include "recovery/run_records.h"
-#include "store/committer.h"
 #include "store/file_disk.h"
+#include "store/group_committer.h"
 
 namespace {
 
 using namespace myrtlecroft;
 using namespace myrtlecroft::store;
-using recovery::Effect;
+using recovery::Idempotency;
 using recovery::Input;
 using recovery::RunRecords;
 
@@ -63,24 +63,25 @@
   double sync_per_append = 0;
   double amplification = 0;
 };
-Load load(const std::string& folder, int width, std::size_t bytes, Nanos how_long, Nanos window, bool compacting) {
+Load load(const std::string& folder, int width, std::size_t bytes, Nanos how_long, Nanos window,
+          bool compacting) {
   FileDisk disk(folder);
-  StoreTerms terms{.segment_bytes = std::size_t{8} << 20};
-  if (!compacting) terms.dead_share = 2, terms.most_small = 1'000'000;
-  Store store(disk, terms, steady, 1);
+  StoreOptions options{.segment_bytes = std::size_t{8} << 20};
+  if (!compacting) options.dead_share = 2, options.max_small = 1'000'000;
+  Store store(disk, options, steady, 1);
   store.open();
   std::vector<double> took;
   std::uint64_t done = 0;
   Totals before = store.totals();
   {
     std::atomic<bool> woken = false;
-    Committer committer(store, {}, steady, [&] { woken = true; });
+    GroupCommitter committer(store, {}, steady, [&] { woken = true; });
     Nanos begun = steady();
     std::mt19937 random(3);
     std::function<void(int)> put = [&](int slot) {
       Nanos since = steady();
-      committer.put("key" + std::to_string(compacting ? random() % 20'000 : done), std::string(bytes, 'v'), window,
-                    [&, slot, since](bool durable) {
+      committer.put("key" + std::to_string(compacting ? random() % 20'000 : done), std::string(bytes, 'v'),
+                    window, [&, slot, since](bool durable) {
                       if (durable) ++done;
                       took.push_back(static_cast<double>(steady() - since) / 1e6);
                       if (steady() - begun < how_long) put(slot);
@@ -100,8 +101,10 @@
   const Totals& totals = store.totals();
   out.per_second = static_cast<double>(done) / (static_cast<double>(how_long) / 1e9);
   out.p99_ms = quantile(took, 0.99);
-  out.sync_per_append = static_cast<double>(totals.syncs - before.syncs) / static_cast<double>(std::max<std::uint64_t>(done, 1));
-  out.amplification = static_cast<double>(totals.written) / static_cast<double>(std::max<std::uint64_t>(totals.appended, 1));
+  out.sync_per_append = static_cast<double>(totals.syncs - before.syncs) /
+                        static_cast<double>(std::max<std::uint64_t>(done, 1));
+  out.amplification =
+      static_cast<double>(totals.written) / static_cast<double>(std::max<std::uint64_t>(totals.appended, 1));
   return out;
 }
 
@@ -154,7 +157,9 @@
   std::uint64_t done = 0;
   for (Nanos begun = steady(); steady() - begun < how_long; ++done) {
     std::string record;
-    append_record(record, {.sequence = done + 1, .window = kLong, .key = "key" + std::to_string(done), .value = value}, 0, 0);
+    append_record(
+        record, {.sequence = done + 1, .window = kLong, .key = "key" + std::to_string(done), .value = value},
+        0, 0);
     if (::write(file, record.data(), record.size()) < 0 || ::fdatasync(file) != 0) return -1;
   }
   ::close(file);
@@ -162,7 +167,12 @@
   file = ::open(path.c_str(), O_WRONLY | O_TRUNC, 0600);
   std::string chunk;
   for (std::uint64_t i = 0; i < 1'000'000; ++i) {
-    append_record(chunk, {.sequence = i + 1, .window = kLong, .key = "key" + std::to_string(i), .value = std::string(1'000, 'v')}, 0, 0);
+    append_record(chunk,
+                  {.sequence = i + 1,
+                   .window = kLong,
+                   .key = "key" + std::to_string(i),
+                   .value = std::string(1'000, 'v')},
+                  0, 0);
     if (chunk.size() > (std::size_t{1} << 22) || i + 1 == 1'000'000) {
       if (::write(file, chunk.data(), chunk.size()) < 0) return -1;
       chunk.clear();
@@ -193,9 +203,9 @@
 
 // ---- Kills
 
-// One life: takes keys from 1 up, writes intents, "runs" by a line on the pipe, writes outcomes. What its callers
-// were told goes over the pipe as well. It lives until it is killed.
-[[noreturn]] void life(const std::string& folder, int out, unsigned seed, int keys) {
+// One life: takes keys from 1 up, writes intents, "runs" by a line on the pipe, writes outcomes. What its
+// callers were told goes over the pipe as well. It lives until it is killed.
+[[noreturn]] void incarnation(const std::string& folder, int out, unsigned seed, int keys) {
   FileDisk disk(folder);
   Store store(disk, {.segment_bytes = 200'000}, steady, seed);
   store.open();
@@ -206,14 +216,14 @@
     if (::write(out, line.data(), line.size()) < 0) ::_exit(1);
   };
   std::atomic<bool> woken = false;
-  Committer committer(store, {}, steady, [&] { woken = true; });
+  GroupCommitter committer(store, {}, steady, [&] { woken = true; });
   std::mt19937 random(seed);
   tell('S', "");
   std::function<void(const std::string&)> want = [&](const std::string& key) {
     switch (records.take(key, Input::kWanted, kLong)) {
-      case Effect::kIntend:
+      case Idempotency::kIntend:
         committer.put(key, records.record_of(key), kLong, [&, key](bool durable) {
-          if (records.take(key, durable ? Input::kDurable : Input::kLost) != Effect::kRun) return;
+          if (records.take(key, durable ? Input::kDurable : Input::kLost) != Idempotency::kRun) return;
           tell('R', key);  // its effect
           records.take(key, Input::kEndedWell, 0, "of " + key);
           committer.put(key, records.record_of(key), kLong, [&, key](bool kept) {
@@ -221,10 +231,10 @@
           });
         });
         return;
-      case Effect::kAnswer:
+      case Idempotency::kAnswer:
         tell(records.find(key)->result == "of " + key ? 'A' : 'X', key);
         return;
-      case Effect::kTerminate:
+      case Idempotency::kTerminate:
         tell('T', key);
         return;
       default:
@@ -248,7 +258,7 @@
     pid_t child = ::fork();
     if (child == 0) {
       ::close(ends[0]);
-      life(folder, ends[1], 100 + static_cast<unsigned>(i), 400 * (i / 4 + 1));
+      incarnation(folder, ends[1], 100 + static_cast<unsigned>(i), 400 * (i / 4 + 1));
     }
     ::close(ends[1]);
     std::string text;
@@ -269,7 +279,8 @@
     ::kill(child, SIGKILL);
     ::waitpid(child, nullptr, 0);
     fcntl(ends[0], F_SETFL, 0);
-    for (ssize_t got; (got = ::read(ends[0], buffer, sizeof buffer)) > 0;) text.append(buffer, static_cast<std::size_t>(got));
+    for (ssize_t got; (got = ::read(ends[0], buffer, sizeof buffer)) > 0;)
+      text.append(buffer, static_cast<std::size_t>(got));
     ::close(ends[0]);
     for (std::size_t at = 0, end; (end = text.find('\n', at)) != std::string::npos; at = end + 1) {
       std::string key = text.substr(at + 1, end - at - 1);
@@ -282,7 +293,7 @@
   for (const auto& [key, times] : ran) runs += times;
 }
 
-// ---- The whole node killed under load, with a stand-in engine that counts what runs
+// ---- The whole server killed under load, with a stand-in engine that counts what runs
 
 class NodeKills {
  public:
@@ -290,7 +301,7 @@
     int kills = 0;
     int runs = 0;
     int doubled = 0;
-    int denied_after_run = 0;
+    int rejected_after_run = 0;
     int answered_again = 0;  // from a record, with no run in this life
     int terminated = 0;
   };
@@ -301,15 +312,17 @@
         database_(loop_, log_),
         tick_(loop_.base(), [this] { tick(); }) {
     port_ = 26'000 + static_cast<int>(::getpid()) % 5'000;
-    std::ofstream(folder_ + "/node.conf") << "version = 1; store = { folder = \"" << folder_ << "/store\"; };\n";
+    std::ofstream(folder_ + "/node.conf")
+        << "version = 1; store = { folder = \"" << folder_ << "/store\"; };\n";
     standin::write_node_config(
         folder_ + "/node.json",
         {.port = port_,
          .engine = engine_.port(),
          .database = database_.port(),
          .descriptors = 256,
-         .groups = R"({"name":"booking","effect":"deduplicated","gain":1,"goalTimeNs":400000000,"hardLimitNs":1500000000,)"
-                   R"("dedupWindowNs":600000000000})",
+         .request_classes =
+             R"({"name":"booking","effect":"deduplicated","gain":1,"goalTimeNs":400000000,"hardLimitNs":1500000000,)"
+             R"("dedupWindowNs":600000000000})",
          .family = R"("nCores":4,"ramKb":400000,"blowup":8,"keyKb":0.1,"idleNs":30000000000)"});
   }
 
@@ -318,8 +331,9 @@
       ran_here_.clear();
       keys_ = 60 * (i / 3 + 1);
       engine_.restart(0);
-      standin::Child node({MYRTLECROFT_PROGRAM}, folder_ + "/node.log",
-                          {{"LB_CONFIG", folder_ + "/node.json"}, {"MYRTLECROFT_SETTINGS", folder_ + "/node.conf"}});
+      standin::Child node(
+          {MYRTLECROFT_PROGRAM}, folder_ + "/node.log",
+          {{"LB_CONFIG", folder_ + "/node.json"}, {"MYRTLECROFT_SETTINGS", folder_ + "/node.conf"}});
       first_answer_ = 0;
       last_ = static_cast<Nanos>(random_() % 120'000) * 1'000;
       begun_ = loop_.now();
@@ -340,7 +354,8 @@
  private:
   class Caller final : public net::ConnectionOwner {
    public:
-    explicit Caller(NodeKills& all) : all_(all), connection_(all.loop_.base(), all.address(), *this, all.log_, "caller") {}
+    explicit Caller(NodeKills& all)
+        : all_(all), connection_(all.loop_.base(), all.address(), *this, all.log_, "caller") {}
     void opened(net::Connection&) override { up_ = true; }
     std::size_t came(net::Connection&, std::string_view bytes) override {
       return standin::each_cgi_record(bytes, [this](std::uint8_t type, int id, std::string_view content) {
@@ -357,8 +372,12 @@
       int id = 1;
       while (open_.contains(id)) ++id;
       open_[id] = key;
-      standin::CgiFields fields{.path = "/api/v2/booking", .trace = trace, .accepted_unix = net::Loop::unix_now(), .wait = 1500 * kMs,
-                                .key = key, .body = "booking " + key + " 2 0"};
+      standin::CgiFields fields{.path = "/api/v2/booking",
+                                .trace = trace,
+                                .accepted_unix = net::Loop::unix_now(),
+                                .wait = 1500 * kMs,
+                                .key = key,
+                                .body = "booking " + key + " 2 0"};
       connection_.write(standin::cgi_request(fields, id, true));
     }
 
@@ -381,7 +400,8 @@
     if (!caller_) caller_ = std::make_unique<Caller>(*this);
     for (int i = 0; i < 2; ++i) {
       char key[17];
-      std::snprintf(key, sizeof key, "%016x", 1 + static_cast<unsigned>(random_()) % static_cast<unsigned>(keys_));
+      std::snprintf(key, sizeof key, "%016x",
+                    1 + static_cast<unsigned>(random_()) % static_cast<unsigned>(keys_));
       caller_->send(key, ++traces_);
     }
   }
@@ -395,7 +415,7 @@
     if (answer.starts_with("Status: 200")) {
       figures_.answered_again += ran_before;
     } else if (answer.starts_with("Status: 503")) {
-      figures_.denied_after_run += ran_.contains(key);
+      figures_.rejected_after_run += ran_.contains(key);
     } else {
       ++figures_.terminated;
     }
@@ -440,29 +460,32 @@
     Folder folder(base);
     node = NodeKills(folder.path).run(kill_count);
   }
-  std::printf("the node killed %d times: runs %d, doubled %d, denied after a run %d; answered from a record %d, terminated %d\n",
-              node.kills, node.runs, node.doubled, node.denied_after_run, node.answered_again, node.terminated);
+  std::printf(
+      "the node killed %d times: runs %d, doubled %d, denied after a run %d; answered from a record %d, "
+      "terminated %d\n",
+      node.kills, node.runs, node.doubled, node.rejected_after_run, node.answered_again, node.terminated);
   Load quiet;
   Load busy;
   {
     Folder folder(base);
     quiet = load(folder.path, 256, 500, 5 * kSecond, kLong, false);
   }
-  std::printf("appends without compaction: %.0f a second, p99 %.2f ms, %.4f syncs each\n", quiet.per_second, quiet.p99_ms,
-              quiet.sync_per_append);
+  std::printf("appends without compaction: %.0f a second, p99 %.2f ms, %.4f syncs each\n", quiet.per_second,
+              quiet.p99_ms, quiet.sync_per_append);
   {
     Folder folder(base);
     busy = load(folder.path, 256, 500, 5 * kSecond, 3 * kSecond, true);
   }
-  std::printf("with compaction (20,000 keys over and over): %.0f a second, p99 %.2f ms, amplification %.2f\n", busy.per_second,
-              busy.p99_ms, busy.amplification);
+  std::printf("with compaction (20,000 keys over and over): %.0f a second, p99 %.2f ms, amplification %.2f\n",
+              busy.per_second, busy.p99_ms, busy.amplification);
   double plain_recover = 0;
   double plain = 0;
   {
     Folder folder(base);
     plain = plain_log(folder.path, 500, 3 * kSecond, plain_recover);
   }
-  std::printf("baseline, a plain log: %.0f appends a second, a gigabyte read in %.2f s\n", plain, plain_recover);
+  std::printf("baseline, a plain log: %.0f appends a second, a gigabyte read in %.2f s\n", plain,
+              plain_recover);
   double by_hint = 0;
   double by_scan = 0;
   {
@@ -470,11 +493,14 @@
     recovery_of_a_gigabyte(folder.path, by_hint, by_scan);
   }
   std::printf("a gigabyte: by hints %.2f s, read %.2f s\n", by_hint, by_scan);
-  std::printf("measured store recover_1gb_s=%.2f recover_scan_1gb_s=%.2f appends_per_s=%.0f commit_p99_ms=%.2f sync_per_append=%.4f "
-              "write_amplification=%.2f compaction_p99_ratio=%.2f kills=%d doubled=%d lost=%d baseline_appends_per_s=%.0f "
-              "baseline_recover_1gb_s=%.2f\n",
-              by_hint, by_scan, quiet.per_second, quiet.p99_ms, quiet.sync_per_append, busy.amplification,
-              busy.p99_ms / quiet.p99_ms, kill_count + node.kills, doubled + node.doubled, lost + node.denied_after_run, plain,
-              plain_recover);
-  return doubled || lost || node.doubled || node.denied_after_run;
+  std::printf(
+      "measured store recover_1gb_s=%.2f recover_scan_1gb_s=%.2f appends_per_s=%.0f commit_p99_ms=%.2f "
+      "sync_per_append=%.4f "
+      "write_amplification=%.2f compaction_p99_ratio=%.2f kills=%d doubled=%d lost=%d "
+      "baseline_appends_per_s=%.0f "
+      "baseline_recover_1gb_s=%.2f\n",
+      by_hint, by_scan, quiet.per_second, quiet.p99_ms, quiet.sync_per_append, busy.amplification,
+      busy.p99_ms / quiet.p99_ms, kill_count + node.kills, doubled + node.doubled,
+      lost + node.rejected_after_run, plain, plain_recover);
+  return doubled || lost || node.doubled || node.rejected_after_run;
 }
--- a/measure/measure_xds.cpp
+++ b/measure/measure_xds.cpp
@@ -1,6 +1,6 @@
 // How quickly a change reaches every proxy, and what it costs: one control service, or three instances that
-// decide as one (INSTANCES, the argument), many proxy streams, half of them delta, each on a connection of its
-// own; changes one after another and in bursts.
+// decide as one (INSTANCES, the argument), many proxy streams, half of them delta, each on a connection of
+// its own; changes one after another and in bursts.
 #include <malloc.h>
 #include <sys/resource.h>
 
@@ -12,7 +12,7 @@
 #include "../standin/ads_link.h"
 #include "../standin/control_fleet.h"
 #include "../tests/control_harness.h"
-#include "control/ask.h"
+#include "control/admin_client.h"
 #include "discovery.pb.h"
 #include "xds/session_table.h"
 #include "xds/wire.h"
@@ -185,7 +185,7 @@
   std::vector<std::unique_ptr<control::Reporters>> reporters;
   for (const auto& place : fleet.all())
     reporters.push_back(std::make_unique<control::Reporters>(static_cast<std::uint16_t>(place.reports)));
-  auto say = [&](const std::string& node, const std::function<void(report::NodeReport&)>& change) {
+  auto say = [&](const std::string& node, const std::function<void(report::LoadReport&)>& change) {
     for (auto& one : reporters) one->set(node, change);
   };
   for (int i = 1; i <= kNodes; ++i) {
@@ -193,7 +193,9 @@
       one->add("n" + std::to_string(i),
                "127.0.0." + std::to_string(2 + i / 250) + ":" + std::to_string(20'000 + i));
   }
-  auto admin = [&](const char* question) { return control::ask(control::loopback(static_cast<std::uint16_t>(fleet[0].admin)), question); };
+  auto admin = [&](const char* question) {
+    return control::ask(control::loopback(static_cast<std::uint16_t>(fleet[0].admin)), question);
+  };
   control::await(
       [&] {
         try {
@@ -235,10 +237,10 @@
 
   double cpu = control.cpu_ms();
   auto published = admin("nodes").published();
-  auto change = [&](int node, bool leaving) {
+  auto change = [&](int node, bool draining) {
     std::string name = "n" + std::to_string(node);
-    watch.begin(name, !leaving);
-    say(name, [&](auto& report) { report.leaving = leaving; });
+    watch.begin(name, !draining);
+    say(name, [&](auto& report) { report.draining = draining; });
     if (!control::await([&] { return watch.done(); }, 10'000))
       std::printf("change of %s not everywhere\n", name.c_str());
   };
@@ -248,7 +250,7 @@
   double p99 = quantile(watch.took, 0.99);
   for (int burst = 0; burst < kBursts; ++burst) {
     for (int i = 0; i < kBurst - 1; ++i) {
-      say("n" + std::to_string(200 + i), [&](auto& report) { report.leaving = burst % 2 == 0; });
+      say("n" + std::to_string(200 + i), [&](auto& report) { report.draining = burst % 2 == 0; });
     }
     change(200 + kBurst, burst % 2 == 0);
   }
@@ -268,9 +270,11 @@
   links.clear();
   for (auto& place : fleet.all()) place.process.end(SIGTERM);
   std::printf(
-      "measured xds instances=%d proxies=%d endpoints=%d converge_p50_ms=%.0f converge_p99_ms=%.0f half_applied=%d "
+      "measured xds instances=%d proxies=%d endpoints=%d converge_p50_ms=%.0f converge_p99_ms=%.0f "
+      "half_applied=%d "
       "bytes_ratio_delta_sotw=%.3f rss_kb_per_proxy=%ld cpu_ms_per_push=%.1f converge_burst_p99_ms=%.0f "
       "push_shared_ms=%.2f push_serialised_each_ms=%.2f\n",
-      instances, kProxies, kNodes, p50, p99, half, ratio, per_proxy, cpu, quantile(bursts, 0.99), shared_ms, each_ms);
+      instances, kProxies, kNodes, p50, p99, half, ratio, per_proxy, cpu, quantile(bursts, 0.99), shared_ms,
+      each_ms);
   return half == 0 && p99 < 2000 ? 0 : 1;
 }
--- a/measure/operator.cpp
+++ b/measure/operator.cpp
@@ -2,14 +2,14 @@
 
 #include <chrono>
 
-#include "control/ask.h"
+#include "control/admin_client.h"
 #include "net/address.h"
 
 namespace myrtlecroft::rehearsal {
 namespace {
 
 constexpr auto kLookEvery = std::chrono::milliseconds(100);
-constexpr int kMostTries = 40;
+constexpr int kMaxTries = 40;
 
 }  // namespace
 
@@ -57,7 +57,7 @@
         wanted_.pop_front();
       }
     }
-    for (int tried = 0; next.first >= 0 && tried < kMostTries; ++tried) {
+    for (int tried = 0; next.first >= 0 && tried < kMaxTries; ++tried) {
       if (try_to_say(next.first + tried, next.second)) break;
       std::unique_lock lock(mutex_);
       if (more_.wait_for(lock, kLookEvery, [this] { return ending_; })) return;
--- a/measure/ready.cpp
+++ b/measure/ready.cpp
@@ -25,7 +25,7 @@
 namespace {
 
 constexpr Nanos kBefore = 2 * kSecond;    // from the first start to the kill
-constexpr Nanos kLongest = 20 * kSecond;  // that a node is waited for
+constexpr Nanos kLongest = 20 * kSecond;  // that a server is waited for
 constexpr Nanos kTick = 5 * kMs;
 constexpr Nanos kPatience = 2 * kSecond;  // of callers
 constexpr int kCores = 4;
@@ -34,7 +34,7 @@
 // One request on a connection of its own.
 class Ask final : public net::ConnectionOwner {
  public:
-  Ask(net::Loop& loop, service::LogPort& log, int port, const standin::CgiFields& fields)
+  Ask(net::Loop& loop, service::Logger& log, int port, const standin::CgiFields& fields)
       : request_(standin::cgi_request(fields)),
         connection_(loop.base(), net::loopback(static_cast<std::uint16_t>(port)), *this, log, "ask") {}
   void opened(net::Connection& connection) override {
@@ -70,8 +70,8 @@
 
 class Play {
  public:
-  explicit Play(const ReadyTerms& terms)
-      : terms_(terms),
+  explicit Play(const ReadyOptions& options)
+      : options_(options),
         database_(loop_, log_),
         tick_(loop_.base(), [this] { tick(); }),
         members_(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
@@ -82,8 +82,8 @@
     ::bind(members_, reinterpret_cast<sockaddr*>(&address), size);
     ::getsockname(members_, reinterpret_cast<sockaddr*>(&address), &size);
     int members = ntohs(address.sin_port);
-    if (!terms.membership) ::close(std::exchange(members_, -1));
-    for (int i = 0; i < terms.nodes; ++i) {
+    if (!options.membership) ::close(std::exchange(members_, -1));
+    for (int i = 0; i < options.nodes; ++i) {
       Node& node = nodes_.emplace_back();
       std::string name = "n" + std::to_string(i);
       node.engine =
@@ -98,8 +98,8 @@
            .engine = node.engine->port(),
            .database = database_.port(),
            .members = members,
-           .groups = R"({"name":"look-up","effect":"idempotent","gain":1,"goalTimeNs":500000000,)"
-                     R"("hardLimitNs":2000000000})",
+           .request_classes = R"({"name":"look-up","effect":"idempotent","gain":1,"goalTimeNs":500000000,)"
+                              R"("hardLimitNs":2000000000})",
            .family = R"("nCores":4,"ramKb":400000,"blowup":8)"});
     }
   }
@@ -123,7 +123,7 @@
       if (!node.ready_at) continue;
       double took = static_cast<double>(node.ready_at - node.exec_at) / 1e6;
       result_.ready_ms.push_back(took);
-      result_.own_ms.push_back(std::max(0.0, took - static_cast<double>(terms_.engine_after) / 1e6));
+      result_.own_ms.push_back(std::max(0.0, took - static_cast<double>(options_.engine_after) / 1e6));
     }
     std::sort(result_.ready_ms.begin(), result_.ready_ms.end());
     std::sort(result_.own_ms.begin(), result_.own_ms.end());
@@ -142,7 +142,7 @@
   void kill_all() {
     for (Node& node : nodes_) node.child.signal(SIGKILL);
     for (Node& node : nodes_) node.child.wait();
-    for (Node& node : nodes_) start(node, terms_.engine_after);
+    for (Node& node : nodes_) start(node, options_.engine_after);
     killed_ = true;
   }
 
@@ -162,7 +162,7 @@
       all = all && node.ready_at;
     }
     load(now);
-    if (all || (killed_ && now >= kill_at_ + terms_.engine_after + kLongest)) loop_.stop();
+    if (all || (killed_ && now >= kill_at_ + options_.engine_after + kLongest)) loop_.stop();
   }
 
   void load(Nanos now) {
@@ -171,7 +171,7 @@
       load_.pop_front();
     }
     if (next_ == 0) next_ = now;
-    for (; next_ <= now; next_ += static_cast<Nanos>(1e9 / terms_.per_second)) {
+    for (; next_ <= now; next_ += static_cast<Nanos>(1e9 / options_.per_second)) {
       standin::CgiFields fields{.path = "/api/v2/look-up",
                                 .trace = ++traces_,
                                 .accepted_unix = net::Loop::unix_now(),
@@ -182,7 +182,7 @@
     }
   }
 
-  ReadyTerms terms_;
+  ReadyOptions options_;
   standin::NoLog log_;
   net::Loop loop_;
   standin::Database database_;
@@ -206,6 +206,6 @@
   return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
 }
 
-ReadyResult play_ready(const ReadyTerms& terms) { return Play(terms).run(); }
+ReadyResult play_ready(const ReadyOptions& options) { return Play(options).run(); }
 
 }  // namespace myrtlecroft::measure
