--- a/measure/rehearsal.cpp
+++ b/measure/rehearsal.cpp
@@ -33,7 +33,7 @@
 struct GroupOf {
   const char* name;
   double share;
-  double benefit;
+  double priority_weight;
   double work_ms;
   bool keyed;
   int calls;
@@ -45,10 +45,7 @@
 class Rehearsal {
  public:
   explicit Rehearsal(const Play& play)
-      : play_(play),
-        random_(play.seed),
-        database_(loop_, log_),
-        beat_(loop_.base(), [this] { beat(); }) {
+      : play_(play), random_(play.seed), database_(loop_, log_), beat_(loop_.base(), [this] { beat(); }) {
     char name[] = "/tmp/myrtlecroft_rehearsal.XXXXXX";
     folder_ = mkdtemp(name);
   }
@@ -62,13 +59,13 @@
 
   Figures run() {
     for (int& port : node_ports_) port = standin::free_port(taken_);
-    control_ = std::make_unique<standin::ControlFleet>(
-        standin::ControlFleetTerms{.folder = folder_,
-                                   .fleet = file("fleet.conf"),
-                                   .instances = play_.instances,
-                                   .agreed = play_.instances > 1,
-                                   .more = {}},
-        taken_);
+    control_ =
+        std::make_unique<standin::ControlFleet>(standin::ControlFleetOptions{.folder = folder_,
+                                                                             .fleet = file("fleet.conf"),
+                                                                             .instances = play_.instances,
+                                                                             .agreed = play_.instances > 1,
+                                                                             .more = {}},
+                                                taken_);
     write_fleet();
     for (int i = 0; i < kNodes; ++i) {
       engines_.push_back(std::make_unique<standin::Engine>(
@@ -102,14 +99,14 @@
           << "\"; address = \"127.0.0.1:" << node_port(i) << "\"; capacity = " << kCores << "; }";
     }
     out << ");\ngroups = (";
-    for (const GroupOf& group : kGroups) {
-      out << (&group == kGroups ? "" : ", ") << "{ name = \"" << group.name << "\"; benefit = " << std::fixed
-          << group.benefit << "; repeats = \""
-          << (group.keyed                            ? "deduplicated"
-              : group.name == std::string("look-up") ? "repeatable"
-                                                     : "mutating")
+    for (const GroupOf& request_class : kGroups) {
+      out << (&request_class == kGroups ? "" : ", ") << "{ name = \"" << request_class.name
+          << "\"; benefit = " << std::fixed << request_class.priority_weight << "; repeats = \""
+          << (request_class.keyed                            ? "deduplicated"
+              : request_class.name == std::string("look-up") ? "repeatable"
+                                                             : "mutating")
           << "\"; slo_ms = " << kSlo / kMs << "; timeout_ms = " << kTimeout / kMs << "; ";
-      if (group.keyed) out << "window_ms = " << kWindow / kMs << "; ";
+      if (request_class.keyed) out << "window_ms = " << kWindow / kMs << "; ";
       out << "}";
     }
     out << ");\nbounds = { silent_ms = 700; mute_ms = 700; dwell_ms = 1000; ramp_ms = 2000; shard_digits = "
@@ -118,12 +115,14 @@
     std::ofstream settings(file("node.conf"));
     settings << "version = 1; reports = { to = (";
     for (const auto& place : control_->all())
-      settings << (&place == &control_->all().front() ? "" : ", ") << '"' << standin::on_loopback(place.reports) << '"';
+      settings << (&place == &control_->all().front() ? "" : ", ") << '"'
+               << standin::on_loopback(place.reports) << '"';
     settings << "); every_ms = 100; obey = " << (play_.instances > 1 ? "true" : "false") << "; };\n";
   }
 
   void start_node(int i) {
-    std::string times = R"(,"goalTimeNs":)" + std::to_string(kSlo) + R"(,"hardLimitNs":)" + std::to_string(kTimeout);
+    std::string times =
+        R"(,"goalTimeNs":)" + std::to_string(kSlo) + R"(,"hardLimitNs":)" + std::to_string(kTimeout);
     standin::write_node_config(
         file(node_name(i) + ".json"),
         {.name = node_name(i),
@@ -132,13 +131,15 @@
          .database = database_.port(),
          .servers = kNodes,
          .grace = kGrace,
-         .groups = R"({"name":"look-up","effect":"idempotent","gain":1)" + times +
-                   R"(},{"name":"booking","effect":"deduplicated","gain":2)" + times + R"(,"dedupWindowNs":)" +
-                   std::to_string(kWindow) + R"(},{"name":"status-set","effect":"at_most_once","gain":1.5)" + times + "}",
-         .family = R"("nCores":)" + std::to_string(kCores) +
-                   R"(,"ramKb":60000,"blowup":8,"keyKb":4,"idleNs":30000000000,"downstream":"one_for_all","callsOut":40,)"
-                   R"("depWindowNs":5000000000,"staysForNs":200000000,"classCalls":[false,true,false],)"
-                   R"("classSkipWorth":[0,0,0])"});
+         .request_classes = R"({"name":"look-up","effect":"idempotent","gain":1)" + times +
+                            R"(},{"name":"booking","effect":"deduplicated","gain":2)" + times +
+                            R"(,"dedupWindowNs":)" + std::to_string(kWindow) +
+                            R"(},{"name":"status-set","effect":"at_most_once","gain":1.5)" + times + "}",
+         .family =
+             R"("nCores":)" + std::to_string(kCores) +
+             R"(,"ramKb":60000,"blowup":8,"keyKb":4,"idleNs":30000000000,"downstream":"one_for_all","callsOut":40,)"
+             R"("depWindowNs":5000000000,"staysForNs":200000000,"classCalls":[false,true,false],)"
+             R"("classSkipWorth":[0,0,0])"});
     std::vector<std::pair<std::string, std::string>> variables = {
         {"LB_CONFIG", file(node_name(i) + ".json")}};
     if (play_.instances > 0) variables.emplace_back("MYRTLECROFT_SETTINGS", file("node.conf"));
@@ -180,7 +181,7 @@
     }
   }
 
-  // Every node answers an exchange, and every proxy has a set.
+  // Every server answers an request, and every proxy has a set.
   bool ready() {
     for (const auto& link : links_) {
       if (!link->applied()) return false;
@@ -267,7 +268,7 @@
   }
 
   struct Client {
-    std::size_t group = 0;
+    std::size_t request_class = 0;
     std::string key;
     Nanos due = 0;
     int tries = 0;
@@ -277,8 +278,9 @@
     double draw = static_cast<double>(random_()) / 4294967296.0;
     Client client;
     client.due = due;
-    for (; client.group + 1 < std::size(kGroups) && draw >= kGroups[client.group].share; ++client.group) {
-      draw -= kGroups[client.group].share;
+    for (; client.request_class + 1 < std::size(kGroups) && draw >= kGroups[client.request_class].share;
+         ++client.request_class) {
+      draw -= kGroups[client.request_class].share;
     }
     char key[33];
     std::snprintf(key, sizeof key, "%08x%08x%08x%08x", static_cast<unsigned>(random_()),
@@ -286,40 +288,40 @@
                   static_cast<unsigned>(random_()));
     client.key = key;
     ++figures_.offered;
-    offered_benefit_ += kGroups[client.group].benefit;
+    offered_weight_ += kGroups[client.request_class].priority_weight;
     attempt(client);
   }
 
-  void send(std::size_t group, std::function<void(const standin::Ended&)> ended, const std::string& key = "",
-            Nanos wait = kTimeout) {
-    const GroupOf& of = kGroups[group];
+  void send(std::size_t request_class, std::function<void(const standin::Ended&)> ended,
+            const std::string& key = "", Nanos wait = kTimeout) {
+    const GroupOf& of = kGroups[request_class];
     std::ostringstream body;
     body << of.name << ' ' << (key.empty() ? "-" : key) << ' ' << of.work_ms << ' ' << of.calls;
-    standin::Exchange exchange{.path = std::string("/api/v2/") + of.name,
-                               .key = of.keyed ? key : "",
-                               .body = body.str(),
-                               .accepted_unix = net::Loop::unix_now(),
-                               .wait = wait};
-    proxies_[random_() % proxies_.size()]->send(std::move(exchange), std::move(ended));
+    standin::Request request{.path = std::string("/api/v2/") + of.name,
+                             .key = of.keyed ? key : "",
+                             .body = body.str(),
+                             .accepted_unix = net::Loop::unix_now(),
+                             .wait = wait};
+    proxies_[random_() % proxies_.size()]->send(std::move(request), std::move(ended));
   }
 
   // A client waits, and comes again where that is harmless: a booking by its key, all else when it was
-  // denied.
+  // rejected.
   void attempt(Client client) {
     ++client.tries;
     send(
-        client.group,
+        client.request_class,
         [this, client](const standin::Ended& ended) {
           using Kind = standin::Ended::Kind;
           if (ended.cut) ++figures_.lost;
           if (ended.kind == Kind::kCompleted) return completed(client);
-          bool harmless = kGroups[client.group].keyed || ended.kind == Kind::kDenied;
-          Nanos pause = std::clamp(ended.stay_away, 100 * kMs, 400 * kMs);
+          bool harmless = kGroups[client.request_class].keyed || ended.kind == Kind::kRejected;
+          Nanos pause = std::clamp(ended.retry_after, 100 * kMs, 400 * kMs);
           if (harmless && client.tries < kClientTries && loop_.now() + pause < client.due + 2 * kTimeout) {
             repeats_.emplace(loop_.now() + pause, [this, client] { attempt(client); });
             return;
           }
-          ended.kind == Kind::kDenied ? ++figures_.denied : ++figures_.failed;
+          ended.kind == Kind::kRejected ? ++figures_.rejected : ++figures_.failed;
           ++by_second_[static_cast<int>((client.due - begun_) / kSecond)].missed;
         },
         client.key);
@@ -328,7 +330,7 @@
   void completed(const Client& client) {
     ++figures_.completed;
     Nanos took = loop_.now() - client.due;
-    gained_ += kGroups[client.group].benefit * (took <= kSlo ? 1 : 0.5);
+    gained_ += kGroups[client.request_class].priority_weight * (took <= kSlo ? 1 : 0.5);
     Second& second = by_second_[static_cast<int>((client.due - begun_) / kSecond)];
     ++second.completed;
     second.took.push_back(static_cast<double>(took) / 1e6);
@@ -343,7 +345,7 @@
       bool after = since > 0 && run.at > since + kGrace + kTimeout;
       if (run.node == node_name(i) && after) ++figures_.drain_violations;
     }
-    if (run.group != "booking" || run.key == "-") return;
+    if (run.request_class != "booking" || run.key == "-") return;
     auto [first, fresh] = ran_.emplace(run.key, run.at);
     if (!fresh && run.at - first->second <= kWindow) ++figures_.doubled;
     first->second = run.at;
@@ -364,7 +366,7 @@
           << notes_[second] << "\n";
     }
     figures_.table = out.str();
-    figures_.benefit = offered_benefit_ > 0 ? gained_ / offered_benefit_ : 0;
+    figures_.priority_weight = offered_weight_ > 0 ? gained_ / offered_weight_ : 0;
   }
 
   struct Second {
@@ -394,7 +396,7 @@
   std::map<int, Second> by_second_;
   std::map<std::string, Nanos> ran_;
   Figures figures_;
-  double offered_benefit_ = 0;
+  double offered_weight_ = 0;
   double gained_ = 0;
   Nanos begun_ = 0;
   Nanos length_ = 0;
--- a/measure/rehearse.cpp
+++ b/measure/rehearse.cpp
@@ -11,11 +11,12 @@
   using namespace myrtlecroft;
   CLI::App app("Plays an incident with real instances, nodes and proxies on this machine (docs/rehearse.md)");
   std::string file;
-  rehearsal::RigTerms terms;
+  rehearsal::RigOptions options;
   bool check = false;
   bool alone = false;
   app.add_option("file", file, "The incident")->required();
-  app.add_option("--seed", terms.seed, "For the load, and for faults that are drawn")->capture_default_str();
+  app.add_option("--seed", options.seed, "For the load, and for faults that are drawn")
+      ->capture_default_str();
   app.add_flag("--check", check, "Only read it over");
   app.add_flag("--alone", alone, "Control services that each decide alone, to compare");
   try {
@@ -24,15 +25,15 @@
     return app.exit(error) == 0 ? 0 : 2;
   }
   try {
-    terms.incident = rehearsal::read_incident(file);
-    terms.agreed = !alone;
+    options.incident = rehearsal::read_incident(file);
+    options.agreed = !alone;
     if (check) {
       std::printf("%s: good: %d instances, %d nodes, %d proxies, %zu steps\n", file.c_str(),
-                  terms.incident.instances, terms.incident.nodes, terms.incident.proxies,
-                  terms.incident.steps.size());
+                  options.incident.instances, options.incident.nodes, options.incident.proxies,
+                  options.incident.steps.size());
       return 0;
     }
-    rehearsal::RigResult result = rehearsal::play(terms);
+    rehearsal::RigResult result = rehearsal::play(options);
     std::fputs(result.table.c_str(), stdout);
     if (!result.first.empty())
       std::printf("first: %s; logs in %s\n", result.first.c_str(), result.folder.c_str());
@@ -42,16 +43,18 @@
                   one.stopped ? ("; stopped: " + one.reason).c_str() : "");
     }
     if (!result.releases.empty())
-      std::printf("out by choice at most %d of %d, of one service %d of %d; over %d, unpermitted %d, drain violations %d\n",
-                  result.most_out, result.allowed, result.below_most_out, result.below_allowed, result.over,
-                  result.unpermitted, result.drain_violations);
+      std::printf(
+          "out by choice at most %d of %d, of one service %d of %d; over %d, unpermitted %d, drain "
+          "violations %d\n",
+          result.max_unavailable, result.allowed, result.below_max_unavailable, result.below_allowed,
+          result.over, result.unpermitted, result.drain_violations);
     std::printf(
         "measured rehearse seed=%u faults=%d offered=%d completed=%d runs=%d doubled=%d lost=%d "
         "split_owners=%d stale_acted=%d "
         "lost_entries=%d not_back=%d failovers=%d failover_p50_ms=%.0f failover_p99_ms=%.0f benefit=%.3f\n",
-        terms.seed, result.faults, result.offered, result.completed, result.runs, result.doubled, result.lost,
-        result.split_owners, result.stale_acted, result.lost_entries, result.not_back, result.failovers,
-        result.failover_p50_ms, result.failover_p99_ms, result.benefit());
+        options.seed, result.faults, result.offered, result.completed, result.runs, result.doubled,
+        result.lost, result.split_owners, result.stale_acted, result.lost_entries, result.not_back,
+        result.failovers, result.failover_p50_ms, result.failover_p99_ms, result.priority_weight());
     return result.violations() > 0;
   } catch (const settings::DocumentError& error) {
     std::fprintf(stderr, "rehearse: %s\n", error.what());
--- a/src/agreement/instance.cpp
+++ b/src/agreement/control_replica.cpp
@@ -1,4 +1,4 @@
-#include "agreement/instance.h"
+#include "agreement/control_replica.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,51 +10,52 @@
 
 constexpr Nanos kRejoinEvery = 500 * kMs;    // after a failure of the disk
 constexpr Nanos kVouchedAfter = 3000 * kMs;  // where not all others speak, a majority does
-constexpr Nanos kMostBelieved = 600 * kMs;   // of the time between two decisions: windows are longer by as much
-constexpr Nanos kPassEvery = 200 * kMs;      // a command, until its result is agreed
-constexpr std::size_t kMostCommands = 16;    // that wait
-constexpr std::uint64_t kCaughtUp = 3;  // decisions that a new instance may lack when it is given its vote
+constexpr Nanos kMaxBelieved = 600 * kMs;  // of the time between two decisions: windows are longer by as much
+constexpr Nanos kPassEvery = 200 * kMs;    // a command, until its result is agreed
+constexpr std::size_t kMaxCommands = 16;   // that wait
+constexpr std::uint64_t kCaughtUp = 3;     // decisions that a new instance may lack when it is given its vote
 
 }  // namespace
 
-Instance::Instance(const InstanceTerms& terms, consensus::Keeper& keeper, consensus::Wire& wire,
-                   fleet::Fleet fleet, bool first_start, std::function<Nanos()> clock, std::uint32_t seed,
-                   Log log)
-    : terms_(terms),
-      keeper_(keeper),
-      wire_(wire),
+ControlReplica::ControlReplica(const ReplicaOptions& options, consensus::RaftStorage& storage,
+                               consensus::Transport& transport, fleet::Fleet fleet, bool first_start,
+                               std::function<Nanos()> clock, std::uint32_t seed, Log log)
+    : options_(options),
+      storage_(storage),
+      transport_(transport),
       clock_(std::move(clock)),
       log_(std::move(log)),
       first_start_(first_start),
       random_(seed),
       router_(std::move(fleet), std::nullopt, first_start, clock_(), log_),
-      state_(terms.format),
-      contact_(terms.id, terms.contact_lasts),
-      book_(terms.contact_lasts) {
+      state_(options.format),
+      contact_(options.id, options.lease_duration),
+      book_(options.lease_duration) {
   // An instance may be wrong about being in touch for twice as long as contact lasts, and no shard moves in
   // that time.
-  router_.cool_at_least(3 * terms_.contact_lasts, kMostBelieved);
+  router_.quarantine_at_least(3 * options_.lease_duration, kMaxBelieved);
   join();
 }
 
 // What is out ends with the member, and asks nothing of us any more.
-Instance::~Instance() {
+ControlReplica::~ControlReplica() {
   asked_ = 0;
-  member_.reset();
+  raft_node_.reset();
 }
 
-void Instance::join() {
-  member_ = std::make_unique<consensus::Member>(
-      terms_.id, terms_.address, terms_.log, keeper_, wire_, *this,
+void ControlReplica::join() {
+  raft_node_ = std::make_unique<consensus::RaftNode>(
+      options_.id, options_.address, options_.log, storage_, transport_, *this,
       [this] { return static_cast<std::uint64_t>(clock_() / kMs); }, random_());
 }
 
-void Instance::start() {
-  member_->start();
+void ControlReplica::start() {
+  raft_node_->start();
   applied_at_ = started_at_ = now();
   // One that is alone, new, or only back after a failure of its disk has nobody to ask, or nothing to be
   // asked about.
-  proven_ = proven_ || member_->voters() < 2 || member_->last_index() == 0 || !member_->votes(terms_.id);
+  proven_ =
+      proven_ || raft_node_->voters() < 2 || raft_node_->last_index() == 0 || !raft_node_->votes(options_.id);
 }
 
 // A folder that was put back from an older copy lacks entries which this instance said it had, and which the
@@ -62,9 +63,9 @@
 // they know of more, it never does. Could keep a sound instance waiting for some seconds where another is
 // gone. Not found where those who remember are gone or restarted at the same time: that is a second fault at
 // once, which three instances don't stand.
-void Instance::prove(const consensus::PeerMessage& message) {
-  if (!member_->votes(message.from())) return;
-  if (message.word().your_kept() > member_->last_index()) {
+void ControlReplica::prove(const consensus::PeerMessage& message) {
+  if (!raft_node_->votes(message.from())) return;
+  if (message.word().your_kept() > raft_node_->last_index()) {
     if (fault_.empty()) {
       fault_ = "this folder is older than what instance " + std::to_string(message.from()) +
                " heard from here: let it out, and begin a new one under a new id";
@@ -73,7 +74,7 @@
     return;
   }
   vouched_.insert(message.from());
-  std::size_t others = member_->voters() - 1;
+  std::size_t others = raft_node_->voters() - 1;
   bool enough =
       vouched_.size() >= others || (2 * vouched_.size() >= others && now() - started_at_ >= kVouchedAfter);
   proven_ = enough && fault_.empty();
@@ -81,51 +82,52 @@
 
 // After the disk has failed: what is there is read again, and the log is followed from there. Until it has
 // caught up with what was served here already, nothing older is.
-void Instance::rejoin() {
+void ControlReplica::rejoin() {
   rejoin_at_ = now() + kRejoinEvery;
-  if (!keeper_.well()) return;
+  if (!storage_.well()) return;
   leading_ = false;
   asked_ = 0;
   changing_ = false;
-  state_ = State(terms_.format);
+  state_ = ReplicatedState(options_.format);
   caught_up_at_ = target_at_ = 0;
-  member_.reset();
+  raft_node_.reset();
   join();
   log_("the disk is well: back in the log");
   start();
 }
 
-bool Instance::tick() {
-  if (proven_) member_->tick();
-  if (proven_ && member_->applied_index() <= member_->stored_index()) kept_ = member_->applied_index();
+bool ControlReplica::tick() {
+  if (proven_) raft_node_->tick();
+  if (proven_ && raft_node_->applied_index() <= raft_node_->stored_index())
+    kept_ = raft_node_->applied_index();
   follow_target();
-  if (!member_->fault().empty() && fault_.empty()) {
-    fault_ = member_->fault();
+  if (!raft_node_->fault().empty() && fault_.empty()) {
+    fault_ = raft_node_->fault();
     log_("agreement ends here: " + fault_);
   }
-  if (member_->disk_failed() && now() >= rejoin_at_) {
+  if (raft_node_->disk_failed() && now() >= rejoin_at_) {
     if (rejoin_at_ == 0)
       log_("the disk fails: no part in votes until it is well; the last agreed set is served on");
     rejoin();
   }
-  if (now() - said_at_ >= terms_.say_every) say();
+  if (now() - said_at_ >= options_.say_every) say();
   pass_commands();
-  if (!member_->ready()) {
+  if (!raft_node_->ready()) {
     changing_ = false;
-    if (leading_) log_("no longer deciding, term " + std::to_string(member_->term()));
+    if (leading_) log_("no longer deciding, term " + std::to_string(raft_node_->term()));
     leading_ = false;
     asked_ = 0;
   }
   if (now() >= due_at_) {
-    due_at_ = now() + terms_.beat;
+    due_at_ = now() + options_.beat;
     if (chapter_) chapter_->watch(view(state_.time(), 0));
-    if (member_->ready() && in_touch()) {
+    if (raft_node_->ready() && has_quorum()) {
       decide();
     } else {
       router_.watch(now());
     }
   }
-  bool touch = in_touch();
+  bool touch = has_quorum();
   if (touch != was_in_touch_) {
     log_(touch ? "in touch with a majority, epoch " + std::to_string(state_.epoch().number)
                : "out of touch with a majority: the last agreed set is served on, nothing is opened or "
@@ -136,57 +138,57 @@
   return std::exchange(new_, false);
 }
 
-bool Instance::received(const consensus::PeerMessage& message) {
+bool ControlReplica::received(const consensus::PeerMessage& message) {
   // One whose fleet is another's, or that was never let in or is let in no more, is not listened to. An
   // instance that is new itself knows nobody yet.
-  bool known = member_->servers().empty() || member_->part_of(message.from());
-  if (message.fleet() != terms_.log.fleet || message.to() != terms_.id || message.from() == terms_.id ||
+  bool known = raft_node_->servers().empty() || raft_node_->part_of(message.from());
+  if (message.fleet() != options_.log.fleet || message.to() != options_.id || message.from() == options_.id ||
       !known)
     return false;
   if (message.what_case() == consensus::PeerMessage::kWord) {
     hear(message);
   } else if (message.what_case() == consensus::PeerMessage::kCommand) {
-    if (member_->leads() && commands_.size() < kMostCommands)
+    if (raft_node_->leads() && commands_.size() < kMaxCommands)
       commands_[message.command().id()] = message.command().text();
   } else if (proven_) {
-    member_->received(message);
+    raft_node_->received(message);
   }
   return std::exchange(new_, false);
 }
 
-consensus::PeerMessage Instance::message_to(consensus::InstanceId id) const {
+consensus::PeerMessage ControlReplica::message_to(consensus::InstanceId id) const {
   consensus::PeerMessage out;
-  out.set_fleet(terms_.log.fleet);
-  out.set_from(terms_.id);
+  out.set_fleet(options_.log.fleet);
+  out.set_from(options_.id);
   out.set_to(id);
-  out.set_address(terms_.address);
+  out.set_address(options_.address);
   return out;
 }
 
-void Instance::say() {
+void ControlReplica::say() {
   said_at_ = now();
-  for (const consensus::Server& server : member_->servers()) {
-    if (server.id() == terms_.id) continue;
+  for (const consensus::Server& server : raft_node_->servers()) {
+    if (server.id() == options_.id) continue;
     consensus::PeerMessage message = message_to(server.id());
-    consensus::Word& word = *message.mutable_word();
-    contact_.fill(server.id(), member_->term(), member_->leader(), now(), word);
-    word.set_confirmed(member_->leads() && in_touch());
+    consensus::Heartbeat& word = *message.mutable_word();
+    contact_.fill(server.id(), raft_node_->term(), raft_node_->leader(), now(), word);
+    word.set_confirmed(raft_node_->leads() && has_quorum());
     word.set_applied(state_.epoch().number);
     word.set_kept(kept_);
     word.set_your_kept(said_by(server.id()).kept);
-    word.set_format(terms_.format);
-    word.set_settings(terms_.settings);
+    word.set_format(options_.format);
+    word.set_settings(options_.settings);
     *word.mutable_proxies() = here_;
-    wire_.send(message, server.address());
+    transport_.send(message, server.address());
   }
 }
 
-void Instance::hear(const consensus::PeerMessage& message) {
-  const consensus::Word& word = message.word();
+void ControlReplica::hear(const consensus::PeerMessage& message) {
+  const consensus::Heartbeat& word = message.word();
   if (!proven_) prove(message);
-  if (member_->votes(message.from()))
-    contact_.heard(message.from(), word, member_->term(), member_->leader());
-  if (target_at_ == 0 && message.from() == member_->leader() && word.term() == member_->term() &&
+  if (raft_node_->votes(message.from()))
+    contact_.heard(message.from(), word, raft_node_->term(), raft_node_->leader());
+  if (target_at_ == 0 && message.from() == raft_node_->leader() && word.term() == raft_node_->term() &&
       word.confirmed()) {
     target_ = word.applied();
     target_at_ = static_cast<Nanos>(word.your_stamp());
@@ -197,47 +199,47 @@
   said = {word.applied(), now(), std::max(said.kept, word.kept()), {word.format(), word.settings()}};
 }
 
-Nanos Instance::fresh_for() const {
-  if (member_->disk_failed() || state_.epoch().number < seen_) return 0;
-  Nanos touch = contact_.holds_for(member_->term(), member_->leader(), member_->voters(), now());
+Nanos ControlReplica::fresh_for() const {
+  if (raft_node_->disk_failed() || state_.epoch().number < seen_) return 0;
+  Nanos touch = contact_.holds_for(raft_node_->term(), raft_node_->leader(), raft_node_->voters(), now());
   // A new leader, or one back from the dead, may not have applied all that was agreed before; nor may whoever
   // follows.
-  if (member_->leads()) return member_->ready() ? touch : 0;
+  if (raft_node_->leads()) return raft_node_->ready() ? touch : 0;
   return caught_up_at_ == 0
              ? 0
-             : std::min(touch, std::max<Nanos>(0, terms_.contact_lasts - (now() - caught_up_at_)));
+             : std::min(touch, std::max<Nanos>(0, options_.lease_duration - (now() - caught_up_at_)));
 }
 
 // Heard of is not yet applied: until what the leader had is here too, this is not the fleet's last word.
-void Instance::follow_target() {
+void ControlReplica::follow_target() {
   if (target_at_ == 0 || state_.epoch().number < target_) return;
   caught_up_at_ = target_at_;
   target_at_ = 0;
 }
 
-void Instance::proxies(google::protobuf::RepeatedPtrField<consensus::ProxyWord> here) {
+void ControlReplica::proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here) {
   here_ = std::move(here);
-  book_.told(terms_.id, here_, now());
+  book_.told(options_.id, here_, now());
 }
 
-bool Instance::may_serve(const std::string& proxy) const {
+bool ControlReplica::may_serve(const std::string& proxy) const {
   auto found = state_.proxies().find(proxy);
   return found != state_.proxies().end() && found->second == kHere;
 }
 
 // ---- Deciding
 
-// Since the last decision was applied, as far as is believed. A clock that leaps while a shard cools would shorten its
-// window by the whole of what one entry may say; a leader that is well says something twice a second, and where it
-// says less than has passed, windows are only longer.
-Nanos Instance::elapsed() const { return std::clamp<Nanos>(now() - applied_at_, 0, kMostBelieved); }
+// Since the last decision was applied, as far as is believed. A clock that leaps while a shard cools would
+// shorten its window by the whole of what one entry may say; a leader that is well says something twice a
+// second, and where it says less than has passed, windows are only longer.
+Nanos ControlReplica::elapsed() const { return std::clamp<Nanos>(now() - applied_at_, 0, kMaxBelieved); }
 
 // A new leader goes on from what is agreed; so does one whose proposal came to nothing.
-void Instance::take_up() {
+void ControlReplica::take_up() {
   leading_ = true;
   asked_ = 0;
-  if (state_.epoch().number == 0) return router_.begin_again(first_start_);  // from the fleet file
-  std::vector<routing::Memory::Node> nodes;
+  if (state_.epoch().number == 0) return router_.reset(first_start_);  // from the fleet file
+  std::vector<routing::PersistedState::Node> nodes;
   for (const auto& [name, node] : state_.nodes()) {
     nodes.push_back(routing_state::from_proto(node));
   }
@@ -245,20 +247,20 @@
 }
 
 // The newest form of entries that all who belong know.
-std::uint32_t Instance::format_of_all() const {
-  std::uint32_t out = terms_.format;
-  for (const consensus::Server& server : member_->servers()) {
+std::uint32_t ControlReplica::format_of_all() const {
+  std::uint32_t out = options_.format;
+  for (const consensus::Server& server : raft_node_->servers()) {
     auto known = state_.instances().find(server.id());
     out = std::min(out, known == state_.instances().end() ? 1 : known->second.format);
   }
   return out;
 }
 
-Chapter::View Instance::view(Nanos time, std::uint64_t applied) const {
+DecisionSection::View ControlReplica::view(Nanos time, std::uint64_t applied) const {
   return {state_, router_, commands_, applied, time, now()};
 }
 
-std::uint64_t Instance::command(const std::string& text) {
+std::uint64_t ControlReplica::command(const std::string& text) {
   std::uint64_t id = std::uint64_t{random_()} << 32 | random_();
   own_commands_[id] = text;
   passed_at_ = 0;
@@ -267,29 +269,29 @@
 }
 
 // Said again until its result is agreed: a leader that dies with it has done nothing, or has it agreed.
-void Instance::pass_commands() {
+void ControlReplica::pass_commands() {
   auto known = [&](const auto& one) { return state_.outings().result(one.first) != nullptr; };
   std::erase_if(own_commands_, known);
   std::erase_if(commands_, known);
-  if (!member_->leads()) commands_.clear();
+  if (!raft_node_->leads()) commands_.clear();
   if (own_commands_.empty() || now() - passed_at_ < kPassEvery) return;
   passed_at_ = now();
-  if (member_->leads()) commands_.insert(own_commands_.begin(), own_commands_.end());
-  for (const consensus::Server& server : member_->servers()) {
-    if (server.id() != member_->leader() || server.id() == terms_.id) continue;
+  if (raft_node_->leads()) commands_.insert(own_commands_.begin(), own_commands_.end());
+  for (const consensus::Server& server : raft_node_->servers()) {
+    if (server.id() != raft_node_->leader() || server.id() == options_.id) continue;
     for (const auto& [id, text] : own_commands_) {
       consensus::PeerMessage message = message_to(server.id());
       message.mutable_command()->set_id(id);
       message.mutable_command()->set_text(text);
-      wire_.send(message, server.address());
+      transport_.send(message, server.address());
     }
   }
 }
 
-void Instance::decide() {
+void ControlReplica::decide() {
   if (asked_ != 0) return;  // one at a time: each is drawn from the one before
   if (!leading_) {
-    log_("deciding, term " + std::to_string(member_->term()) + ", epoch " +
+    log_("deciding, term " + std::to_string(raft_node_->term()) + ", epoch " +
          std::to_string(state_.epoch().number));
     take_up();
   }
@@ -299,12 +301,12 @@
   leading.proxies = &book_;
   leading.first_start = first_start_;
   leading.applied = book_.applied_by_all(state_, now());
-  for (const consensus::Server& server : member_->servers()) {
+  for (const consensus::Server& server : raft_node_->servers()) {
     leading.members.insert(server.id());
     auto said = heard_.find(server.id());
     if (said != heard_.end()) leading.instances[server.id()] = said->second.of_itself;
   }
-  leading.instances[terms_.id] = {terms_.format, terms_.settings};
+  leading.instances[options_.id] = {options_.format, options_.settings};
 
   router_.applied(leading.applied);
   Nanos since = elapsed();
@@ -312,32 +314,33 @@
   leading.next = next.get();
   leading.format = format_of_all();
   Decision decision = draft(state_, leading);
-  if (chapter_ && leading.format >= kOutingsFormat && state_.epoch().number > 0 && decision.begin_shards() == 0)
+  if (chapter_ && leading.format >= kOutingsFormat && state_.epoch().number > 0 &&
+      decision.begin_shards() == 0)
     chapter_->draft(view(state_.time() + since, leading.applied), decision);
-  if (!says_something(decision) && now() - proposed_at_ < terms_.time_every) return;
+  if (!says_something(decision) && now() - proposed_at_ < options_.time_every) return;
   decision.set_elapsed_ns(since);
   propose(std::move(decision));
 }
 
-std::string Instance::let_in(consensus::InstanceId id, const std::string& address) {
-  if (!member_->ready()) return "this instance does not lead";
-  if (member_->part_of(id))
+std::string ControlReplica::let_in(consensus::InstanceId id, const std::string& address) {
+  if (!raft_node_->ready()) return "this instance does not lead";
+  if (raft_node_->part_of(id))
     return "instance " + std::to_string(id) + " belongs already; a replaced one gets a new id";
   if (changing_) return "another change of who belongs is under way";
   changing_ = true;
   log_("instance " + std::to_string(id) + " at " + address + " is let in; it votes once it has caught up");
-  member_->add(id, address, [this](bool) { changing_ = false; });
+  raft_node_->add(id, address, [this](bool) { changing_ = false; });
   return "";
 }
 
-std::string Instance::let_out(consensus::InstanceId id) {
-  if (!member_->ready()) return "this instance does not lead";
-  if (!member_->part_of(id)) return "no instance " + std::to_string(id) + " belongs";
-  if (id == terms_.id) return "it leads: hand on first";
+std::string ControlReplica::let_out(consensus::InstanceId id) {
+  if (!raft_node_->ready()) return "this instance does not lead";
+  if (!raft_node_->part_of(id)) return "no instance " + std::to_string(id) + " belongs";
+  if (id == options_.id) return "it leads: hand on first";
   if (changing_) return "another change of who belongs is under way";
   changing_ = true;
   log_("instance " + std::to_string(id) + " is let out for good");
-  member_->remove(id, [this, id](bool good) {
+  raft_node_->remove(id, [this, id](bool good) {
     changing_ = false;
     if (!good) return;
     contact_.gone(id);
@@ -347,16 +350,16 @@
   return "";
 }
 
-void Instance::promote_who_caught_up() {
+void ControlReplica::promote_who_caught_up() {
   if (changing_) return;
-  for (const consensus::Server& server : member_->servers()) {
+  for (const consensus::Server& server : raft_node_->servers()) {
     Said said = said_by(server.id());
-    bool caught_up = said.at > 0 && now() - said.at < terms_.contact_lasts &&
+    bool caught_up = said.at > 0 && now() - said.at < options_.lease_duration &&
                      said.applied + kCaughtUp >= state_.epoch().number;
     if (server.role() == RAFT_VOTER || !caught_up) continue;
     changing_ = true;
     std::string name = "instance " + std::to_string(server.id());
-    member_->promote(server.id(), [this, name](bool good) {
+    raft_node_->promote(server.id(), [this, name](bool good) {
       changing_ = false;
       if (good) log_(name + " has caught up and votes");
     });
@@ -364,28 +367,28 @@
   }
 }
 
-void Instance::propose(Decision decision) {
-  decision.set_proposer(terms_.id);
-  decision.set_term(member_->term());
+void ControlReplica::propose(Decision decision) {
+  decision.set_proposer(options_.id);
+  decision.set_term(raft_node_->term());
   decision.set_basis(state_.epoch().number);
   proposed_at_ = now();
   std::uint64_t number = asked_ = ++asks_;
   std::uint64_t basis = state_.epoch().number;
   bool begins = decision.begin_shards() > 0;
-  member_->propose(decision.SerializeAsString(), [this, number, basis, begins](bool agreed) {
+  raft_node_->propose(decision.SerializeAsString(), [this, number, basis, begins](bool agreed) {
     if (asked_ != number) return;
     asked_ = 0;
     bool taken = agreed && state_.epoch().number == basis + 1;
     if (agreed && !taken) ++wrong_drafts_;
     // What the router has concluded beyond what is agreed is given up.
     if (!taken || begins) leading_ = false;
-    if (member_->ready() && !leading_) take_up();
+    if (raft_node_->ready() && !leading_) take_up();
   });
 }
 
 // ---- What is agreed
 
-bool Instance::apply(std::uint64_t, std::string_view entry) {
+bool ControlReplica::apply(std::uint64_t, std::string_view entry) {
   Verdict verdict = state_.apply(entry);
   if (verdict == Verdict::kNewer) return false;
   if (verdict != Verdict::kTaken) {
@@ -397,13 +400,13 @@
   return true;
 }
 
-bool Instance::restore(std::string_view snapshot) {
+bool ControlReplica::restore(std::string_view snapshot) {
   if (!state_.restore(snapshot)) return false;
   in_force();
   return true;
 }
 
-void Instance::in_force() {
+void ControlReplica::in_force() {
   applied_at_ = now();
   new_ = true;
   seen_ = std::max(seen_, state_.epoch().number);
@@ -414,39 +417,40 @@
   published_ = std::make_shared<const routing::Published>(std::move(next));
 }
 
-// Once for each decision that reports come after, so that a report costs what its node owns.
-void Instance::index_owners() {
+// Once for each decision that reports come after, so that a report costs what its server owns.
+void ControlReplica::index_owners() {
   if (owned_at_ == state_.epoch()) return;
   owned_at_ = state_.epoch();
   owned_.clear();
   for (std::size_t at = 0; at < state_.shards().size(); ++at) {
     const routing::Shard& shard = state_.shards()[at];
-    if (shard.state == routing::ShardState::kOwned) owned_[shard.owner].push_back(static_cast<std::uint16_t>(at));
+    if (shard.state == routing::ShardState::kOwned)
+      owned_[shard.owner].push_back(static_cast<std::uint16_t>(at));
   }
 }
 
-Order Instance::order_for(const std::string& node) {
-  Order out;
+ShardAssignment ControlReplica::order_for(const std::string& node) {
+  ShardAssignment out;
   out.epoch = state_.owners_epoch();
   auto known = state_.nodes().find(node);
-  if (known != state_.nodes().end()) out.life = known->second.life();
+  if (known != state_.nodes().end()) out.incarnation = known->second.life();
   out.shard_digits = router_.fleet().bounds.shard_digits;
   index_owners();
   auto owned = owned_.find(node);
   if (owned != owned_.end()) {
     for (std::uint16_t at : owned->second) {
       const routing::Shard& shard = state_.shards()[at];
-      if (shard.life == 0 || shard.life == out.life) out.shards.push_back(at);
+      if (shard.incarnation == 0 || shard.incarnation == out.incarnation) out.shards.push_back(at);
     }
   }
-  const AgreedTrip* trip = state_.outings().trip(node);
-  if (trip && trip->place == TripPlace::kOrdered && trip->life == out.life)
-    out.restart_as = static_cast<std::uint8_t>(trip->version);
+  const MaintenanceLease* lease = state_.outings().lease(node);
+  if (lease && lease->place == MaintenancePhase::kOrdered && lease->incarnation == out.incarnation)
+    out.restart_as = static_cast<std::uint8_t>(lease->version);
   return out;
 }
 
-void Instance::fleet_changed(fleet::Fleet fleet, std::uint64_t settings) {
-  terms_.settings = settings;
+void ControlReplica::fleet_changed(fleet::Fleet fleet, std::uint64_t settings) {
+  options_.settings = settings;
   router_.fleet_changed(std::move(fleet), now());
 }
 
--- a/src/agreement/instance.h
+++ b/src/agreement/control_replica.h
@@ -1,8 +1,8 @@
 // One instance of the control service among those that decide as one: its part in the common log, what is
 // agreed, and, while it leads, its routing turned into decisions. No I/O; the ports are the log's.
 //
-// Everything it does for nodes and proxies rests on what is agreed. Led or leading, it hears nodes, so that
-// whoever leads next has measured already.
+// Everything it does for servers and proxies rests on what is agreed. Led or leading, it hears servers, so
+// that whoever leads next has measured already.
 #pragma once
 
 #include <functional>
@@ -13,35 +13,35 @@
 #include <unordered_map>
 #include <vector>
 
-#include "agreement/contact.h"
-#include "agreement/draft.h"
-#include "agreement/state.h"
-#include "consensus/member.h"
-#include "fencing/fence.h"
+#include "agreement/leader_lease.h"
+#include "agreement/proposal.h"
+#include "agreement/replicated_state.h"
+#include "consensus/raft_node.h"
+#include "fencing/fencing_guard.h"
 #include "routing/router.h"
 
 namespace myrtlecroft::agreement {
 
-using fencing::Order;
+using fencing::ShardAssignment;
 
-struct InstanceTerms {
+struct ReplicaOptions {
   consensus::InstanceId id = 0;
   std::string address;  // where other instances reach it
-  consensus::Terms log;
+  consensus::RaftOptions log;
   Nanos beat = 100 * kMs;        // between decisions, where nothing presses
   Nanos time_every = 500 * kMs;  // a decision of nothing but time, at least so often
   Nanos say_every = 100 * kMs;   // words to the others
-  Nanos contact_lasts = 1000 * kMs;
+  Nanos lease_duration = 1000 * kMs;
   std::uint64_t settings = 0;  // hash of the fleet file
   std::uint32_t format = kFormat;
 };
 
 // What a package above this one concludes, as further steps of the decision that is drawn up.
-class Chapter {
+class DecisionSection {
  public:
-  virtual ~Chapter() = default;
+  virtual ~DecisionSection() = default;
   struct View {
-    const State& agreed;
+    const ReplicatedState& agreed;
     const routing::Router& router;
     const std::map<std::uint64_t, std::string>& commands;  // of operators, that have no agreed result yet
     std::uint64_t applied = 0;                             // the publication that all proxies have
@@ -53,12 +53,13 @@
   virtual void draft(const View& view, Decision& out) = 0;
 };
 
-class Instance final : public consensus::Machine {
+class ControlReplica final : public consensus::StateMachine {
  public:
   using Log = std::function<void(const std::string&)>;
-  Instance(const InstanceTerms& terms, consensus::Keeper& keeper, consensus::Wire& wire, fleet::Fleet fleet,
-           bool first_start, std::function<Nanos()> clock, std::uint32_t seed, Log log);
-  ~Instance();
+  ControlReplica(const ReplicaOptions& options, consensus::RaftStorage& storage,
+                 consensus::Transport& transport, fleet::Fleet fleet, bool first_start,
+                 std::function<Nanos()> clock, std::uint32_t seed, Log log);
+  ~ControlReplica();
 
   void start();
   // Several times in a heartbeat. True: something new is agreed, and what is served may have changed.
@@ -66,27 +67,27 @@
   bool received(const consensus::PeerMessage& message);
   void fleet_changed(fleet::Fleet fleet, std::uint64_t settings);
   // All proxies that are served here now.
-  void proxies(google::protobuf::RepeatedPtrField<consensus::ProxyWord> here);
+  void proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here);
   // They are the same, and have applied the same, as in the last call.
-  void proxies_unchanged() { book_.told_again(terms_.id, now()); }
+  void proxies_unchanged() { book_.told_again(options_.id, now()); }
   // Outlives this instance; nullptr: none.
-  void set_chapter(Chapter* chapter) { chapter_ = chapter; }
+  void set_chapter(DecisionSection* chapter) { chapter_ = chapter; }
   // From operators. Its result is agreed, or it comes to nothing: the id under which it is to be found.
   std::uint64_t command(const std::string& text);
   void forget_command(std::uint64_t id) { own_commands_.erase(id); }
   // Not left to the beat.
   void soon() { due_at_ = 0; }
 
-  const State& agreed() const { return state_; }
-  // The picture in force, made once for each; nullptr: none was ever agreed.
+  const ReplicatedState& agreed() const { return state_; }
+  // The snapshot in force, made once for each; nullptr: none was ever agreed.
   std::shared_ptr<const routing::Published> published() const { return published_; }
   // For how long it is certain that nobody else has decided what is not known here; 0: it is not.
   Nanos fresh_for() const;
-  bool in_touch() const { return fresh_for() > 0; }
+  bool has_quorum() const { return fresh_for() > 0; }
   // A proxy that the fleet has agreed may be served: until then, a shard could be moved without knowing of
   // it.
   bool may_serve(const std::string& proxy) const;
-  Order order_for(const std::string& node);
+  ShardAssignment order_for(const std::string& node);
   bool decides() const { return leading_; }
   std::uint64_t applied_by_all() { return book_.applied_by_all(state_, now()); }
   // What another instance said last of itself.
@@ -107,8 +108,8 @@
 
   routing::Router& router() { return router_; }
   const routing::Router& router() const { return router_; }
-  consensus::Member& member() { return *member_; }
-  const consensus::Member& member() const { return *member_; }
+  consensus::RaftNode& raft_node() { return *raft_node_; }
+  const consensus::RaftNode& raft_node() const { return *raft_node_; }
   const std::string& fault() const { return fault_; }
   bool proven() const { return proven_; }
   std::uint64_t wrong_drafts() const { return wrong_drafts_; }
@@ -130,7 +131,7 @@
   void promote_who_caught_up();
   void pass_commands();
   std::uint32_t format_of_all() const;
-  Chapter::View view(Nanos time, std::uint64_t applied) const;
+  DecisionSection::View view(Nanos time, std::uint64_t applied) const;
   void follow_target();
   void hear(const consensus::PeerMessage& message);
   void in_force();
@@ -138,18 +139,18 @@
   Nanos elapsed() const;
   Nanos now() const { return clock_(); }
 
-  InstanceTerms terms_;
-  consensus::Keeper& keeper_;
-  consensus::Wire& wire_;
+  ReplicaOptions options_;
+  consensus::RaftStorage& storage_;
+  consensus::Transport& transport_;
   std::function<Nanos()> clock_;
   Log log_;
   bool first_start_;
   std::mt19937 random_;
   routing::Router router_;
-  State state_;
-  Contact contact_;
-  ProxyBook book_;
-  std::unique_ptr<consensus::Member> member_;
+  ReplicatedState state_;
+  LeaderLease contact_;
+  ProxyRegistry book_;
+  std::unique_ptr<consensus::RaftNode> raft_node_;
   std::shared_ptr<const routing::Published> published_;
   std::map<consensus::InstanceId, Said> heard_;
   std::set<consensus::InstanceId> vouched_;  // others that know of nothing here that the folder lacks
@@ -157,9 +158,9 @@
   Nanos started_at_ = 0;
   std::uint64_t kept_ = 0;
   bool changing_ = false;  // who belongs
-  google::protobuf::RepeatedPtrField<consensus::ProxyWord> here_;
+  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here_;
   std::unordered_map<std::string, std::vector<std::uint16_t>>
-      owned_;             // by each node, as agreed; only looked up
+      owned_;             // by each server, as agreed; only looked up
   Epoch owned_at_;        // the decision that `owned_` is of
   Nanos applied_at_ = 0;  // when the last decision was applied here
   Nanos due_at_ = 0;
@@ -172,7 +173,7 @@
   std::uint64_t seen_ = 0;   // the highest decision that was applied here, also by an earlier part in the log
   std::uint64_t asked_ = 0;  // the proposal that is out; 0: none
   std::uint64_t asks_ = 0;
-  Chapter* chapter_ = nullptr;
+  DecisionSection* chapter_ = nullptr;
   std::map<std::uint64_t, std::string> own_commands_;  // asked here
   std::map<std::uint64_t, std::string> commands_;      // to be decided, where this one leads
   Nanos passed_at_ = 0;
--- a/src/agreement/contact.cpp
+++ b/src/agreement/leader_lease.cpp
@@ -1,4 +1,4 @@
-#include "agreement/contact.h"
+#include "agreement/leader_lease.h"
 
 #include <algorithm>
 #include <functional>
@@ -6,8 +6,8 @@
 
 namespace myrtlecroft::agreement {
 
-void Contact::fill(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader, Nanos now,
-                   consensus::Word& word) const {
+void LeaderLease::fill(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader, Nanos now,
+                       consensus::Heartbeat& word) const {
   word.set_term(term);
   word.set_leader(leader);
   word.set_stamp(static_cast<std::uint64_t>(now));
@@ -15,8 +15,8 @@
   if (found != peers_.end()) word.set_your_stamp(found->second.their_stamp);
 }
 
-void Contact::heard(consensus::InstanceId from, const consensus::Word& word, std::uint64_t term,
-                    consensus::InstanceId leader) {
+void LeaderLease::heard(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
+                        consensus::InstanceId leader) {
   Peer& peer = peers_[from];
   peer.their_stamp = std::max(peer.their_stamp, word.stamp());
   if (word.term() != term) return;
@@ -32,7 +32,7 @@
   }
 }
 
-Nanos Contact::certain_at(std::uint64_t term, consensus::InstanceId leader, std::size_t voters) const {
+Nanos LeaderLease::certain_at(std::uint64_t term, consensus::InstanceId leader, std::size_t voters) const {
   if (leader == 0) return 0;
   if (leader != self_) {
     auto found = peers_.find(leader);
--- a/src/agreement/contact.h
+++ b/src/agreement/leader_lease.h
@@ -7,20 +7,20 @@
 #include <cstdint>
 #include <map>
 
-#include "consensus/member.h"
-#include "myrtlecroft/terms.h"
+#include "consensus/raft_node.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft::agreement {
 
-class Contact {
+class LeaderLease {
  public:
-  Contact(consensus::InstanceId self, Nanos lasts) : self_(self), lasts_(lasts) {}
+  LeaderLease(consensus::InstanceId self, Nanos lasts) : self_(self), lasts_(lasts) {}
 
   // The stamps of a word to another instance, and whom we follow.
   void fill(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader, Nanos now,
-            consensus::Word& word) const;
+            consensus::Heartbeat& word) const;
   // A word that came. `term` and `leader` are ours at this moment.
-  void heard(consensus::InstanceId from, const consensus::Word& word, std::uint64_t term,
+  void heard(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
              consensus::InstanceId leader);
   void gone(consensus::InstanceId one) { peers_.erase(one); }
 
@@ -32,7 +32,7 @@
     Nanos at = certain_at(term, leader, voters);
     return at > 0 && now - at < lasts_ ? std::min(lasts_, lasts_ - (now - at)) : 0;
   }
-  bool in_touch(std::uint64_t term, consensus::InstanceId leader, std::size_t voters, Nanos now) const {
+  bool has_quorum(std::uint64_t term, consensus::InstanceId leader, std::size_t voters, Nanos now) const {
     return holds_for(term, leader, voters, now) > 0;
   }
 
--- a/src/agreement/outings.cpp
+++ b/src/agreement/maintenance_state.cpp
@@ -1,30 +1,30 @@
-#include "agreement/outings.h"
+#include "agreement/maintenance_state.h"
 
 #include <algorithm>
 
-#include "routing/members.h"
+#include "routing/server_registry.h"
 
 namespace myrtlecroft::agreement {
 namespace {
 
-constexpr std::uint64_t kOne = 1000;      // thousandths
-constexpr std::size_t kMostResults = 32;  // of commands, that are still known
+constexpr std::uint64_t kOne = 1000;     // thousandths
+constexpr std::size_t kMaxResults = 32;  // of commands, that are still known
 
 struct TripRule {
-  TripPlace place;
-  TripInput input;
-  TripPlace next;
+  MaintenancePhase place;
+  MaintenanceInput input;
+  MaintenancePhase next;
 };
 
-// A grant, a node that is warm, an extension and giving up have no row: they begin, end or keep a place.
+// A grant, a server that is warm, an extension and giving up have no row: they begin, end or keep a place.
 constexpr TripRule kTripRules[] = {
-    {TripPlace::kEmptying, TRIP_EMPTIED, TripPlace::kEmpty},
-    {TripPlace::kEmpty, TRIP_ORDER, TripPlace::kOrdered},
-    {TripPlace::kOrdered, TRIP_CAME_BACK, TripPlace::kWarming},
-    {TripPlace::kEmptying, TRIP_CALL_BACK, TripPlace::kReturning},
-    {TripPlace::kEmpty, TRIP_CALL_BACK, TripPlace::kReturning},
-    {TripPlace::kOrdered, TRIP_CALL_BACK, TripPlace::kReturning},
-    {TripPlace::kReturning, TRIP_CAME_BACK, TripPlace::kWarming},  // it had gone all the same
+    {MaintenancePhase::kEmptying, TRIP_EMPTIED, MaintenancePhase::kEmpty},
+    {MaintenancePhase::kEmpty, TRIP_ORDER, MaintenancePhase::kOrdered},
+    {MaintenancePhase::kOrdered, TRIP_CAME_BACK, MaintenancePhase::kWarming},
+    {MaintenancePhase::kEmptying, TRIP_CALL_BACK, MaintenancePhase::kReturning},
+    {MaintenancePhase::kEmpty, TRIP_CALL_BACK, MaintenancePhase::kReturning},
+    {MaintenancePhase::kOrdered, TRIP_CALL_BACK, MaintenancePhase::kReturning},
+    {MaintenancePhase::kReturning, TRIP_CAME_BACK, MaintenancePhase::kWarming},  // it had gone all the same
 };
 
 struct ReleaseRule {
@@ -54,12 +54,12 @@
 };
 
 bool serves(const routing_state::NodeMemory& node) {
-  return node.state() == routing::name_of(routing::State::kServing);
+  return node.state() == routing::name_of(routing::ServerState::kServing);
 }
 
 }  // namespace
 
-const char* name_of(TripPlace place) {
+const char* name_of(MaintenancePhase place) {
   constexpr const char* names[kTripPlaces] = {"emptying", "empty", "ordered", "warming", "returning"};
   return names[static_cast<std::size_t>(place)];
 }
@@ -85,12 +85,12 @@
   }
 }
 
-bool Outings::says_something(const Decision& decision) {
+bool MaintenanceState::says_something(const Decision& decision) {
   return decision.has_budgets() || decision.trips_size() > 0 || decision.drains_size() > 0 ||
          decision.has_release() || decision.results_size() > 0;
 }
 
-bool Outings::apply(const Decision& decision, const Around& around) {
+bool MaintenanceState::apply(const Decision& decision, const Around& around) {
   orders_changed_ = false;
   if (decision.has_budgets()) {
     budgets_ = decision.budgets();
@@ -100,66 +100,68 @@
   for (const DrainStep& one : decision.drains()) {
     if (one.wanted() == drains_.contains(one.node())) return false;
     one.wanted() ? void(drains_.insert(one.node())) : void(drains_.erase(one.node()));
-    auto trip = trips_.find(one.node());
-    bool ends = !one.wanted() && trip != trips_.end() && trip->second.why == WHY_DRAIN;
-    if (ends && trip->second.gets_nothing()) enter(trip->second, TripPlace::kReturning, around);
+    auto lease = leases_.find(one.node());
+    bool ends = !one.wanted() && lease != leases_.end() && lease->second.why == WHY_DRAIN;
+    if (ends && lease->second.gets_nothing()) enter(lease->second, MaintenancePhase::kReturning, around);
   }
   if (decision.has_release() && !step(decision.release(), around)) return false;
-  for (const TripStep& one : decision.trips()) {
+  for (const MaintenanceStep& one : decision.trips()) {
     if (!step(one, around)) return false;
   }
   // What is shown out from now on is out in this publication.
   for (const routing_state::NodeRoute& node : around.picture.nodes()) {
-    auto trip = trips_.find(node.name());
-    if (trip == trips_.end() || trip->second.shown_in != 0 || !trip->second.gets_nothing()) continue;
-    if (node.weight() == 0) trip->second.shown_in = around.picture.number();
+    auto lease = leases_.find(node.name());
+    if (lease == leases_.end() || lease->second.shown_in != 0 || !lease->second.gets_nothing()) continue;
+    if (node.weight() == 0) lease->second.shown_in = around.picture.number();
   }
   std::vector<std::string> over;
-  for (const auto& [node, trip] : trips_) {
-    if (trip.until <= around.time) over.push_back(node);
+  for (const auto& [node, lease] : leases_) {
+    if (lease.until <= around.time) over.push_back(node);
   }
   for (const std::string& node : over) end(node, "its permit ran out");
   for (const CommandResult& one : decision.results()) {
     if (result(one.id())) return false;
     results_.push_back(one);
-    if (results_.size() > kMostResults) results_.pop_front();
+    if (results_.size() > kMaxResults) results_.pop_front();
   }
   return true;
 }
 
-// ---- Nodes that are out
+// ---- Servers that are out
 
-void Outings::enter(AgreedTrip& trip, TripPlace place, const Around& around) {
-  if (trip.place == TripPlace::kOrdered && place == TripPlace::kReturning) trip.recalled = around.number;
-  orders_changed_ = orders_changed_ || trip.place == TripPlace::kOrdered || place == TripPlace::kOrdered;
-  trip.place = place;
-  trip.since = around.time;
+void MaintenanceState::enter(MaintenanceLease& lease, MaintenancePhase place, const Around& around) {
+  if (lease.place == MaintenancePhase::kOrdered && place == MaintenancePhase::kReturning)
+    lease.recalled = around.number;
+  orders_changed_ =
+      orders_changed_ || lease.place == MaintenancePhase::kOrdered || place == MaintenancePhase::kOrdered;
+  lease.place = place;
+  lease.since = around.time;
 }
 
-void Outings::mark_failed(const std::string& node, const std::string& failed) {
-  for (Taken& one : *release_.mutable_taken()) {
+void MaintenanceState::mark_failed(const std::string& node, const std::string& failed) {
+  for (UpdatedServer& one : *release_.mutable_taken()) {
     if (one.node() == node) one.set_failed(failed);
   }
 }
 
-void Outings::end(const std::string& node, const std::string& failed) {
-  const AgreedTrip& trip = trips_.at(node);
-  orders_changed_ = orders_changed_ || trip.place == TripPlace::kOrdered;
-  if (!failed.empty() && trip.why != WHY_DRAIN) mark_failed(node, failed);
-  trips_.erase(node);
+void MaintenanceState::end(const std::string& node, const std::string& failed) {
+  const MaintenanceLease& lease = leases_.at(node);
+  orders_changed_ = orders_changed_ || lease.place == MaintenancePhase::kOrdered;
+  if (!failed.empty() && lease.why != WHY_DRAIN) mark_failed(node, failed);
+  leases_.erase(node);
 }
 
-std::uint64_t Outings::capacity_of(const std::string& node) const {
+std::uint64_t MaintenanceState::capacity_of(const std::string& node) const {
   auto found = capacities_.find(node);
   return found == capacities_.end() ? 0 : found->second;
 }
 
-bool Outings::is_out(const std::string& node, const Nodes& nodes) const {
+bool MaintenanceState::is_out(const std::string& node, const Nodes& nodes) const {
   auto known = nodes.find(node);
-  return trips_.contains(node) || known == nodes.end() || !serves(known->second);
+  return leases_.contains(node) || known == nodes.end() || !serves(known->second);
 }
 
-std::uint64_t Outings::out_of(const Budget& budget, const Nodes& nodes) const {
+std::uint64_t MaintenanceState::out_of(const Budget& budget, const Nodes& nodes) const {
   std::uint64_t out = 0;
   for (const std::string& node : budget.nodes()) {
     if (is_out(node, nodes)) out += budget.by_count() ? kOne : capacity_of(node);
@@ -169,11 +171,12 @@
 
 // One that is out for its health, and would not come back by itself, takes nothing more; one that is on its
 // way back counts like any other. Where nothing may be out, nothing goes by choice.
-const Budget* Outings::bound_by(const std::string& node, const Nodes& nodes) const {
+const Budget* MaintenanceState::bound_by(const std::string& node, const Nodes& nodes) const {
   bool already = is_out(node, nodes);
   auto known = nodes.find(node);
-  bool stuck = known != nodes.end() && (known->second.state() == routing::name_of(routing::State::kSick) ||
-                                        known->second.state() == routing::name_of(routing::State::kMute));
+  bool stuck = known != nodes.end() &&
+               (known->second.state() == routing::name_of(routing::ServerState::kUnhealthy) ||
+                known->second.state() == routing::name_of(routing::ServerState::kUnresponsive));
   for (const Budget& budget : budgets_.budgets()) {
     if (std::find(budget.nodes().begin(), budget.nodes().end(), node) == budget.nodes().end()) continue;
     std::uint64_t more = already ? 0 : budget.by_count() ? kOne : capacity_of(node);
@@ -182,11 +185,11 @@
   return nullptr;
 }
 
-bool Outings::grant(const TripStep& step, const Around& around) {
+bool MaintenanceState::grant(const MaintenanceStep& step, const Around& around) {
   auto known = around.nodes.find(step.node());
-  if (trips_.contains(step.node()) || known == around.nodes.end() || step.for_ns() <= 0) return false;
+  if (leases_.contains(step.node()) || known == around.nodes.end() || step.for_ns() <= 0) return false;
   if (capacity_of(step.node()) == 0 || bound_by(step.node(), around.nodes)) return false;
-  const Taken* before = taken(step.node());
+  const UpdatedServer* before = taken(step.node());
   switch (step.why()) {
     case WHY_DRAIN:
       if (!drains_.contains(step.node())) return false;
@@ -196,7 +199,7 @@
       if (before) {
         if (!before->failed().empty()) return false;
       } else {
-        Taken& now = *release_.add_taken();
+        UpdatedServer& now = *release_.add_taken();
         now.set_node(step.node());
         now.set_from_version(known->second.version());
         now.set_wave(release_.wave());
@@ -208,89 +211,89 @@
     default:
       return false;
   }
-  trips_[step.node()] = {.place = TripPlace::kEmptying,
-                         .why = step.why(),
-                         .version = step.version(),
-                         .life = known->second.life(),
-                         .shown_in = 0,
-                         .recalled = 0,
-                         .granted = around.time,
-                         .since = around.time,
-                         .until = around.time + step.for_ns()};
+  leases_[step.node()] = {.place = MaintenancePhase::kEmptying,
+                          .why = step.why(),
+                          .version = step.version(),
+                          .incarnation = known->second.life(),
+                          .shown_in = 0,
+                          .recalled = 0,
+                          .granted = around.time,
+                          .since = around.time,
+                          .until = around.time + step.for_ns()};
   return true;
 }
 
-bool Outings::step(const TripStep& step, const Around& around) {
+bool MaintenanceState::step(const MaintenanceStep& step, const Around& around) {
   if (step.input() == TRIP_GRANT) return grant(step, around);
-  auto found = trips_.find(step.node());
-  if (found == trips_.end()) return false;
-  AgreedTrip& trip = found->second;
+  auto found = leases_.find(step.node());
+  if (found == leases_.end()) return false;
+  MaintenanceLease& lease = found->second;
   auto known = around.nodes.find(step.node());
-  std::uint64_t life = known == around.nodes.end() ? 0 : known->second.life();
+  std::uint64_t incarnation = known == around.nodes.end() ? 0 : known->second.life();
   bool serving = known != around.nodes.end() && serves(known->second);
   switch (step.input()) {
     case TRIP_EXTEND:
       if (step.for_ns() <= 0) return false;
-      trip.until = around.time + step.for_ns();
+      lease.until = around.time + step.for_ns();
       return true;
     case TRIP_GIVE_UP:
       end(step.node(), step.reason());
       return true;
     case TRIP_WARM: {
-      bool stayed = trip.place == TripPlace::kReturning && life == trip.life;
-      if (!serving || !(stayed || trip.place == TripPlace::kWarming)) return false;
+      bool stayed = lease.place == MaintenancePhase::kReturning && incarnation == lease.incarnation;
+      if (!serving || !(stayed || lease.place == MaintenancePhase::kWarming)) return false;
       end(step.node(), "");
       return true;
     }
     case TRIP_EMPTIED:
-      if (trip.shown_in == 0 || around.applied < trip.shown_in) return false;
+      if (lease.shown_in == 0 || around.applied < lease.shown_in) return false;
       break;
     case TRIP_ORDER:
-      if (trip.why == WHY_DRAIN || life != trip.life) return false;
+      if (lease.why == WHY_DRAIN || incarnation != lease.incarnation) return false;
       break;
     case TRIP_CAME_BACK:
-      if (life == trip.life) return false;
-      if (trip.place == TripPlace::kOrdered && known->second.version() != trip.version) return false;
+      if (incarnation == lease.incarnation) return false;
+      if (lease.place == MaintenancePhase::kOrdered && known->second.version() != lease.version) return false;
       break;
     case TRIP_CALL_BACK:
-      if (!step.reason().empty() && trip.why != WHY_DRAIN) mark_failed(step.node(), step.reason());
+      if (!step.reason().empty() && lease.why != WHY_DRAIN) mark_failed(step.node(), step.reason());
       break;
     default:
       return false;
   }
   for (const TripRule& rule : kTripRules) {
-    if (rule.place != trip.place || rule.input != step.input()) continue;
-    enter(trip, rule.next, around);
+    if (rule.place != lease.place || rule.input != step.input()) continue;
+    enter(lease, rule.next, around);
     return true;
   }
   return false;
 }
 
-std::set<std::string> Outings::called_out() const {
+std::set<std::string> MaintenanceState::called_out() const {
   std::set<std::string> out;
-  for (const auto& [node, trip] : trips_) {
-    if (trip.gets_nothing()) out.insert(node);
+  for (const auto& [node, lease] : leases_) {
+    if (lease.gets_nothing()) out.insert(node);
   }
   return out;
 }
 
 // ---- A release
 
-const Taken* Outings::taken(const std::string& node) const {
-  for (const Taken& one : release_.taken()) {
+const UpdatedServer* MaintenanceState::taken(const std::string& node) const {
+  for (const UpdatedServer& one : release_.taken()) {
     if (one.node() == node) return &one;
   }
   return nullptr;
 }
 
 // At once, also those that have their order: a later one says that they may stay.
-void Outings::call_back(Why why, const Around& around) {
-  for (auto& [node, trip] : trips_) {
-    if (trip.why == why && trip.gets_nothing()) enter(trip, TripPlace::kReturning, around);
+void MaintenanceState::call_back(Why why, const Around& around) {
+  for (auto& [node, lease] : leases_) {
+    if (lease.why == why && lease.gets_nothing()) enter(lease, MaintenancePhase::kReturning, around);
   }
 }
 
-bool Outings::step(const ReleaseStep& step, const Around& around) {
+bool MaintenanceState::step(const ReleaseStep& step, const Around& around) {
   for (const ReleaseRule& rule : kReleaseRules) {
     if (rule.phase != release_.phase() || rule.input != step.input()) continue;
     switch (step.input()) {
@@ -313,7 +316,7 @@
         call_back(WHY_RELEASE, around);
         [[fallthrough]];
       case RELEASE_RESUME:
-        for (Taken& one : *release_.mutable_taken()) one.clear_failed();
+        for (UpdatedServer& one : *release_.mutable_taken()) one.clear_failed();
         break;
       default:
         break;
@@ -326,7 +329,7 @@
   return false;
 }
 
-const CommandResult* Outings::result(std::uint64_t id) const {
+const CommandResult* MaintenanceState::result(std::uint64_t id) const {
   for (const CommandResult& one : results_) {
     if (one.id() == id) return &one;
   }
@@ -335,40 +338,40 @@
 
 // ---- As bytes
 
-void Outings::fill(OutingsImage& out) const {
+void MaintenanceState::fill(MaintenanceImage& out) const {
   *out.mutable_budgets() = budgets_;
-  for (const auto& [node, trip] : trips_) {
-    Trip& to = *out.add_trips();
+  for (const auto& [node, lease] : leases_) {
+    MaintenanceLeaseRecord& to = *out.add_trips();
     to.set_node(node);
-    to.set_place(static_cast<std::uint32_t>(trip.place));
-    to.set_why(trip.why);
-    to.set_version(trip.version);
-    to.set_life(trip.life);
-    to.set_shown_in(trip.shown_in);
-    to.set_recalled(trip.recalled);
-    to.set_granted_ns(trip.granted);
-    to.set_since_ns(trip.since);
-    to.set_until_ns(trip.until);
+    to.set_place(static_cast<std::uint32_t>(lease.place));
+    to.set_why(lease.why);
+    to.set_version(lease.version);
+    to.set_life(lease.incarnation);
+    to.set_shown_in(lease.shown_in);
+    to.set_recalled(lease.recalled);
+    to.set_granted_ns(lease.granted);
+    to.set_since_ns(lease.since);
+    to.set_until_ns(lease.until);
   }
   for (const std::string& node : drains_) out.add_drains(node);
   *out.mutable_release() = release_;
   for (const CommandResult& one : results_) *out.add_results() = one;
 }
 
-bool Outings::restore(const OutingsImage& in) {
+bool MaintenanceState::restore(const MaintenanceImage& in) {
   budgets_ = in.budgets();
   for (const Capacity& one : budgets_.capacities()) capacities_[one.node()] = one.capacity();
-  for (const Trip& trip : in.trips()) {
-    if (trip.place() >= kTripPlaces) return false;
-    trips_[trip.node()] = {.place = static_cast<TripPlace>(trip.place()),
-                           .why = trip.why(),
-                           .version = trip.version(),
-                           .life = trip.life(),
-                           .shown_in = trip.shown_in(),
-                           .recalled = trip.recalled(),
-                           .granted = trip.granted_ns(),
-                           .since = trip.since_ns(),
-                           .until = trip.until_ns()};
+  for (const MaintenanceLeaseRecord& lease : in.trips()) {
+    if (lease.place() >= kTripPlaces) return false;
+    leases_[lease.node()] = {.place = static_cast<MaintenancePhase>(lease.place()),
+                             .why = lease.why(),
+                             .version = lease.version(),
+                             .incarnation = lease.life(),
+                             .shown_in = lease.shown_in(),
+                             .recalled = lease.recalled(),
+                             .granted = lease.granted_ns(),
+                             .since = lease.since_ns(),
+                             .until = lease.until_ns()};
   }
   drains_.insert(in.drains().begin(), in.drains().end());
   release_ = in.release();
--- a/src/agreement/outings.h
+++ b/src/agreement/maintenance_state.h
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "agreement.pb.h"
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft::agreement {
 
-// Where a node that may be out by choice stands (docs/design/releases.md has the table).
-enum class TripPlace {
+// Where a server that may be out by choice stands (docs/design/releases.md has the table).
+enum class MaintenancePhase {
   kEmptying,  // it gets nothing new, and its keys close
   kEmpty,     // no proxy sends to it, and it holds nothing
   kOrdered,   // told to end and to come back in another version
@@ -23,29 +23,30 @@
   kReturning  // called back
 };
 constexpr int kTripPlaces = 5;
-const char* name_of(TripPlace place);
+const char* name_of(MaintenancePhase place);
 const char* name_of(Phase phase);
 
-struct AgreedTrip {
-  TripPlace place = TripPlace::kEmptying;
+struct MaintenanceLease {
+  MaintenancePhase place = MaintenancePhase::kEmptying;
   Why why = WHY_DRAIN;
-  std::uint32_t version = 0;   // to come back in; of no use in a drain
-  std::uint64_t life = 0;      // that was let out
-  std::uint64_t shown_in = 0;  // the publication that first showed it out; 0: none yet
+  std::uint32_t version = 0;      // to come back in; of no use in a drain
+  std::uint64_t incarnation = 0;  // that was let out
+  std::uint64_t shown_in = 0;     // the publication that first showed it out; 0: none yet
   // The decision that called it back once it had its order: until it says that it acts on that one or a
   // later, it may yet go by the order. 0: it had none.
   std::uint64_t recalled = 0;
-  // Agreed times. Over `until` the permit has run out, and the node counts by what it is.
+  // Agreed times. Over `until` the permit has run out, and the server counts by what it is.
   Nanos granted = 0;
   Nanos since = 0;
   Nanos until = 0;
 
   bool gets_nothing() const {
-    return place == TripPlace::kEmptying || place == TripPlace::kEmpty || place == TripPlace::kOrdered;
+    return place == MaintenancePhase::kEmptying || place == MaintenancePhase::kEmpty ||
+           place == MaintenancePhase::kOrdered;
   }
 };
 
-class Outings {
+class MaintenanceState {
  public:
   using Nodes = std::map<std::string, routing_state::NodeMemory>;
   // What else is agreed, as the decision leaves it.
@@ -60,13 +61,13 @@
   bool apply(const Decision& decision, const Around& around);
   static bool says_something(const Decision& decision);
 
-  void fill(OutingsImage& out) const;
-  bool restore(const OutingsImage& in);
+  void fill(MaintenanceImage& out) const;
+  bool restore(const MaintenanceImage& in);
 
-  const std::map<std::string, AgreedTrip>& trips() const { return trips_; }
-  const AgreedTrip* trip(const std::string& node) const {
-    auto found = trips_.find(node);
-    return found == trips_.end() ? nullptr : &found->second;
+  const std::map<std::string, MaintenanceLease>& leases() const { return leases_; }
+  const MaintenanceLease* lease(const std::string& node) const {
+    auto found = leases_.find(node);
+    return found == leases_.end() ? nullptr : &found->second;
   }
   const std::set<std::string>& drains() const { return drains_; }
   const Release& release() const { return release_; }
@@ -76,22 +77,22 @@
   }
   const Budgets& budgets() const { return budgets_; }
   const CommandResult* result(std::uint64_t id) const;
-  const Taken* taken(const std::string& node) const;
+  const UpdatedServer* taken(const std::string& node) const;
 
-  // Nodes that proxies are to send nothing.
+  // Servers that proxies are to send nothing.
   std::set<std::string> called_out() const;
   // Capacity in thousandths that is out of a budget, by choice or not.
   std::uint64_t out_of(const Budget& budget, const Nodes& nodes) const;
-  // The budget that would be broken if this node went out too; nullptr: none.
+  // The budget that would be broken if this server went out too; nullptr: none.
   const Budget* bound_by(const std::string& node, const Nodes& nodes) const;
-  // Whether orders to nodes are others than before the last decision.
+  // Whether orders to servers are others than before the last decision.
   bool orders_changed() const { return orders_changed_; }
 
  private:
-  bool step(const TripStep& step, const Around& around);
-  bool grant(const TripStep& step, const Around& around);
+  bool step(const MaintenanceStep& step, const Around& around);
+  bool grant(const MaintenanceStep& step, const Around& around);
   bool step(const ReleaseStep& step, const Around& around);
-  void enter(AgreedTrip& trip, TripPlace place, const Around& around);
+  void enter(MaintenanceLease& lease, MaintenancePhase place, const Around& around);
   void call_back(Why why, const Around& around);
   void end(const std::string& node, const std::string& failed);
   void mark_failed(const std::string& node, const std::string& failed);
@@ -100,7 +101,7 @@
 
   Budgets budgets_;
   std::map<std::string, std::uint64_t> capacities_;
-  std::map<std::string, AgreedTrip> trips_;
+  std::map<std::string, MaintenanceLease> leases_;
   std::set<std::string> drains_;
   Release release_;
   std::deque<CommandResult> results_;
--- a/src/agreement/draft.cpp
+++ b/src/agreement/proposal.cpp
@@ -1,4 +1,4 @@
-#include "agreement/draft.h"
+#include "agreement/proposal.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,22 +17,24 @@
 // By which step one state follows from another; none where none leads there.
 Step step_between(const Shard& from, const Shard& to) {
   if (from.state == to.state) {
-    return to.state == ShardState::kOwned && from.owner == to.owner && from.life == 0 && to.life != 0
+    return to.state == ShardState::kOwned && from.owner == to.owner && from.incarnation == 0 &&
+                   to.incarnation != 0
                ? STEP_LEARN
                : STEP_NONE;
   }
   switch (to.state) {
     case ShardState::kClosing:
       return STEP_CLOSE;
-    case ShardState::kCooling:
+    case ShardState::kQuarantined:
       return STEP_COOL;
     case ShardState::kOwned:
-      return from.owner == to.owner && from.life == to.life && !from.moves ? STEP_REOPEN : STEP_HAND_OVER;
+      return from.owner == to.owner && from.incarnation == to.incarnation && !from.moves ? STEP_REOPEN
+                                                                                         : STEP_HAND_OVER;
   }
   return STEP_NONE;
 }
 
-void draft_shards(const State& agreed, const Leading& leading, Decision& out) {
+void draft_shards(const ReplicatedState& agreed, const Leading& leading, Decision& out) {
   const std::vector<Shard>& wanted = leading.router->shards().all();
   bool begins = agreed.shards().size() != wanted.size();
   if (begins) {
@@ -48,32 +50,32 @@
     to.set_shard(static_cast<std::uint32_t>(at));
     to.set_step(step);
     to.set_owner(wanted[at].owner);
-    to.set_life(wanted[at].life);
+    to.set_life(wanted[at].incarnation);
     to.set_moves(wanted[at].moves);
   }
 }
 
-void draft_nodes(const State& agreed, const Leading& leading, Decision& out) {
-  const routing::Members& members = leading.router->members();
-  for (const routing::Member& member : members.all()) {
-    auto known = agreed.nodes().find(member.node.name);
-    const char* state = routing::name_of(member.state);
+void draft_nodes(const ReplicatedState& agreed, const Leading& leading, Decision& out) {
+  const routing::ServerRegistry& members = leading.router->registry();
+  for (const routing::ServerStatus& server : members.all()) {
+    auto known = agreed.nodes().find(server.node.name);
+    const char* state = routing::name_of(server.state);
     bool same = known != agreed.nodes().end() && known->second.state() == state &&
-                known->second.life() == member.life && known->second.flaps() == member.flaps &&
-                (known->second.version() == member.version || leading.format < kOutingsFormat) &&
-                std::abs(known->second.weight() - member.weight) < kWeightWorthAgreeing;
+                known->second.life() == server.incarnation && known->second.flaps() == server.flaps &&
+                (known->second.version() == server.version || leading.format < kOutingsFormat) &&
+                std::abs(known->second.weight() - server.weight) < kWeightWorthAgreeing;
     if (same) continue;
     *out.add_nodes() = routing_state::to_proto(
-        routing::Memory::Node{member.node.name, member.state, member.life, member.weight, member.flaps,
-                              leading.format < kOutingsFormat ? 0 : member.version});
+        routing::PersistedState::Node{server.node.name, server.state, server.incarnation, server.weight,
+                                      server.flaps, leading.format < kOutingsFormat ? 0 : server.version});
   }
   for (const auto& [name, node] : agreed.nodes()) {
-    if (!members.member(name)) out.add_nodes_gone(name);
+    if (!members.server(name)) out.add_nodes_gone(name);
   }
 }
 
 // Both are in order, and walked through once.
-void draft_proxies(const State& agreed, const std::set<std::string>& here, Decision& out) {
+void draft_proxies(const ReplicatedState& agreed, const std::set<std::string>& here, Decision& out) {
   auto known = agreed.proxies().begin();
   const auto end = agreed.proxies().end();
   auto pass = [&] {
@@ -89,10 +91,10 @@
   while (known != end) pass();
 }
 
-bool say_the_same(const google::protobuf::RepeatedPtrField<consensus::ProxyWord>& one,
-                  const google::protobuf::RepeatedPtrField<consensus::ProxyWord>& other) {
+bool say_the_same(const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& one,
+                  const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& other) {
   return std::equal(one.begin(), one.end(), other.begin(), other.end(),
-                    [](const consensus::ProxyWord& left, const consensus::ProxyWord& right) {
+                    [](const consensus::ProxyStatus& left, const consensus::ProxyStatus& right) {
                       return left.id() == right.id() && left.applied() == right.applied() &&
                              left.here() == right.here();
                     });
@@ -100,13 +102,14 @@
 
 }  // namespace
 
-void ProxyBook::told(consensus::InstanceId by,
-                     const google::protobuf::RepeatedPtrField<consensus::ProxyWord>& proxies, Nanos now) {
+void ProxyRegistry::told(consensus::InstanceId by,
+                         const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies,
+                         Nanos now) {
   auto before = by_instance_.find(by);
   if (before != by_instance_.end() && say_the_same(before->second.words, proxies)) return told_again(by, now);
   ++revision_;
   Told next{.at = now, .words = proxies, .proxies = {}};
-  for (const consensus::ProxyWord& proxy : proxies) next.proxies[proxy.id()] = proxy;
+  for (const consensus::ProxyStatus& proxy : proxies) next.proxies[proxy.id()] = proxy;
   for (const auto& [id, was] : by_instance_[by].proxies) {
     auto found = next.proxies.find(id);
     if (was.here() && (found == next.proxies.end() || !found->second.here())) last_[id] = was.applied();
@@ -114,7 +117,7 @@
   by_instance_[by] = std::move(next);
 }
 
-ProxyBook::Basis ProxyBook::basis(const State& agreed, Nanos now) const {
+ProxyRegistry::Basis ProxyRegistry::basis(const ReplicatedState& agreed, Nanos now) const {
   Basis out{.revision = revision_, .proxies_epoch = agreed.proxies_epoch(), .fresh = {}};
   for (const auto& [instance, told] : by_instance_) {
     if (now - told.at <= fresh_for_) out.fresh.push_back(instance);
@@ -122,16 +125,16 @@
   return out;
 }
 
-std::uint64_t ProxyBook::applied_by_all(const State& agreed, Nanos now) {
+std::uint64_t ProxyRegistry::applied_by_all(const ReplicatedState& agreed, Nanos now) {
   Basis of = basis(agreed, now);
-  if (of != least_of_) {
-    least_ = least_applied(agreed, now);
-    least_of_ = std::move(of);
+  if (of != min_of_) {
+    min_ = min_applied(agreed, now);
+    min_of_ = std::move(of);
   }
-  return std::min(agreed.published(), least_);
+  return std::min(agreed.published(), min_);
 }
 
-std::uint64_t ProxyBook::least_applied(const State& agreed, Nanos now) const {
+std::uint64_t ProxyRegistry::min_applied(const ReplicatedState& agreed, Nanos now) const {
   std::uint64_t out = std::numeric_limits<std::uint64_t>::max();
   for (const auto& [id, gone] : agreed.proxies()) {
     // The least that those say who have it; of fresh words, else of old ones.
@@ -140,8 +143,8 @@
     for (const auto& [instance, told] : by_instance_) {
       auto found = told.proxies.find(id);
       if (found == told.proxies.end() || !found->second.here()) continue;
-      std::optional<std::uint64_t>& least = now - told.at <= fresh_for_ ? fresh : old;
-      least = least ? std::min(*least, found->second.applied()) : found->second.applied();
+      std::optional<std::uint64_t>& min = now - told.at <= fresh_for_ ? fresh : old;
+      min = min ? std::min(*min, found->second.applied()) : found->second.applied();
     }
     auto last = last_.find(id);
     std::uint64_t left = last == last_.end() ? 0 : last->second;
@@ -150,7 +153,7 @@
   return out;
 }
 
-const std::set<std::string>& ProxyBook::here() {
+const std::set<std::string>& ProxyRegistry::here() {
   if (here_of_ == revision_) return here_;
   here_of_ = revision_;
   here_.clear();
@@ -162,7 +165,7 @@
   return here_;
 }
 
-Decision draft(const State& agreed, const Leading& leading) {
+Decision draft(const ReplicatedState& agreed, const Leading& leading) {
   Decision out;
   out.set_format(leading.format);
   const fleet::Fleet& fleet = leading.router->fleet();
@@ -182,7 +185,7 @@
   for (const auto& [id, said] : leading.instances) {
     auto known = agreed.instances().find(id);
     if (known != agreed.instances().end() && known->second == said) continue;
-    InstanceWord& word = *out.add_instances();
+    InstanceRecord& word = *out.add_instances();
     word.set_id(id);
     word.set_format(said.format);
     word.set_settings(said.settings);
@@ -197,7 +200,8 @@
   return decision.begin_shards() > 0 || decision.window_ns() > 0 || decision.forget_proxies_ns() > 0 ||
          decision.nodes_size() > 0 || decision.nodes_gone_size() > 0 || decision.shards_size() > 0 ||
          decision.has_picture() || decision.proxies_here_size() > 0 || decision.proxies_gone_size() > 0 ||
-         Outings::says_something(decision) || decision.instances_size() > 0 || decision.instances_gone_size() > 0;
+         MaintenanceState::says_something(decision) || decision.instances_size() > 0 ||
+         decision.instances_gone_size() > 0;
 }
 
 }  // namespace myrtlecroft::agreement
--- a/src/agreement/draft.h
+++ b/src/agreement/proposal.h
@@ -10,22 +10,22 @@
 #include <string>
 #include <vector>
 
-#include "agreement/state.h"
-#include "consensus/member.h"
+#include "agreement/replicated_state.h"
+#include "consensus/raft_node.h"
 #include "routing/router.h"
 
 namespace myrtlecroft::agreement {
 
 // Where the proxies are, as the instances said last.
-class ProxyBook {
+class ProxyRegistry {
  public:
   // A word counts before older ones for so long. After that it counts only for proxies that nobody else has:
   // one that has moved on is not held to what a dead instance said of it last.
-  explicit ProxyBook(Nanos fresh_for) : fresh_for_(fresh_for) {}
+  explicit ProxyRegistry(Nanos fresh_for) : fresh_for_(fresh_for) {}
 
   // All that one instance says of its proxies.
-  void told(consensus::InstanceId by, const google::protobuf::RepeatedPtrField<consensus::ProxyWord>& proxies,
-            Nanos now);
+  void told(consensus::InstanceId by,
+            const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies, Nanos now);
   // It says the same as before.
   void told_again(consensus::InstanceId by, Nanos now) { by_instance_[by].at = now; }
   void gone(consensus::InstanceId one) {
@@ -35,15 +35,15 @@
 
   // The publication that every proxy of the agreed list has applied, or a later one; of one that is not known
   // to be anywhere, the last that it was known to have.
-  std::uint64_t applied_by_all(const State& agreed, Nanos now);
+  std::uint64_t applied_by_all(const ReplicatedState& agreed, Nanos now);
   const std::set<std::string>& here();
 
  private:
-  using Words = google::protobuf::RepeatedPtrField<consensus::ProxyWord>;
+  using Words = google::protobuf::RepeatedPtrField<consensus::ProxyStatus>;
   struct Told {
     Nanos at = 0;
     Words words;  // as they came
-    std::map<std::string, consensus::ProxyWord> proxies;
+    std::map<std::string, consensus::ProxyStatus> proxies;
   };
   // What the least of all proxies was found from: it is the same for as long as this is.
   struct Basis {
@@ -53,23 +53,23 @@
 
     bool operator==(const Basis&) const = default;
   };
-  Basis basis(const State& agreed, Nanos now) const;
-  std::uint64_t least_applied(const State& agreed, Nanos now) const;
+  Basis basis(const ReplicatedState& agreed, Nanos now) const;
+  std::uint64_t min_applied(const ReplicatedState& agreed, Nanos now) const;
 
   Nanos fresh_for_;
   std::map<consensus::InstanceId, Told> by_instance_;
   std::map<std::string, std::uint64_t> last_;  // applied, of those who left
   std::uint64_t revision_ = 1;                 // grows with each word that says something else than before
-  Basis least_of_;
-  std::uint64_t least_ = 0;
+  Basis min_of_;
+  std::uint64_t min_ = 0;
   std::uint64_t here_of_ = 0;  // the revision that `here_` is of
   std::set<std::string> here_;
 };
 
 struct Leading {
   const routing::Router* router = nullptr;
-  const routing::Published* next = nullptr;  // where the picture changed
-  ProxyBook* proxies = nullptr;
+  const routing::Published* next = nullptr;  // where the snapshot changed
+  ProxyRegistry* proxies = nullptr;
   std::map<std::uint64_t, AgreedInstance> instances;  // as they say
   std::set<std::uint64_t> members;                    // who belongs
   std::uint64_t applied = 0;                          // by all proxies, as the router was told
@@ -79,7 +79,7 @@
 
 // The parts of a decision that differ from the agreed state; basis, term and time are the proposer's to fill
 // in.
-Decision draft(const State& agreed, const Leading& leading);
+Decision draft(const ReplicatedState& agreed, const Leading& leading);
 // Whether there is anything in it but time.
 bool says_something(const Decision& decision);
 
--- a/src/agreement/state.cpp
+++ b/src/agreement/replicated_state.cpp
@@ -1,4 +1,4 @@
-#include "agreement/state.h"
+#include "agreement/replicated_state.h"
 
 #include <xxhash.h>
 
@@ -21,12 +21,12 @@
     {ShardState::kOwned, STEP_LEARN, ShardState::kOwned},
     {ShardState::kOwned, STEP_CLOSE, ShardState::kClosing},
     {ShardState::kClosing, STEP_REOPEN, ShardState::kOwned},
-    {ShardState::kClosing, STEP_COOL, ShardState::kCooling},
-    {ShardState::kCooling, STEP_REOPEN, ShardState::kOwned},
-    {ShardState::kCooling, STEP_HAND_OVER, ShardState::kOwned},
+    {ShardState::kClosing, STEP_COOL, ShardState::kQuarantined},
+    {ShardState::kQuarantined, STEP_REOPEN, ShardState::kOwned},
+    {ShardState::kQuarantined, STEP_HAND_OVER, ShardState::kOwned},
 };
 
-constexpr std::uint32_t kMostShards = 1 << 12;
+constexpr std::uint32_t kMaxShards = 1 << 12;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
   return names[static_cast<std::size_t>(verdict)];
 }
 
-Verdict State::apply(std::string_view entry) {
+Verdict ReplicatedState::apply(std::string_view entry) {
   Decision decision;
   if (!decision.ParseFromArray(entry.data(), static_cast<int>(entry.size()))) {
     ++refused_;
@@ -45,9 +45,9 @@
   return apply(decision);
 }
 
-Verdict State::apply(const Decision& decision) {
+Verdict ReplicatedState::apply(const Decision& decision) {
   if (decision.format() > knows_) return Verdict::kNewer;
-  State next = *this;
+  ReplicatedState next = *this;
   Verdict verdict = next.check_and_apply(decision);
   if (verdict == Verdict::kTaken) {
     *this = std::move(next);
@@ -57,31 +57,31 @@
   return verdict;
 }
 
-Verdict State::check_and_apply(const Decision& decision) {
+Verdict ReplicatedState::check_and_apply(const Decision& decision) {
   if (decision.term() < epoch_.term) return Verdict::kOldTerm;
   if (decision.basis() != epoch_.number) return Verdict::kOldBasis;
-  if (decision.elapsed_ns() < 0 || decision.elapsed_ns() > kMostElapsed) return Verdict::kTime;
+  if (decision.elapsed_ns() < 0 || decision.elapsed_ns() > kMaxElapsed) return Verdict::kTime;
   epoch_ = {decision.term(), epoch_.number + 1};
   form_ = std::max(form_, decision.format());
   time_ += decision.elapsed_ns();
   // A longer window holds for what cools already; so does a shorter one, as what it was made for is over.
   if (decision.window_ns() > 0) window_ = decision.window_ns();
   if (decision.forget_proxies_ns() > 0) forget_proxies_ = decision.forget_proxies_ns();
-  bool lives =
-      std::any_of(decision.nodes().begin(), decision.nodes().end(), [&](const routing_state::NodeMemory& node) {
-        auto known = nodes_.find(node.name());
-        return known == nodes_.end() || known->second.life() != node.life();
-      });
-  if (lives || decision.begin_shards() > 0 || decision.shards_size() > 0) owners_epoch_ = epoch_;
+  bool incarnations = std::any_of(decision.nodes().begin(), decision.nodes().end(),
+                                  [&](const routing_state::NodeMemory& node) {
+                                    auto known = nodes_.find(node.name());
+                                    return known == nodes_.end() || known->second.life() != node.life();
+                                  });
+  if (incarnations || decision.begin_shards() > 0 || decision.shards_size() > 0) owners_epoch_ = epoch_;
   for (const routing_state::NodeMemory& node : decision.nodes()) nodes_[node.name()] = node;
   for (const std::string& name : decision.nodes_gone()) nodes_.erase(name);
 
-  if (decision.begin_shards() > kMostShards) return Verdict::kShards;
+  if (decision.begin_shards() > kMaxShards) return Verdict::kShards;
   if (decision.begin_shards() > 0) {
     // What ran where is not known, unless nothing ever ran.
     if (decision.first_start() && epoch_.number != 1) return Verdict::kShards;
     Shard unknown;
-    unknown.state = decision.first_start() ? ShardState::kCooling : ShardState::kClosing;
+    unknown.state = decision.first_start() ? ShardState::kQuarantined : ShardState::kClosing;
     unknown.since = time_;
     shards_.assign(decision.begin_shards(), unknown);
   }
@@ -116,23 +116,26 @@
   if (decision.proxies_here_size() > 0 || decision.proxies_gone_size() > 0 || forgotten > 0)
     proxies_epoch_ = epoch_;
 
-  if (Outings::says_something(decision) && decision.format() < kOutingsFormat) return Verdict::kOutings;
-  if (!outings_.apply(decision, {nodes_, *picture_, decision.applied(), time_, epoch_.number})) return Verdict::kOutings;
+  if (MaintenanceState::says_something(decision) && decision.format() < kOutingsFormat)
+    return Verdict::kOutings;
+  if (!outings_.apply(decision, {nodes_, *picture_, decision.applied(), time_, epoch_.number}))
+    return Verdict::kOutings;
   if (outings_.orders_changed()) owners_epoch_ = epoch_;
-  for (const InstanceWord& one : decision.instances()) instances_[one.id()] = {one.format(), one.settings()};
+  for (const InstanceRecord& one : decision.instances())
+    instances_[one.id()] = {one.format(), one.settings()};
   for (std::uint64_t id : decision.instances_gone()) instances_.erase(id);
   return Verdict::kTaken;
 }
 
-Verdict State::step_shard(const ShardStep& step, const Decision& decision) {
+Verdict ReplicatedState::step_shard(const ShardStep& step, const Decision& decision) {
   if (step.shard() >= shards_.size()) return Verdict::kShards;
   Shard& shard = shards_[step.shard()];
   for (const ShardRule& rule : kShardRules) {
     if (rule.state != shard.state || rule.step != step.step()) continue;
     switch (rule.step) {
       case STEP_LEARN:
-        if (shard.life != 0 || step.life() == 0) return Verdict::kShards;
-        shard.life = step.life();
+        if (shard.incarnation != 0 || step.life() == 0) return Verdict::kShards;
+        shard.incarnation = step.life();
         return Verdict::kTaken;  // since when it is owned stays
       case STEP_CLOSE:
         shard.closed_in = 0;
@@ -140,7 +143,8 @@
         break;
       case STEP_REOPEN:
         // Who ran its keys goes on with them: nobody else did meanwhile.
-        if (shard.owner.empty() || shard.moves || step.owner() != shard.owner || step.life() != shard.life) {
+        if (shard.owner.empty() || shard.moves || step.owner() != shard.owner ||
+            step.life() != shard.incarnation) {
           return Verdict::kShards;
         }
         shard.closed_in = 0;
@@ -152,7 +156,7 @@
         bool first = epoch_.number == 1 && decision.first_start();
         if (step.owner().empty() || (!first && time_ - shard.since < window_)) return Verdict::kShards;
         shard.owner = step.owner();
-        shard.life = step.life();
+        shard.incarnation = step.life();
         shard.closed_in = 0;
         shard.moves = false;
         break;
@@ -167,7 +171,7 @@
   return Verdict::kShards;
 }
 
-bool State::shows_what_is_agreed(const routing_state::Snapshot& picture) const {
+bool ReplicatedState::shows_what_is_agreed(const routing_state::Snapshot& picture) const {
   if (static_cast<std::size_t>(picture.shards_size()) != shards_.size()) return false;
   for (std::size_t at = 0; at < shards_.size(); ++at) {
     int owner = picture.shards(static_cast<int>(at));
@@ -179,8 +183,8 @@
   return true;
 }
 
-std::string State::image() const {
-  Image out;
+std::string ReplicatedState::image() const {
+  StateImage out;
   out.set_format(form_);
   out.set_term(epoch_.term);
   out.set_number(epoch_.number);
@@ -191,10 +195,10 @@
   out.set_forget_proxies_ns(forget_proxies_);
   for (const auto& [name, node] : nodes_) *out.add_nodes() = node;
   for (const Shard& shard : shards_) {
-    ShardWord& to = *out.add_shards();
+    ShardRecord& to = *out.add_shards();
     to.set_state(static_cast<std::uint32_t>(shard.state));
     to.set_owner(shard.owner);
-    to.set_life(shard.life);
+    to.set_life(shard.incarnation);
     to.set_since_ns(shard.since);
     to.set_closed_in(shard.closed_in);
     to.set_moves(shard.moves);
@@ -206,7 +210,7 @@
   }
   if (form_ >= kOutingsFormat) outings_.fill(*out.mutable_outings());
   for (const auto& [id, instance] : instances_) {
-    InstanceWord& to = *out.add_instances();
+    InstanceRecord& to = *out.add_instances();
     to.set_id(id);
     to.set_format(instance.format);
     to.set_settings(instance.settings);
@@ -214,10 +218,10 @@
   return out.SerializeAsString();
 }
 
-bool State::restore(std::string_view bytes) {
-  Image in;
+bool ReplicatedState::restore(std::string_view bytes) {
+  StateImage in;
   if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || in.format() > knows_) return false;
-  State out(knows_);
+  ReplicatedState out(knows_);
   out.form_ = std::max(1u, in.format());
   out.epoch_ = {in.term(), in.number()};
   out.proxies_epoch_ = out.epoch_;
@@ -226,11 +230,11 @@
   out.window_ = in.window_ns();
   out.forget_proxies_ = in.forget_proxies_ns();
   for (const routing_state::NodeMemory& node : in.nodes()) out.nodes_[node.name()] = node;
-  for (const ShardWord& shard : in.shards()) {
-    if (shard.state() > static_cast<std::uint32_t>(ShardState::kCooling)) return false;
+  for (const ShardRecord& shard : in.shards()) {
+    if (shard.state() > static_cast<std::uint32_t>(ShardState::kQuarantined)) return false;
     out.shards_.push_back({.state = static_cast<ShardState>(shard.state()),
                            .owner = shard.owner(),
-                           .life = shard.life(),
+                           .incarnation = shard.life(),
                            .since = shard.since_ns(),
                            .closed_in = shard.closed_in(),
                            .moves = shard.moves()});
@@ -238,18 +242,18 @@
   out.picture_ = std::make_shared<const routing_state::Snapshot>(in.picture());
   for (const ProxyState& proxy : in.proxies()) out.proxies_[proxy.id()] = proxy.gone_since_ns();
   if (!out.outings_.restore(in.outings())) return false;
-  for (const InstanceWord& one : in.instances()) out.instances_[one.id()] = {one.format(), one.settings()};
+  for (const InstanceRecord& one : in.instances()) out.instances_[one.id()] = {one.format(), one.settings()};
   out.refused_ = refused_;
   *this = std::move(out);
   return true;
 }
 
-std::size_t State::closed() const {
+std::size_t ReplicatedState::closed() const {
   return static_cast<std::size_t>(std::count_if(
       shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.state != ShardState::kOwned; }));
 }
 
-std::uint64_t State::digest() const {
+std::uint64_t ReplicatedState::digest() const {
   std::string bytes = image();
   return XXH3_64bits(bytes.data(), bytes.size());
 }
--- a/src/agreement/state.h
+++ b/src/agreement/replicated_state.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "agreement.pb.h"
-#include "agreement/outings.h"
+#include "agreement/maintenance_state.h"
 #include "fencing/epoch.h"
 #include "routing/router.h"
 
@@ -24,9 +24,9 @@
 
 using fencing::Epoch;
 
-constexpr std::uint32_t kFormat = 2;        // of entries and images, that this version knows
+constexpr std::uint32_t kFormat = 2;         // of entries and images, that this version knows
 constexpr std::uint32_t kOutingsFormat = 2;  // from which on there are permits, releases and commands
-constexpr Nanos kMostElapsed = 2000 * kMs;  // of one entry: a clock that jumps shortens no window by more
+constexpr Nanos kMaxElapsed = 2000 * kMs;    // of one entry: a clock that jumps shortens no window by more
 
 enum class Verdict {
   kTaken,
@@ -35,7 +35,7 @@
   kTime,      // time that goes back, or leaps
   kShards,    // a step that the table below does not have, or too early
   kPicture,   // shows a shard open to another than its owner, or is not the next one
-  kOutings,   // a node, a release or a command takes a step that it does not have
+  kOutings,   // a server, a release or a command takes a step that it does not have
   kProxies,   // forgets one that may still send
   kUnreadable,
   kNewer  // of a form this version does not know: nothing further can be applied here
@@ -50,10 +50,10 @@
 
 constexpr Nanos kHere = -1;  // of a proxy that is not known to be gone
 
-class State {
+class ReplicatedState {
  public:
   // `knows`: the newest form of entries that it takes.
-  explicit State(std::uint32_t knows = kFormat) : knows_(knows) {}
+  explicit ReplicatedState(std::uint32_t knows = kFormat) : knows_(knows) {}
 
   Verdict apply(std::string_view entry);
   Verdict apply(const Decision& decision);
@@ -63,7 +63,7 @@
   bool restore(std::string_view image);
 
   Epoch epoch() const { return epoch_; }
-  Epoch owners_epoch() const { return owners_epoch_; }  // the last that changed what nodes are told
+  Epoch owners_epoch() const { return owners_epoch_; }  // the last that changed what servers are told
   Nanos time() const { return time_; }
   Nanos window() const { return window_; }
   Nanos forget_proxies() const { return forget_proxies_; }
@@ -74,7 +74,7 @@
   const std::map<std::string, routing_state::NodeMemory>& nodes() const { return nodes_; }
   const std::map<std::string, Nanos>& proxies() const { return proxies_; }  // since when gone, or kHere
   Epoch proxies_epoch() const { return proxies_epoch_; }  // the last that changed proxies(), or a later one
-  const Outings& outings() const { return outings_; }
+  const MaintenanceState& outings() const { return outings_; }
   const std::map<std::uint64_t, AgreedInstance>& instances() const { return instances_; }
   std::uint64_t refused() const { return refused_; }  // entries without effect, by this instance's count
   // Two instances at one epoch have the same.
@@ -94,11 +94,11 @@
   Nanos forget_proxies_ = 0;
   std::map<std::string, routing_state::NodeMemory> nodes_;
   std::vector<routing::Shard> shards_;
-  // Shared: a decision is tried on a copy of the state, and most leave the picture as it is.
+  // Shared: a decision is tried on a copy of the state, and most leave the snapshot as it is.
   std::shared_ptr<const routing_state::Snapshot> picture_ = std::make_shared<const routing_state::Snapshot>();
   std::map<std::string, Nanos> proxies_;
   Epoch proxies_epoch_;
-  Outings outings_;
+  MaintenanceState outings_;
   std::map<std::uint64_t, AgreedInstance> instances_;
   std::uint64_t refused_ = 0;
 };
--- a/src/consensus/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -6,7 +6,7 @@
 namespace myrtlecroft::consensus {
 namespace {
 
-constexpr int kMostServers = 64;
+constexpr int kMaxServers = 64;
 
 void* allocated(std::size_t size) {
   void* out = raft_malloc(size ? size : 1);
@@ -58,7 +58,7 @@
 
 bool from_proto(const LogSnapshot& in, raft_configuration& out) {
   raft_configuration_init(&out);
-  if (in.servers_size() > kMostServers) return false;
+  if (in.servers_size() > kMaxServers) return false;
   for (const Server& server : in.servers()) {
     if (raft_configuration_add(&out, server.id(), server.address().c_str(), server.role()) == 0) continue;
     raft_configuration_close(&out);
--- a/src/consensus/member.cpp
+++ b/src/consensus/raft_node.cpp
@@ -1,4 +1,4 @@
-#include "consensus/member.h"
+#include "consensus/raft_node.h"
 
 #include <algorithm>
 #include <deque>
@@ -47,8 +47,8 @@
 
 // The library's I/O: ports on one side, its C functions on the other. Callbacks never come out of the calls
 // they belong to; they wait until the call from outside is over.
-struct Member::Io {
-  explicit Io(Member& owner) : member(owner) {
+struct RaftNode::Io {
+  explicit Io(RaftNode& owner) : member(owner) {
     io.version = 2;
     io.impl = this;
     io.init = [](raft_io*, raft_id, const char*) { return 0; };
@@ -66,9 +66,9 @@
     io.recover = [](raft_io*, const raft_configuration*) { return RAFT_CANTBOOTSTRAP; };
     io.set_term = [](raft_io* of, raft_term begun) {
       self(of).term = begun;
-      return self(of).keep_vote(0);
+      return self(of).save_vote(0);
     };
-    io.set_vote = [](raft_io* of, raft_id vote) { return self(of).keep_vote(vote); };
+    io.set_vote = [](raft_io* of, raft_id vote) { return self(of).save_vote(vote); };
     io.send = [](raft_io* of, raft_io_send* request, const raft_message* message, raft_io_send_cb sent) {
       request->cb = sent;
       self(of).send(*request, *message);
@@ -83,7 +83,7 @@
     io.truncate = [](raft_io* of, raft_index from) {
       Io& port = self(of);
       port.next = from;
-      port.member.keeper_.truncate(from);
+      port.member.storage_.truncate(from);
       return 0;
     };
     io.snapshot_put = [](raft_io* of, unsigned trailing, raft_io_snapshot_put* request,
@@ -103,8 +103,8 @@
       return 0;
     };
     io.time = [](raft_io* of) -> raft_time { return self(of).member.clock_ms_(); };
-    io.random = [](raft_io* of, int least, int most) {
-      return std::uniform_int_distribution<int>(least, std::max(least, most - 1))(self(of).member.random_);
+    io.random = [](raft_io* of, int min, int max) {
+      return std::uniform_int_distribution<int>(min, std::max(min, max - 1))(self(of).member.random_);
     };
     io.async_work = [](raft_io* of, raft_io_async_work* request, raft_io_async_work_cb done) {
       request->cb = done;
@@ -125,14 +125,14 @@
     }
   }
 
-  int keep_vote(InstanceId vote) {
-    failed = failed || !member.keeper_.keep_vote(term, vote);
+  int save_vote(InstanceId vote) {
+    failed = failed || !member.storage_.save_vote(term, vote);
     return failed ? RAFT_IOERR : 0;
   }
 
   int load(raft_term& kept_term, raft_id& vote, raft_snapshot*& snapshot, raft_index& first,
            raft_entry*& entries, std::size_t& count) {
-    Kept kept = member.keeper_.load();
+    PersistentState kept = member.storage_.load();
     term = kept_term = kept.term;
     vote = kept.voted_for;
     kept_snapshot = kept.snapshot;
@@ -160,12 +160,12 @@
 
   void send(raft_io_send& request, const raft_message& message) {
     PeerMessage out;
-    out.set_fleet(member.terms_.fleet);
+    out.set_fleet(member.options_.fleet);
     out.set_from(member.id_);
     out.set_to(message.server_id);
     out.set_address(member.address_);
     to_proto(message, out);
-    member.wire_.send(out, message.server_address ? message.server_address : "");
+    member.transport_.send(out, message.server_address ? message.server_address : "");
     // Some are sent without anybody waiting, in memory that may be gone by then.
     if (!request.cb) return;
     defer([&request](bool going_on) { request.cb(&request, going_on ? 0 : RAFT_CANCELED); });
@@ -173,7 +173,7 @@
 
   // A request that waits for the disk, known by a number: it may be cancelled before the disk answers.
   template <class Request>
-  Keeper::Done awaited(Request& request) {
+  RaftStorage::Done awaited(Request& request) {
     std::uint64_t number = ++last;
     at_disk.emplace(number, [&request](int code) { request.cb(&request, code); });
     return [this, number, still = std::weak_ptr<int>(here)](bool durable) {
@@ -193,7 +193,7 @@
     for (unsigned i = 0; i < count; ++i) to_proto(entries[i], out[i]);
     std::uint64_t first = next;
     next += count;
-    member.keeper_.append(first, std::move(out), awaited(request));
+    member.storage_.append(first, std::move(out), awaited(request));
   }
 
   void put(unsigned trailing, raft_io_snapshot_put& request, const raft_snapshot& snapshot) {
@@ -207,11 +207,11 @@
     }
     kept_snapshot = out;
     // Without a trail it replaces the whole log.
-    std::uint64_t first_kept = snapshot.index + 1;
-    if (trailing > 0) first_kept = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
+    std::uint64_t first_retained = snapshot.index + 1;
+    if (trailing > 0) first_retained = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
     if (trailing == 0) next = snapshot.index + 1;
-    member.keeper_.keep_snapshot(out, first_kept, awaited(request));
-    if (trailing == 0) member.keeper_.truncate(snapshot.index + 1);
+    member.storage_.save_snapshot(out, first_retained, awaited(request));
+    if (trailing == 0) member.storage_.truncate(snapshot.index + 1);
   }
 
   void close(raft_io_close_cb closed) {
@@ -226,7 +226,7 @@
     closed(&io);
   }
 
-  Member& member;
+  RaftNode& member;
   raft_io io{};
   raft_io_tick_cb tick = nullptr;
   raft_io_recv_cb recv = nullptr;
@@ -240,41 +240,42 @@
   std::shared_ptr<int> here = std::make_shared<int>(0);
 };
 
-struct Member::Ask {
+struct RaftNode::Ask {
   struct raft_apply apply {};
   struct raft_barrier barrier {};
   struct raft_change change {};
   struct raft_transfer transfer {};
-  Member* member = nullptr;
+  RaftNode* member = nullptr;
   std::uint64_t term = 0;
-  Agreed agreed;
+  CommitCallback committed;
 
-  static Ask* make(Member& member, Agreed agreed) {
+  static Ask* make(RaftNode& member, CommitCallback committed) {
     auto* out = new Ask;
     out->apply.data = out->barrier.data = out->change.data = out->transfer.data = out;
     out->member = &member;
     out->term = member.term();
-    out->agreed = std::move(agreed);
+    out->committed = std::move(committed);
     return out;
   }
   static void end(void* given, bool good) {
     std::unique_ptr<Ask> ask(static_cast<Ask*>(given));
-    if (ask->agreed) ask->agreed(good);
+    if (ask->committed) ask->committed(good);
   }
   static void changed(struct raft_change* of, int status) { end(of->data, status == 0); }
   // A call that the library did not take ends like one that failed, once whoever asked has returned.
-  static void end_later(Member& member, Ask* ask) {
+  static void end_later(RaftNode& member, Ask* ask) {
     member.io_->defer([ask](bool) { end(ask, false); });
   }
 };
 
-Member::Member(InstanceId id, std::string address, const Terms& terms, Keeper& keeper, Wire& wire,
-               Machine& machine, std::function<std::uint64_t()> clock_ms, std::uint32_t seed)
+RaftNode::RaftNode(InstanceId id, std::string address, const RaftOptions& options, RaftStorage& storage,
+                   Transport& transport, StateMachine& machine, std::function<std::uint64_t()> clock_ms,
+                   std::uint32_t seed)
     : id_(id),
       address_(std::move(address)),
-      terms_(terms),
-      keeper_(keeper),
-      wire_(wire),
+      options_(options),
+      storage_(storage),
+      transport_(transport),
       machine_(machine),
       clock_ms_(std::move(clock_ms)),
       random_(seed),
@@ -283,7 +284,7 @@
   fsm_.data = this;
   // The library counts an entry as applied once this has returned.
   fsm_.apply = [](raft_fsm* fsm, const raft_buffer* entry, void** result) {
-    auto& self = *static_cast<Member*>(fsm->data);
+    auto& self = *static_cast<RaftNode*>(fsm->data);
     *result = nullptr;
     std::string_view bytes(static_cast<const char*>(entry->base), entry->len);
     if (self.machine_.apply(self.raft_.last_applied + 1, bytes)) return 0;
@@ -292,12 +293,12 @@
   };
   fsm_.snapshot = [](raft_fsm* fsm, raft_buffer* buffers[], unsigned* count) {
     *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    (*buffers)[0] = buffer_for_library(static_cast<Member*>(fsm->data)->machine_.snapshot());
+    (*buffers)[0] = buffer_for_library(static_cast<RaftNode*>(fsm->data)->machine_.snapshot());
     *count = 1;
     return 0;
   };
   fsm_.restore = [](raft_fsm* fsm, raft_buffer* buffer) {
-    auto& self = *static_cast<Member*>(fsm->data);
+    auto& self = *static_cast<RaftNode*>(fsm->data);
     if (!self.machine_.restore({static_cast<const char*>(buffer->base), buffer->len})) {
       self.fault_ = "an agreed state is of a newer form than this version knows";
       return RAFT_MALFORMED;
@@ -307,53 +308,53 @@
   };
   int code = raft_init(&raft_, &io_->io, &fsm_, id_, address_.c_str());
   if (code != 0) throw std::runtime_error(why(raft_, code));
-  raft_set_election_timeout(&raft_, terms.election_ms);
-  raft_set_heartbeat_timeout(&raft_, terms.heartbeat_ms);
-  raft_set_snapshot_threshold(&raft_, terms.snapshot_after);
-  raft_set_snapshot_trailing(&raft_, terms.snapshot_trailing);
-  raft_set_install_snapshot_timeout(&raft_, terms.snapshot_timeout_ms);
+  raft_set_election_timeout(&raft_, options.election_ms);
+  raft_set_heartbeat_timeout(&raft_, options.heartbeat_ms);
+  raft_set_snapshot_threshold(&raft_, options.snapshot_after);
+  raft_set_snapshot_trailing(&raft_, options.snapshot_trailing);
+  raft_set_install_snapshot_timeout(&raft_, options.snapshot_timeout_ms);
   raft_set_pre_vote(&raft_, true);
 }
 
-Member::~Member() { raft_close(&raft_, nullptr); }
+RaftNode::~RaftNode() { raft_close(&raft_, nullptr); }
 
-std::string Member::why(const raft& raft, int code) {
+std::string RaftNode::why(const raft& raft, int code) {
   std::string detail = raft.errmsg;
   return std::string("agreement: ") + raft_strerror(code) + (detail.empty() ? "" : ": " + detail);
 }
 
-void Member::begin(Keeper& keeper, const std::vector<Server>& servers) {
-  Kept kept = keeper.load();
+void RaftNode::bootstrap(RaftStorage& storage, const std::vector<Server>& servers) {
+  PersistentState kept = storage.load();
   if (kept.term != 0 || kept.snapshot || !kept.entries.empty())
     throw std::runtime_error("there is a log already");
   kept.term = 1;
   kept.entries = {change_to(servers, 1)};
-  keeper.replace(kept);
+  storage.replace(kept);
 }
 
-void Member::begin_again(Keeper& keeper, const std::vector<Server>& servers) {
-  Kept kept = keeper.load();
+void RaftNode::force_new_cluster(RaftStorage& storage, const std::vector<Server>& servers) {
+  PersistentState kept = storage.load();
   if (kept.term == 0) throw std::runtime_error("there is no log to go on with");
   kept.term += kBeginAgainTerms;
   kept.voted_for = 0;
   kept.entries.push_back(change_to(servers, kept.term));
-  keeper.replace(kept);
+  storage.replace(kept);
 }
 
-void Member::start() {
+void RaftNode::start() {
   if (int code = raft_start(&raft_); code != 0) throw std::runtime_error(why(raft_, code));
   started_ = true;
   io_->run_waiting();
 }
 
-void Member::tick() {
+void RaftNode::tick() {
   if (!started_ || !io_->tick || io_->failed) return;
   io_->tick(&io_->io);
   io_->run_waiting();
   ask_ready();
 }
 
-void Member::received(const PeerMessage& message) {
+void RaftNode::received(const PeerMessage& message) {
   if (!started_ || !io_->recv || io_->failed || role() == Role::kUnavailable || message.to() != id_) return;
   raft_message for_library{};
   if (!from_proto(message, for_library)) return;
@@ -363,11 +364,11 @@
 }
 
 // A new leader may not know how far those before it got: what it asks for now comes behind all of it.
-void Member::ask_ready() {
+void RaftNode::ask_ready() {
   if (!leads() || asked_term_ == term()) return;
   asked_term_ = term();
   Ask* ask = Ask::make(*this, {});
-  ask->agreed = [this, ask](bool good) {
+  ask->committed = [this, ask](bool good) {
     if (good) {
       ready_term_ = ask->term;
     } else if (asked_term_ == ask->term) {
@@ -380,9 +381,9 @@
   io_->run_waiting();
 }
 
-bool Member::disk_failed() const { return io_->failed; }
+bool RaftNode::disk_failed() const { return io_->failed; }
 
-Role Member::role() const {
+Role RaftNode::role() const {
   switch (raft_state(const_cast<raft*>(&raft_))) {
     case RAFT_FOLLOWER:
       return Role::kFollower;
@@ -395,35 +396,35 @@
   }
 }
 
-InstanceId Member::leader() const {
+InstanceId RaftNode::leader() const {
   raft_id id = 0;
   const char* address = nullptr;
   raft_leader(const_cast<raft*>(&raft_), &id, &address);
   return id;
 }
 
-std::vector<Server> Member::servers() const {
+std::vector<Server> RaftNode::servers() const {
   LogSnapshot as_proto;
   to_proto(raft_.configuration, as_proto);
   return {as_proto.servers().begin(), as_proto.servers().end()};
 }
 
-std::size_t Member::voters() const {
+std::size_t RaftNode::voters() const {
   std::size_t out = 0;
   for (unsigned i = 0; i < raft_.configuration.n; ++i)
     out += raft_.configuration.servers[i].role == RAFT_VOTER;
   return out;
 }
 
-std::optional<int> Member::part_of(InstanceId id) const {
+std::optional<int> RaftNode::part_of(InstanceId id) const {
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     if (raft_.configuration.servers[i].id == id) return raft_.configuration.servers[i].role;
   }
   return std::nullopt;
 }
 
-void Member::propose(std::string entry, Agreed agreed) {
-  Ask* ask = Ask::make(*this, std::move(agreed));
+void RaftNode::propose(std::string entry, CommitCallback committed) {
+  Ask* ask = Ask::make(*this, std::move(committed));
   raft_buffer buffer = buffer_for_library(entry);
   int code = raft_apply(&raft_, &ask->apply, &buffer, 1,
                         [](struct raft_apply* of, int status, void*) { Ask::end(of->data, status == 0); });
@@ -434,38 +435,38 @@
   io_->run_waiting();
 }
 
-void Member::add(InstanceId id, const std::string& address, Agreed agreed) {
+void RaftNode::add(InstanceId id, const std::string& address, CommitCallback committed) {
   // Those who are added only hear, once they have been given a part; both are done here.
   Ask* ask = Ask::make(*this, nullptr);
-  ask->agreed = [this, id, agreed = std::move(agreed)](bool good) mutable {
-    if (!good) return agreed ? agreed(false) : void();
-    assign(id, RAFT_STANDBY, std::move(agreed));
+  ask->committed = [this, id, committed = std::move(committed)](bool good) mutable {
+    if (!good) return committed ? committed(false) : void();
+    assign(id, RAFT_STANDBY, std::move(committed));
   };
   int code = raft_add(&raft_, &ask->change, id, address.c_str(), Ask::changed);
   if (code != 0) Ask::end_later(*this, ask);
   io_->run_waiting();
 }
 
-void Member::assign(InstanceId id, int role, Agreed agreed) {
-  Ask* ask = Ask::make(*this, std::move(agreed));
+void RaftNode::assign(InstanceId id, int role, CommitCallback committed) {
+  Ask* ask = Ask::make(*this, std::move(committed));
   int code = raft_assign(&raft_, &ask->change, id, role, Ask::changed);
   if (code != 0) Ask::end_later(*this, ask);
 }
 
-void Member::promote(InstanceId id, Agreed agreed) {
-  assign(id, RAFT_VOTER, std::move(agreed));
+void RaftNode::promote(InstanceId id, CommitCallback committed) {
+  assign(id, RAFT_VOTER, std::move(committed));
   io_->run_waiting();
 }
 
-void Member::remove(InstanceId id, Agreed agreed) {
-  Ask* ask = Ask::make(*this, std::move(agreed));
+void RaftNode::remove(InstanceId id, CommitCallback committed) {
+  Ask* ask = Ask::make(*this, std::move(committed));
   int code = raft_remove(&raft_, &ask->change, id, Ask::changed);
   if (code != 0) Ask::end_later(*this, ask);
   io_->run_waiting();
 }
 
-void Member::hand_on(Agreed agreed) {
-  Ask* ask = Ask::make(*this, std::move(agreed));
+void RaftNode::transfer_leadership(CommitCallback committed) {
+  Ask* ask = Ask::make(*this, std::move(committed));
   int code = raft_transfer(&raft_, &ask->transfer, 0, [](struct raft_transfer* of) {
     Ask* done = static_cast<Ask*>(of->data);
     Ask::end(done, !done->member->leads());
--- a/src/consensus/member.h
+++ b/src/consensus/raft_node.h
@@ -23,7 +23,7 @@
 
 using InstanceId = std::uint64_t;  // above 0; never used again for another folder
 
-struct Kept {
+struct PersistentState {
   std::uint64_t term = 0;
   InstanceId voted_for = 0;
   std::optional<LogSnapshot> snapshot;
@@ -34,34 +34,34 @@
 // What must outlive a crash. `done` never comes out of the call itself, and tells whether it is on the disk.
 // Once something was not, all that follows is not either, until load() has looked again at what is there:
 // else the log would have a gap.
-class Keeper {
+class RaftStorage {
  public:
   using Done = std::function<void(bool durable)>;
-  virtual ~Keeper() = default;
-  virtual Kept load() = 0;
+  virtual ~RaftStorage() = default;
+  virtual PersistentState load() = 0;
   virtual bool well() const = 0;  // the disk takes writes, as far as is known
   // On the disk when it returns true. False: the disk is sick, and this instance does not vote.
-  virtual bool keep_vote(std::uint64_t term, InstanceId voted_for) = 0;
+  virtual bool save_vote(std::uint64_t term, InstanceId voted_for) = 0;
   virtual void append(std::uint64_t first, std::vector<LogEntry> entries, Done done) = 0;
   // Entries from this one on are gone. Ordered before what is appended later.
   virtual void truncate(std::uint64_t from) = 0;
-  // Then forgets entries before `first_kept`.
-  virtual void keep_snapshot(const LogSnapshot& snapshot, std::uint64_t first_kept, Done done) = 0;
+  // Then forgets entries before `first_retained`.
+  virtual void save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained, Done done) = 0;
   // Before any start: this and nothing else is kept, on the disk when it returns. Throws where it can't be.
-  virtual void replace(const Kept& kept) = 0;
+  virtual void replace(const PersistentState& kept) = 0;
 };
 
-class Wire {
+class Transport {
  public:
-  virtual ~Wire() = default;
+  virtual ~Transport() = default;
   // May be lost, late or doubled.
   virtual void send(const PeerMessage& message, const std::string& address) = 0;
 };
 
 // What the log is about. Every instance applies the same entries in the same order.
-class Machine {
+class StateMachine {
  public:
-  virtual ~Machine() = default;
+  virtual ~StateMachine() = default;
   // False: this version doesn't know the entry. The instance stops rather than go another way than the
   // others.
   virtual bool apply(std::uint64_t index, std::string_view entry) = 0;
@@ -69,7 +69,7 @@
   virtual bool restore(std::string_view snapshot) = 0;
 };
 
-struct Terms {
+struct RaftOptions {
   unsigned election_ms = 400;  // a leader not heard of for this long, up to twice, is replaced
   unsigned heartbeat_ms = 60;
   unsigned snapshot_after = 512;  // entries
@@ -81,18 +81,20 @@
 enum class Role { kUnavailable, kFollower, kCandidate, kLeader };
 const char* name_of(Role role);
 
-class Member {
+class RaftNode {
  public:
-  using Agreed = std::function<void(bool agreed)>;  // false: it may still come to be agreed, or never
-  Member(InstanceId id, std::string address, const Terms& terms, Keeper& keeper, Wire& wire, Machine& machine,
-         std::function<std::uint64_t()> clock_ms, std::uint32_t seed);
-  ~Member();
+  using CommitCallback =
+      std::function<void(bool committed)>;  // false: it may still come to be agreed, or never
+  RaftNode(InstanceId id, std::string address, const RaftOptions& options, RaftStorage& storage,
+           Transport& transport, StateMachine& machine, std::function<std::uint64_t()> clock_ms,
+           std::uint32_t seed);
+  ~RaftNode();
 
   // The first log of a fleet, the same on each instance that begins it. Throws std::runtime_error.
-  static void begin(Keeper& keeper, const std::vector<Server>& servers);
+  static void bootstrap(RaftStorage& storage, const std::vector<Server>& servers);
   // The one way back from a majority that is gone for good: whoever is named here goes on alone with what
   // this folder knows. What only others knew is lost.
-  static void begin_again(Keeper& keeper, const std::vector<Server>& servers);
+  static void force_new_cluster(RaftStorage& storage, const std::vector<Server>& servers);
 
   void start();  // throws std::runtime_error
   void tick();   // several times in heartbeat_ms
@@ -120,26 +122,26 @@
   // Only where it leads. Once it has led for a moment, `ready` says that all that was agreed before is
   // applied here.
   bool ready() const { return leads() && ready_term_ == term(); }
-  void propose(std::string entry, Agreed agreed);
+  void propose(std::string entry, CommitCallback committed);
   // Changes of who belongs: one at a time.
-  void add(InstanceId id, const std::string& address, Agreed agreed);  // hears, does not vote
-  void promote(InstanceId id, Agreed agreed);                          // once it has caught up
-  void remove(InstanceId id, Agreed agreed);
-  void hand_on(Agreed agreed);  // leadership, to whoever has caught up
+  void add(InstanceId id, const std::string& address, CommitCallback committed);  // hears, does not vote
+  void promote(InstanceId id, CommitCallback committed);                          // once it has caught up
+  void remove(InstanceId id, CommitCallback committed);
+  void transfer_leadership(CommitCallback committed);  // leadership, to whoever has caught up
 
  private:
   struct Io;
   struct Ask;
   void ask_ready();
-  void assign(InstanceId id, int role, Agreed agreed);
+  void assign(InstanceId id, int role, CommitCallback committed);
   static std::string why(const raft& raft, int code);
 
   InstanceId id_;
   std::string address_;
-  Terms terms_;
-  Keeper& keeper_;
-  Wire& wire_;
-  Machine& machine_;
+  RaftOptions options_;
+  RaftStorage& storage_;
+  Transport& transport_;
+  StateMachine& machine_;
   std::function<std::uint64_t()> clock_ms_;
   std::mt19937 random_;
   std::string fault_;
--- a/src/consensus/store_keeper.cpp
+++ b/src/consensus/store_raft_storage.cpp
@@ -1,4 +1,4 @@
-#include "consensus/store_keeper.h"
+#include "consensus/store_raft_storage.h"
 
 #include <algorithm>
 #include <chrono>
@@ -36,17 +36,18 @@
 
 }  // namespace
 
-StoreKeeper::StoreKeeper(const std::string& folder, std::function<Nanos()> clock, std::function<void()> wake)
+StoreRaftStorage::StoreRaftStorage(const std::string& folder, std::function<Nanos()> clock,
+                                   std::function<void()> wake)
     : disk_(folder), store_(disk_, {}, clock, std::random_device()()) {
   store_.open();
   recover();
-  committer_ =
-      std::make_unique<store::Committer>(store_, store::CommitterTerms{}, std::move(clock), std::move(wake));
+  committer_ = std::make_unique<store::GroupCommitter>(store_, store::CommitterOptions{}, std::move(clock),
+                                                       std::move(wake));
 }
 
-StoreKeeper::~StoreKeeper() = default;
+StoreRaftStorage::~StoreRaftStorage() = default;
 
-void StoreKeeper::recover() {
+void StoreRaftStorage::recover() {
   std::map<std::uint64_t, LogEntry> entries;
   store_.each([&](const store::Record& record) {
     if (record.key == kOwnerKey && record.value.size() >= 8)
@@ -95,7 +96,7 @@
   }
 }
 
-void StoreKeeper::belong_to(InstanceId id) {
+void StoreRaftStorage::belong_to(InstanceId id) {
   std::string value;
   store::put_number(value, id);
   if (!put_and_wait(kOwnerKey, value)) throw std::runtime_error(kUnwritable);
@@ -104,7 +105,7 @@
 
 // The loop stands still meanwhile: an instance has nothing to say before its vote is on the disk. What is
 // told comes too late for nobody but us, as it has a place of its own.
-bool StoreKeeper::put_and_wait(const std::string& key, const std::string& value) {
+bool StoreRaftStorage::put_and_wait(const std::string& key, const std::string& value) {
   auto told = std::make_shared<std::optional<bool>>();
   put(key, value, [told](bool durable) { *told = durable; });
   auto until = std::chrono::steady_clock::now() + kLongestWait;
@@ -116,7 +117,7 @@
   }
 }
 
-Kept StoreKeeper::load() {
+PersistentState StoreRaftStorage::load() {
   if (failed_) {
     // What was sent and is not known to be there is taken back, before anything else is written.
     for (std::uint64_t index = kept_.first + kept_.entries.size(); index <= highest_; ++index)
@@ -128,17 +129,17 @@
   return kept_;
 }
 
-bool StoreKeeper::well() const { return committer_->health() != store::Health::kSick; }
+bool StoreRaftStorage::well() const { return committer_->health() != store::Health::kSick; }
 
-void StoreKeeper::put(const std::string& key, const std::string& value, std::function<void(bool)> done) {
+void StoreRaftStorage::put(const std::string& key, const std::string& value, std::function<void(bool)> done) {
   committer_->put(key, value, 0, std::move(done));
 }
 
-void StoreKeeper::drop_entry(std::uint64_t index) { committer_->drop(key_of(index)); }
+void StoreRaftStorage::drop_entry(std::uint64_t index) { committer_->drop(key_of(index)); }
 
 // Never out of the call that asked, nor out of one that waits for a vote: what is done is told by
 // take_done().
-Keeper::Done StoreKeeper::in_order(Done done, std::function<void()> kept) {
+RaftStorage::Done StoreRaftStorage::in_order(Done done, std::function<void()> kept) {
   return [this, done = std::move(done), kept = std::move(kept), generation = generation_](bool durable) {
     if (generation != generation_) return;
     failed_ = failed_ || !durable;
@@ -147,7 +148,7 @@
   };
 }
 
-void StoreKeeper::take_done() {
+void StoreRaftStorage::take_done() {
   committer_->take_done();
   while (!finished_.empty()) {
     Finished one = std::move(finished_.front());
@@ -156,7 +157,7 @@
   }
 }
 
-bool StoreKeeper::keep_vote(std::uint64_t term, InstanceId voted_for) {
+bool StoreRaftStorage::save_vote(std::uint64_t term, InstanceId voted_for) {
   if (failed_) return false;
   if (!put_and_wait(kVoteKey, vote_of(term, voted_for))) {
     failed_ = true;
@@ -167,7 +168,7 @@
   return true;
 }
 
-void StoreKeeper::append(std::uint64_t first, std::vector<LogEntry> entries, Done done) {
+void StoreRaftStorage::append(std::uint64_t first, std::vector<LogEntry> entries, Done done) {
   std::size_t count = entries.size();
   for (std::size_t i = 0; i < count; ++i) {
     std::function<void()> kept = [this, index = first + i, entry = entries[i]] {
@@ -181,7 +182,7 @@
   }
 }
 
-void StoreKeeper::truncate(std::uint64_t from) {
+void StoreRaftStorage::truncate(std::uint64_t from) {
   for (std::uint64_t index = from; index <= highest_; ++index) drop_entry(index);
   // Known to be done only with what is written next, which is why it waits for a write of its own.
   put(kVoteKey, vote_of(kept_.term, kept_.voted_for), in_order({}, [this, from] {
@@ -190,18 +191,18 @@
       }));
 }
 
-void StoreKeeper::keep_snapshot(const LogSnapshot& snapshot, std::uint64_t first_kept, Done done) {
-  put(kSnapshotKey, snapshot.SerializeAsString(), in_order(std::move(done), [this, snapshot, first_kept] {
+void StoreRaftStorage::save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained, Done done) {
+  put(kSnapshotKey, snapshot.SerializeAsString(), in_order(std::move(done), [this, snapshot, first_retained] {
         kept_.snapshot = snapshot;
-        while (kept_.first < first_kept && !kept_.entries.empty()) {
+        while (kept_.first < first_retained && !kept_.entries.empty()) {
           drop_entry(kept_.first++);
           kept_.entries.erase(kept_.entries.begin());
         }
-        kept_.first = std::max(kept_.first, first_kept);
+        kept_.first = std::max(kept_.first, first_retained);
       }));
 }
 
-void StoreKeeper::replace(const Kept& kept) {
+void StoreRaftStorage::replace(const PersistentState& kept) {
   for (std::uint64_t index = kept_.first; index <= highest_; ++index) drop_entry(index);
   for (std::size_t i = 0; i < kept.entries.size(); ++i) {
     put(key_of(kept.first + i), kept.entries[i].SerializeAsString(), {});
--- a/src/consensus/store_keeper.h
+++ b/src/consensus/store_raft_storage.h
@@ -7,32 +7,32 @@
 #include <memory>
 #include <optional>
 
-#include "consensus/member.h"
-#include "store/committer.h"
+#include "consensus/raft_node.h"
 #include "store/file_disk.h"
+#include "store/group_committer.h"
 
 namespace myrtlecroft::consensus {
 
-class StoreKeeper final : public Keeper {
+class StoreRaftStorage final : public RaftStorage {
  public:
   // `wake` is called on the store's thread when take_done() has something to tell. Throws store::StoreError
   // where the folder can't be used, also where another process has it, and std::runtime_error where the log
   // in it has a gap.
-  StoreKeeper(const std::string& folder, std::function<Nanos()> clock, std::function<void()> wake);
-  ~StoreKeeper() override;
+  StoreRaftStorage(const std::string& folder, std::function<Nanos()> clock, std::function<void()> wake);
+  ~StoreRaftStorage() override;
 
   void take_done();
   // Who the folder belongs to: an instance whose id is another's must not use it. 0: nobody yet.
   InstanceId owner() const { return owner_; }
   void belong_to(InstanceId id);
 
-  Kept load() override;
+  PersistentState load() override;
   bool well() const override;
-  bool keep_vote(std::uint64_t term, InstanceId voted_for) override;
+  bool save_vote(std::uint64_t term, InstanceId voted_for) override;
   void append(std::uint64_t first, std::vector<LogEntry> entries, Done done) override;
   void truncate(std::uint64_t from) override;
-  void keep_snapshot(const LogSnapshot& snapshot, std::uint64_t first_kept, Done done) override;
-  void replace(const Kept& kept) override;
+  void save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained, Done done) override;
+  void replace(const PersistentState& kept) override;
 
  private:
   struct Finished {
@@ -49,12 +49,12 @@
   store::Store store_;
   InstanceId owner_ = 0;
   // As the disk is known to have it.
-  Kept kept_;
+  PersistentState kept_;
   std::uint64_t highest_ = 0;  // entry that was ever sent there
   bool failed_ = false;        // something was not kept since the last load
   std::uint64_t generation_ = 0;
   std::deque<Finished> finished_;
-  std::unique_ptr<store::Committer> committer_;  // last: its thread goes first
+  std::unique_ptr<store::GroupCommitter> committer_;  // last: its thread goes first
 };
 
 }  // namespace myrtlecroft::consensus
--- a/src/control/ask.cpp
+++ b/src/control/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "control/ask.h"
+#include "control/admin_client.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
--- a/src/control/operators.cpp
+++ b/src/control/admin_commands.cpp
@@ -1,10 +1,10 @@
-#include "control/operators.h"
+#include "control/admin_commands.h"
 
 #include <utility>
 #include <vector>
 
+#include "releases/disruption_budget.h"
 #include "releases/plan.h"
-#include "releases/room.h"
 
 namespace myrtlecroft::control {
 namespace {
@@ -35,7 +35,7 @@
   connection.linger(net::Reason::kDone);
 }
 
-bool Operators::is_command(std::string_view question) {
+bool AdminCommands::is_command(std::string_view question) {
   for (std::string_view word : {"drain ", "undrain ", "release start ", "release halt", "release resume",
                                 "release back", "release end"}) {
     if (question.starts_with(word)) return true;
@@ -43,20 +43,20 @@
   return false;
 }
 
-void Operators::finish(Waiting& one, const std::string& said) {
+void AdminCommands::finish(Waiting& one, const std::string& said) {
   bool refused = said.starts_with(releases::kRefused);
   refused ? one.answer.set_error(said.substr(releases::kRefused.size())) : one.answer.set_done(said);
   write_answer(*one.connection, one.answer);
 }
 
-void Operators::ask(Door::Id id, net::Connection& connection, const std::string& command,
-                    AdminAnswer answer) {
+void AdminCommands::ask(FrameServer::Id id, net::Connection& connection, const std::string& command,
+                        AdminAnswer answer) {
   Waiting one{.connection = &connection,
               .command = 0,
               .until = loop_.now() + kLongestCommand,
               .answer = std::move(answer)};
-  agreement::Instance& instance = agreed_.instance();
-  if (!instance.in_touch())
+  agreement::ControlReplica& instance = agreed_.instance();
+  if (!instance.has_quorum())
     return finish(
         one, releases::kRefused + "this instance is out of touch with a majority, and nothing is permitted");
   for (const auto& [other, known] : instance.agreed().instances()) {
@@ -67,14 +67,14 @@
   waiting_[id] = std::move(one);
 }
 
-void Operators::gone(Door::Id id) {
+void AdminCommands::gone(FrameServer::Id id) {
   auto found = waiting_.find(id);
   if (found == waiting_.end()) return;
   agreed_.instance().forget_command(found->second.command);
   waiting_.erase(found);
 }
 
-void Operators::tick() {
+void AdminCommands::tick() {
   for (auto one = waiting_.begin(); one != waiting_.end();) {
     const agreement::CommandResult* result =
         agreed_.instance().agreed().outings().result(one->second.command);
@@ -92,12 +92,12 @@
   }
 }
 
-void Operators::fill(AdminAnswer& answer) const {
-  const agreement::Instance& instance = agreed_.instance();
-  const agreement::State& state = instance.agreed();
-  const agreement::Outings& outings = state.outings();
+void AdminCommands::fill(AdminAnswer& answer) const {
+  const agreement::ControlReplica& instance = agreed_.instance();
+  const agreement::ReplicatedState& state = instance.agreed();
+  const agreement::MaintenanceState& outings = state.outings();
   std::set<std::string> chosen;
-  for (const auto& [node, trip] : outings.trips()) {
+  for (const auto& [node, trip] : outings.leases()) {
     chosen.insert(node);
     TripRow& row = *answer.add_trips();
     row.set_node(node);
@@ -109,11 +109,11 @@
   }
   for (const std::string& node : outings.drains()) answer.add_drains(node);
   const routing::Router& router = instance.router();
-  for (const releases::Room::Row& one :
-       releases::Room(router.fleet(), router.members().all(), chosen).rows()) {
+  for (const releases::DisruptionBudget::Row& one :
+       releases::DisruptionBudget(router.fleet(), router.registry().all(), chosen).rows()) {
     BudgetRow& row = *answer.add_budgets();
     row.set_name(one.name);
-    row.set_most(one.most);
+    row.set_most(one.max);
     row.set_out(one.out);
     row.set_chosen(one.chosen);
     row.set_all(one.all);
@@ -132,23 +132,23 @@
   row.set_in_phase_s(seconds(state.time() - release.since_ns()));
   double all = 0;
   double with = 0;
-  for (const routing::Member& member : router.members().all()) {
-    bool has = member.version == release.plan().version();
-    all += member.node.capacity;
-    with += has ? member.node.capacity : 0;
+  for (const routing::ServerStatus& server : router.registry().all()) {
+    bool has = server.version == release.plan().version();
+    all += server.node.capacity;
+    with += has ? server.node.capacity : 0;
     row.set_nodes(row.nodes() + 1);
     row.set_nodes_with(row.nodes_with() + has);
   }
   row.set_reached(all > 0 ? with / all : 0);
-  for (const agreement::Taken& one : release.taken()) {
+  for (const agreement::UpdatedServer& one : release.taken()) {
     if (!one.failed().empty()) row.add_failed(one.node() + ": " + one.failed());
   }
   row.set_outlook(outings.under_way() ? agreed_.conductor().outlook() : "");
   row.set_left_s(outings.under_way() ? left_s(row, release.phase() == agreement::PHASE_BACK) : -1);
 }
 
-// As fast as it went so far; before the first node is there nobody knows.
-double Operators::left_s(const ReleaseRow& row, bool back) {
+// As fast as it went so far; before the first server is there nobody knows.
+double AdminCommands::left_s(const ReleaseRow& row, bool back) {
   if (row.reached() <= 0) return -1;
   double share = back ? row.reached() : 1 - row.reached();
   double done = back ? 1 - row.reached() : row.reached();
--- a/src/control/operators.h
+++ b/src/control/admin_commands.h
@@ -6,19 +6,19 @@
 #include <string>
 
 #include "control.pb.h"
-#include "control/agreed.h"
-#include "control/door.h"
+#include "control/frame_server.h"
+#include "control/replicated_control.h"
 
 namespace myrtlecroft::control {
 
-class Operators {
+class AdminCommands {
  public:
-  Operators(net::Loop& loop, Agreed& agreed) : loop_(loop), agreed_(agreed) {}
+  AdminCommands(net::Loop& loop, ReplicatedControl& agreed) : loop_(loop), agreed_(agreed) {}
 
   static bool is_command(std::string_view question);
   // `answer` has what any answer has. The connection is answered now or by tick().
-  void ask(Door::Id id, net::Connection& connection, const std::string& command, AdminAnswer answer);
-  void gone(Door::Id id);
+  void ask(FrameServer::Id id, net::Connection& connection, const std::string& command, AdminAnswer answer);
+  void gone(FrameServer::Id id);
   void tick();
   void fill(AdminAnswer& answer) const;
 
@@ -33,8 +33,8 @@
   static double left_s(const ReleaseRow& row, bool back);
 
   net::Loop& loop_;
-  Agreed& agreed_;
-  std::map<Door::Id, Waiting> waiting_;
+  ReplicatedControl& agreed_;
+  std::map<FrameServer::Id, Waiting> waiting_;
 };
 
 // As it goes over the admin connection.
--- a/src/control/answers.cpp
+++ b/src/control/admin_queries.cpp
@@ -1,4 +1,4 @@
-#include "control/answers.h"
+#include "control/admin_queries.h"
 
 #include <algorithm>
 #include <sstream>
@@ -15,29 +15,29 @@
 
 double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
 
-bool matches(const Question& question, const std::string& zone, std::string_view state,
+bool matches(const AdminQuery& question, const std::string& zone, std::string_view state,
              const std::string& name) {
   return (question.zone.empty() || question.zone == zone) &&
          (question.state.empty() || question.state == state) && name.starts_with(question.name);
 }
 
-NodeRow row_of(const routing::Member& member, std::uint32_t shards, Nanos now) {
+NodeRow row_of(const routing::ServerStatus& replica, std::uint32_t shards, Nanos now) {
   NodeRow row;
-  row.set_name(member.node.name);
-  row.set_zone(member.node.zone);
-  row.set_address(member.node.address());
-  row.set_state(routing::name_of(member.state));
-  row.set_in_state_s(seconds(now - member.since));
-  row.set_kept_in(member.kept_in);
-  row.set_heard_s_ago(member.heard_at > 0 ? seconds(now - member.heard_at) : -1);
-  row.set_mode(member.heard_at > 0 ? name_of(member.report.mode) : "unknown");
-  row.set_cold(member.report.cold);
-  row.set_window(member.report.window);
-  row.set_limit(member.report.limit);
-  row.set_held(member.report.held);
-  row.set_weight(member.weight);
-  row.set_ramp(member.ramp);
-  row.set_flaps(member.flaps);
+  row.set_name(replica.node.name);
+  row.set_zone(replica.node.zone);
+  row.set_address(replica.node.address());
+  row.set_state(routing::name_of(replica.state));
+  row.set_in_state_s(seconds(now - replica.since));
+  row.set_kept_in(replica.kept_in_rotation);
+  row.set_heard_s_ago(replica.heard_at > 0 ? seconds(now - replica.heard_at) : -1);
+  row.set_mode(replica.heard_at > 0 ? name_of(replica.report.mode) : "unknown");
+  row.set_cold(replica.report.warming_up);
+  row.set_window(replica.report.window);
+  row.set_limit(replica.report.limit);
+  row.set_held(replica.report.held);
+  row.set_weight(replica.weight);
+  row.set_ramp(replica.ramp);
+  row.set_flaps(replica.flaps);
   row.set_shards(shards);
   return row;
 }
@@ -75,7 +75,8 @@
 // They are longer than all the rest together, and would not fit into an answer; the fleet file has them.
 void leave_out_server_lists(routing_state::Snapshot& snapshot) {
   snapshot.clear_server_lists();
-  for (routing_state::GroupRoute& group : *snapshot.mutable_groups()) group.clear_servers();
+  for (routing_state::RequestClassRoute& request_class : *snapshot.mutable_groups())
+    request_class.clear_servers();
 }
 
 }  // namespace
@@ -85,9 +86,9 @@
   return names[static_cast<std::size_t>(mode)];
 }
 
-AdminAnswer Answers::any(const AnswerFacts& facts) const {
+AdminAnswer AdminQueries::any(const AnswerFacts& facts) const {
   AdminAnswer out;
-  out.set_view(routing::name_of(router_.members().view()));
+  out.set_view(routing::name_of(router_.registry().view()));
   out.set_published(facts.published);
   out.set_applied_by_all(facts.applied_by_all);
   out.set_shards_closed(static_cast<std::uint32_t>(router_.shards().closed()));
@@ -97,9 +98,9 @@
   return out;
 }
 
-AdminAnswer Answers::to(std::string_view line, const AnswerFacts& facts) const {
+AdminAnswer AdminQueries::to(std::string_view line, const AnswerFacts& facts) const {
   AdminAnswer out = any(facts);
-  Question question;
+  AdminQuery question;
   std::string fault;
   Reading reading = read_question(line, question, fault);
   bool of_several = question.topic == Topic::kInstances || question.topic == Topic::kOutings ||
@@ -115,7 +116,7 @@
   return out;
 }
 
-void Answers::fill(const Question& question, AdminAnswer& answer) const {
+void AdminQueries::fill(const AdminQuery& question, AdminAnswer& answer) const {
   Pager pager(question.page);
   switch (question.topic) {
     case Topic::kNodes:
@@ -141,22 +142,22 @@
   answer.set_rows_left_out(static_cast<std::uint32_t>(pager.rows() - pager.shown()));
 }
 
-void Answers::fill_nodes(const Question& question, Pager& pager, AdminAnswer& answer) const {
-  const std::vector<routing::Member>& members = router_.members().all();
+void AdminQueries::fill_nodes(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
+  const std::vector<routing::ServerStatus>& members = router_.registry().all();
   std::vector<std::uint32_t> shards(members.size());
   for (const routing::Shard& shard : router_.shards().all()) {
-    int place = shard.state == routing::ShardState::kOwned ? router_.members().place_of(shard.owner) : -1;
+    int place = shard.state == routing::ShardState::kOwned ? router_.registry().place_of(shard.owner) : -1;
     if (place >= 0) ++shards[static_cast<std::size_t>(place)];
   }
   for (std::size_t place = 0; place < members.size(); ++place) {
-    const routing::Member& member = members[place];
-    if (!matches(question, member.node.zone, routing::name_of(member.state), member.node.name)) continue;
-    NodeRow row = row_of(member, shards[place], loop_.now());
+    const routing::ServerStatus& replica = members[place];
+    if (!matches(question, replica.node.zone, routing::name_of(replica.state), replica.node.name)) continue;
+    NodeRow row = row_of(replica, shards[place], loop_.now());
     if (pager.next(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
   }
 }
 
-void Answers::fill_proxies(const Question& question, Pager& pager, AdminAnswer& answer) const {
+void AdminQueries::fill_proxies(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
   for (const xds::ProxyView& proxy : discovery_.view()) {
     if (!matches(question, proxy.zone, "", proxy.id)) continue;
     ProxyRow row = row_of(proxy);
@@ -164,8 +165,8 @@
   }
 }
 
-// Nodes, then endpoint groups. Owners of shards are places among all nodes, whichever are shown.
-void Answers::fill_snapshot(const Question& question, Pager& pager, AdminAnswer& answer) const {
+// Servers, then request classes. Owners of shards are places among all servers, whichever are shown.
+void AdminQueries::fill_snapshot(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
   if (!router_.published()) return;
   routing_state::Snapshot& snapshot = *answer.mutable_snapshot();
   snapshot = routing_state::to_proto(router_.published()->snapshot);
@@ -174,14 +175,14 @@
     return matches(question, node.zone(), node.health(), node.name());
   });
   bool of_nodes = !question.zone.empty() || !question.state.empty();
-  keep_page(*snapshot.mutable_groups(), pager, [&](const routing_state::GroupRoute& group) {
-    return !of_nodes && group.name().starts_with(question.name);
+  keep_page(*snapshot.mutable_groups(), pager, [&](const routing_state::RequestClassRoute& request_class) {
+    return !of_nodes && request_class.name().starts_with(question.name);
   });
   leave_out_server_lists(snapshot);
 }
 
-// Budgets, then nodes that are out or chosen to be, held empty, or failed.
-void Answers::fill_outings(const Question& question, Pager& pager, AdminAnswer& answer) const {
+// Budgets, then servers that are out or chosen to be, held empty, or failed.
+void AdminQueries::fill_outings(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
   operators_->fill(answer);
   auto named = [&](const std::string& name) { return name.starts_with(question.name); };
   keep_page(*answer.mutable_budgets(), pager, [&](const BudgetRow& row) { return named(row.name()); });
@@ -190,32 +191,32 @@
   if (answer.has_release()) keep_page(*answer.mutable_release()->mutable_failed(), pager, named);
 }
 
-void Answers::fill_instances(AdminAnswer& answer) const {
-  const agreement::Instance& instance = agreed_->instance();
-  const consensus::Member& member = instance.member();
-  answer.set_instance(member.id());
-  answer.set_role(consensus::name_of(member.role()));
-  answer.set_leader(member.leader());
-  answer.set_term(member.term());
+void AdminQueries::fill_instances(AdminAnswer& answer) const {
+  const agreement::ControlReplica& instance = agreed_->instance();
+  const consensus::RaftNode& replica = instance.raft_node();
+  answer.set_instance(replica.id());
+  answer.set_role(consensus::name_of(replica.role()));
+  answer.set_leader(replica.leader());
+  answer.set_term(replica.term());
   answer.set_epoch(instance.agreed().epoch().number);
-  answer.set_in_touch(instance.in_touch());
+  answer.set_in_touch(instance.has_quorum());
   answer.set_digest(xds::hex(instance.agreed().digest()));
   answer.set_refused(instance.agreed().refused());
   answer.set_left_out(agreed_->links().left_out());
   answer.set_agreed_time_s(seconds(instance.agreed().time()));
-  answer.set_disk_fails(member.disk_failed());
+  answer.set_disk_fails(replica.disk_failed());
   answer.set_published(instance.agreed().published());
   answer.set_shards_closed(static_cast<std::uint32_t>(instance.agreed().closed()));
-  for (const consensus::Server& server : member.servers()) {
+  for (const consensus::Server& server : replica.servers()) {
     InstanceRow& row = *answer.add_instances();
     row.set_id(server.id());
     row.set_address(server.address());
     row.set_part(server.role() == RAFT_VOTER     ? "votes"
                  : server.role() == RAFT_STANDBY ? "hears"
                                                  : "named only");
-    row.set_leads(server.id() == member.leader());
-    row.set_here(server.id() == member.id());
-    agreement::Instance::Said said = instance.said_by(server.id());
+    row.set_leads(server.id() == replica.leader());
+    row.set_here(server.id() == replica.id());
+    agreement::ControlReplica::Said said = instance.said_by(server.id());
     row.set_applied(row.here() ? answer.epoch() : said.applied);
     row.set_heard_s_ago(row.here() ? 0 : said.at > 0 ? seconds(loop_.now() - said.at) : -1);
     auto agreed = instance.agreed().instances().find(server.id());
@@ -226,7 +227,7 @@
 }
 
 // "let-in 4 127.0.0.1:7404", "let-out 2" and "hand-on"; what is wrong with one, or empty.
-std::string Answers::other_command(std::string_view command) const {
+std::string AdminQueries::other_command(std::string_view command) const {
   std::istringstream words{std::string(command)};
   std::string word;
   std::uint64_t id = 0;
@@ -236,8 +237,8 @@
   if (word == "let-out" && id > 0) return agreed_->instance().let_out(id);
   if (word != "hand-on")
     return "unknown question; there are nodes, proxies, snapshot, instances, outings and release status";
-  if (!agreed_->instance().member().leads()) return "this instance does not lead";
-  agreed_->hand_on([] {});
+  if (!agreed_->instance().raft_node().leads()) return "this instance does not lead";
+  agreed_->transfer_leadership([] {});
   return "";
 }
 
--- a/src/control/answers.h
+++ b/src/control/admin_queries.h
@@ -7,11 +7,11 @@
 #include <string_view>
 
 #include "control.pb.h"
-#include "control/agreed.h"
+#include "control/admin_commands.h"
+#include "control/admin_query.h"
 #include "control/discovery_service.h"
-#include "control/operators.h"
 #include "control/pager.h"
-#include "control/question.h"
+#include "control/replicated_control.h"
 #include "net/loop.h"
 #include "routing/router.h"
 
@@ -27,11 +27,11 @@
   bool disk_fails = false;
 };
 
-class Answers {
+class AdminQueries {
  public:
   // `agreed` and `operators` are nullptr where one instance decides alone. All outlive this.
-  Answers(net::Loop& loop, const routing::Router& router, DiscoveryService& discovery, Agreed* agreed,
-          const Operators* operators)
+  AdminQueries(net::Loop& loop, const routing::Router& router, DiscoveryService& discovery,
+               ReplicatedControl* agreed, const AdminCommands* operators)
       : loop_(loop), router_(router), discovery_(discovery), agreed_(agreed), operators_(operators) {}
 
   // What any answer has.
@@ -39,19 +39,19 @@
   AdminAnswer to(std::string_view line, const AnswerFacts& facts) const;
 
  private:
-  void fill(const Question& question, AdminAnswer& answer) const;
-  void fill_nodes(const Question& question, Pager& pager, AdminAnswer& answer) const;
-  void fill_proxies(const Question& question, Pager& pager, AdminAnswer& answer) const;
-  void fill_snapshot(const Question& question, Pager& pager, AdminAnswer& answer) const;
-  void fill_outings(const Question& question, Pager& pager, AdminAnswer& answer) const;
+  void fill(const AdminQuery& question, AdminAnswer& answer) const;
+  void fill_nodes(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
+  void fill_proxies(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
+  void fill_snapshot(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
+  void fill_outings(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
   void fill_instances(AdminAnswer& answer) const;
   std::string other_command(std::string_view command) const;
 
   net::Loop& loop_;
   const routing::Router& router_;
   DiscoveryService& discovery_;
-  Agreed* agreed_;
-  const Operators* operators_;
+  ReplicatedControl* agreed_;
+  const AdminCommands* operators_;
 };
 
 }  // namespace myrtlecroft::control
--- a/src/control/question.cpp
+++ b/src/control/admin_query.cpp
@@ -1,16 +1,16 @@
-#include "control/question.h"
+#include "control/admin_query.h"
 
 #include <algorithm>
 #include <charconv>
 #include <vector>
 
-#include "routing/members.h"
+#include "routing/server_registry.h"
 #include "routing/snapshot.h"
 
 namespace myrtlecroft::control {
 namespace {
 
-constexpr std::size_t kMostPage = 1'000'000;
+constexpr std::size_t kMaxPage = 1'000'000;
 
 struct TopicRule {
   std::string_view line;  // what the question begins with
@@ -62,17 +62,17 @@
     return out;
   }
   for (int state = 0; state < routing::kStates; ++state)
-    out.push_back(routing::name_of(static_cast<routing::State>(state)));
+    out.push_back(routing::name_of(static_cast<routing::ServerState>(state)));
   return out;
 }
 
 bool read_page(std::string_view value, std::size_t& page) {
   auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), page);
-  return error == std::errc() && end == value.data() + value.size() && page >= 1 && page <= kMostPage;
+  return error == std::errc() && end == value.data() + value.size() && page >= 1 && page <= kMaxPage;
 }
 
 // What is wrong with one option, or empty.
-std::string read_option(const TopicRule& rule, std::string_view word, Question& out) {
+std::string read_option(const TopicRule& rule, std::string_view word, AdminQuery& out) {
   std::size_t equals = word.find('=');
   std::string_view option = word.substr(0, equals);
   std::string_view value = equals == std::string_view::npos ? "" : word.substr(equals + 1);
@@ -97,10 +97,10 @@
 
 }  // namespace
 
-Reading read_question(std::string_view line, Question& out, std::string& fault) {
+Reading read_question(std::string_view line, AdminQuery& out, std::string& fault) {
   const TopicRule* rule = rule_of(line);
   if (!rule) return Reading::kOtherTopic;
-  out = Question{.topic = rule->topic, .zone = "", .state = "", .name = ""};
+  out = AdminQuery{.topic = rule->topic, .zone = "", .state = "", .name = ""};
   for (std::string_view word : words_of(line.substr(rule->line.size()))) {
     fault = read_option(*rule, word, out);
     if (!fault.empty()) return Reading::kBadOption;
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -18,20 +18,20 @@
 constexpr Nanos kBeat = 100 * kMs;
 constexpr Nanos kKeepEvery = 1000 * kMs;     // at most so often, but for what is about to be served
 constexpr Nanos kTrimEvery = 5000 * kMs;     // memory of a crowd that came at once is given back
-constexpr std::size_t kSpareReporters = 32;  // beyond two connections for each node of the file
-constexpr std::size_t kMostAdmins = 16;
+constexpr std::size_t kSpareReporters = 32;  // beyond two connections for each server of the file
+constexpr std::size_t kMaxAdmins = 16;
 constexpr std::size_t kLongestQuestion = 8192;  // a plan is told with its command
-constexpr int kLargestRequest = 1 << 20;  // bytes, of a proxy
-constexpr int kMostStreams = 64;          // of one connection
-constexpr int kMostThreads = 16;
+constexpr int kLargestRequest = 1 << 20;        // bytes, of a proxy
+constexpr int kMaxStreams = 64;                 // of one connection
+constexpr int kMaxThreads = 16;
 constexpr int kKeepaliveMs = 10'000;  // a proxy that is gone without a word is noticed
 constexpr int kKeepaliveWaitMs = 5'000;
-constexpr int kLeastPingMs = 5'000;  // between pings of a proxy
-constexpr int kReadChunk = 4096;     // bytes
+constexpr int kMinPingMs = 5'000;  // between pings of a proxy
+constexpr int kReadChunk = 4096;   // bytes
 constexpr std::size_t kGrpcMemory = std::size_t{512} << 20;
 
-const char* why(routing::Members::Verdict verdict) {
-  using Verdict = routing::Members::Verdict;
+const char* why(routing::ServerRegistry::Verdict verdict) {
+  using Verdict = routing::ServerRegistry::Verdict;
   switch (verdict) {
     case Verdict::kTaken:
       return "";
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-Control::Control(net::Loop& loop, service::LogPort& log, Options options)
+Control::Control(net::Loop& loop, service::Logger& log, Options options)
     : loop_(loop),
       log_(log),
       options_(std::move(options)),
@@ -72,21 +72,21 @@
                                                      [this](const std::string& line) { log_.line(line); })),
       agreed_(options_.agreement.id == 0
                   ? nullptr
-                  : std::make_unique<Agreed>(loop, log, options_.agreement,
-                                             fleet::read_fleet(options_.fleet_path), options_.first_start,
-                                             hash_of(options_.fleet_path), [this] { serve_agreed(); })),
-      operators_(agreed_ ? std::make_unique<Operators>(loop, *agreed_) : nullptr),
+                  : std::make_unique<ReplicatedControl>(
+                        loop, log, options_.agreement, fleet::read_fleet(options_.fleet_path),
+                        options_.first_start, hash_of(options_.fleet_path), [this] { serve_agreed(); })),
+      operators_(agreed_ ? std::make_unique<AdminCommands>(loop, *agreed_) : nullptr),
       router_(alone_ ? *alone_ : agreed_->instance().router()),
       reports_(loop, log, options_.addresses.reports, "reporter",
                2 * router_.fleet().nodes.size() + kSpareReporters,
-               {.came = [this](Door::Id id, net::Connection& connection,
+               {.came = [this](FrameServer::Id id, net::Connection& connection,
                                std::string_view bytes) { return reports_came(id, connection, bytes); },
-                .ended = [this](Door::Id id) { reporter_gone(id); }}),
-      admin_(loop, log, options_.addresses.admin, "admin", kMostAdmins,
-             {.came = [this](Door::Id id, net::Connection& connection,
+                .ended = [this](FrameServer::Id id) { reporter_gone(id); }}),
+      admin_(loop, log, options_.addresses.admin, "admin", kMaxAdmins,
+             {.came = [this](FrameServer::Id id, net::Connection& connection,
                              std::string_view bytes) { return asked(id, connection, bytes); },
               .ended =
-                  [this](Door::Id id) {
+                  [this](FrameServer::Id id) {
                     if (operators_) operators_->gone(id);
                   }}),
       answers_(loop, router_, discovery_, agreed_.get(), operators_.get()),
@@ -100,11 +100,12 @@
   if (server_) server_->Shutdown(std::chrono::system_clock::now() + std::chrono::milliseconds(500));
 }
 
-std::optional<routing::Memory> Control::remembered() {
+std::optional<routing::PersistedState> Control::remembered() {
   if (!state_ || state_->found().empty()) return std::nullopt;
   std::optional<routing_state::SavedState> state = routing_state::unpacked(state_->found());
   if (!state) {
-    log_.line(options_.state_folder + ": a state that makes no sense to this version; nothing is known of who ran what");
+    log_.line(options_.state_folder +
+              ": a state that makes no sense to this version; nothing is known of who ran what");
     return std::nullopt;
   }
   proxies_before_ = std::move(state->proxies);
@@ -119,11 +120,11 @@
   builder.RegisterService(&discovery_.service());
   builder.RegisterService(&loads_);
   builder.SetMaxReceiveMessageSize(kLargestRequest);
-  builder.AddChannelArgument(GRPC_ARG_MAX_CONCURRENT_STREAMS, kMostStreams);
+  builder.AddChannelArgument(GRPC_ARG_MAX_CONCURRENT_STREAMS, kMaxStreams);
   builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, kKeepaliveMs);
   builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, kKeepaliveWaitMs);
   builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
-  builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, kLeastPingMs);
+  builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, kMinPingMs);
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
   // Proxies say little: what is read from each needs no large buffer, and no measuring of the line.
   builder.AddChannelArgument(GRPC_ARG_TCP_READ_CHUNK_SIZE, kReadChunk);
@@ -131,7 +132,7 @@
   builder.AddChannelArgument(GRPC_ARG_HTTP2_BDP_PROBE, 0);
   grpc::ResourceQuota quota;
   quota.Resize(kGrpcMemory);
-  quota.SetMaxThreads(kMostThreads);
+  quota.SetMaxThreads(kMaxThreads);
   builder.SetResourceQuota(quota);
   server_ = builder.BuildAndStart();
   if (!server_ || discovery_port_ == 0) {
@@ -154,12 +155,12 @@
   }
 }
 
-// ---- From nodes
+// ---- From servers
 
-std::size_t Control::reports_came(Door::Id id, net::Connection& connection, std::string_view bytes) {
+std::size_t Control::reports_came(FrameServer::Id id, net::Connection& connection, std::string_view bytes) {
   report::Malformed malformed{};
   std::size_t taken = report::decode(
-      bytes, [&](const report::NodeReport& report) { take(id, connection, report); }, malformed);
+      bytes, [&](const report::LoadReport& report) { take(id, connection, report); }, malformed);
   if (malformed != report::Malformed::kNo) {
     log_.frequent("reporter " + std::to_string(id) + " makes no sense: " + report::name_of(malformed));
     connection.end(net::Reason::kMalformed);
@@ -167,15 +168,15 @@
   return taken;
 }
 
-// What is refused is told once for each node and reason.
-void Control::take(Door::Id id, net::Connection& connection, const report::NodeReport& report) {
+// What is refused is told once for each server and reason.
+void Control::take(FrameServer::Id id, net::Connection& connection, const report::LoadReport& report) {
   auto verdict = router_.reported(report, loop_.now(), net::Loop::unix_now());
   std::string reason = why(verdict);
-  if (verdict == routing::Members::Verdict::kTaken) {
+  if (verdict == routing::ServerRegistry::Verdict::kTaken) {
     told_.erase(report.node);
     if (reporters_.names(id, report.node)) router_.report_link(report.node, true, loop_.now());
-    // A change of what a node says of itself is not left to wait for the beat.
-    std::string word = std::string(name_of(report.mode)) + (report.leaving ? " leaving" : "");
+    // A change of what a server says of itself is not left to wait for the beat.
+    std::string word = std::string(name_of(report.mode)) + (report.draining ? " leaving" : "");
     if (std::exchange(words_[report.node], word) != word) {
       if (agreed_) agreed_->instance().soon();
       again_.set(0);
@@ -189,10 +190,10 @@
     log_.line("reports of " + report.node.substr(0, 64) + " are refused: " + reason);
     told_[report.node] = reason;
   }
-  if (verdict == routing::Members::Verdict::kUnknownNode) connection.end(net::Reason::kMalformed);
+  if (verdict == routing::ServerRegistry::Verdict::kUnknownNode) connection.end(net::Reason::kMalformed);
 }
 
-void Control::reporter_gone(Door::Id id) {
+void Control::reporter_gone(FrameServer::Id id) {
   if (std::optional<std::string> node = reporters_.ended(id)) router_.report_link(*node, false, loop_.now());
 }
 
@@ -201,7 +202,8 @@
 void Control::hear_proxies() {
   for (const LoadService::Told& told : loads_.take()) {
     std::string node = told.node;
-    const routing::Member* listens = node.empty() ? router_.members().member_at(told.address) : nullptr;
+    const routing::ServerStatus* listens =
+        node.empty() ? router_.registry().server_at(told.address) : nullptr;
     if (listens) node = listens->node.name;
     router_.proxies_say({node, told.issued, told.succeeded, told.failed}, loop_.now());
   }
@@ -220,8 +222,8 @@
   applied_ = agreed_->instance().applied_by_all();
 }
 
-google::protobuf::RepeatedPtrField<consensus::ProxyWord> Control::proxy_words() {
-  google::protobuf::RepeatedPtrField<consensus::ProxyWord> words;
+google::protobuf::RepeatedPtrField<consensus::ProxyStatus> Control::proxy_words() {
+  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
   for (const xds::ProxyView& proxy : discovery_.view()) {
     if (proxy.id.empty()) continue;
     words.Add()->set_id(proxy.id);
@@ -233,18 +235,19 @@
 
 // ---- Where several decide as one
 
-// To a node that acts on an older order, or on none.
-void Control::order(net::Connection& connection, const report::NodeReport& report) {
-  fencing::Order order = agreed_->instance().order_for(report.node);
-  if (order.epoch.number == 0 || order.life != report.life || report.epoch >= order.epoch) return;
+// To a server that acts on an older order, or on none.
+void Control::order(net::Connection& connection, const report::LoadReport& report) {
+  fencing::ShardAssignment order = agreed_->instance().order_for(report.node);
+  if (order.epoch.number == 0 || order.incarnation != report.incarnation || report.epoch >= order.epoch)
+    return;
   // Nobody goes out on the word of an instance that does not know whether it still holds.
-  if (order.restart_as && !agreed_->instance().in_touch()) return;
+  if (order.restart_as && !agreed_->instance().has_quorum()) return;
   order.answers = report.sequence;
   connection.write(report::encode(order));
 }
 
 void Control::serve_agreed() {
-  agreement::Instance& instance = agreed_->instance();
+  agreement::ControlReplica& instance = agreed_->instance();
   operators_->tick();
   auto published = instance.published();
   if (published && (!served_ || served_->number != published->number)) publish(*published);
@@ -260,7 +263,7 @@
 
 // Who may be served is told again only where it was agreed on anew.
 void Control::gate(Nanos fresh_until) {
-  const agreement::State& agreed = agreed_->instance().agreed();
+  const agreement::ReplicatedState& agreed = agreed_->instance().agreed();
   if (std::exchange(gated_at_, agreed.proxies_epoch()) == agreed.proxies_epoch()) {
     discovery_.gate_stays(fresh_until, closed_);
     return;
@@ -284,8 +287,8 @@
   pacer_.published(loop_.now() - begun, loop_.now());
 }
 
-void Control::hand_on(std::function<void()> then) {
-  if (agreed_) return agreed_->hand_on(std::move(then));
+void Control::transfer_leadership(std::function<void()> then) {
+  if (agreed_) return agreed_->transfer_leadership(std::move(then));
   then();
 }
 
@@ -321,8 +324,9 @@
 
 void Control::kept(bool durable) {
   if (disk_fails_ == durable) {
-    log_.line(durable ? "state is kept on disk again"
-                      : "state can't be kept on disk; what was served last is served on until the disk is well");
+    log_.line(durable
+                  ? "state is kept on disk again"
+                  : "state can't be kept on disk; what was served last is served on until the disk is well");
   }
   disk_fails_ = !durable;
   if (!durable) return;
@@ -336,14 +340,14 @@
 
 // ---- From operators
 
-std::size_t Control::asked(Door::Id id, net::Connection& connection, std::string_view bytes) {
+std::size_t Control::asked(FrameServer::Id id, net::Connection& connection, std::string_view bytes) {
   std::size_t end = bytes.find('\n');
   if (end == std::string_view::npos) {
     if (bytes.size() > kLongestQuestion) connection.end(net::Reason::kMalformed);
     return 0;
   }
   std::string question(bytes.substr(0, end));
-  if (operators_ && Operators::is_command(question)) {
+  if (operators_ && AdminCommands::is_command(question)) {
     operators_->ask(id, connection, question, answers_.any(facts()));
   } else {
     write_answer(connection, answers_.to(question, facts()));
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -1,7 +1,7 @@
-// The control service: hears nodes and proxies, lets the router decide, keeps what must last, serves the
+// The control service: hears servers and proxies, lets the router decide, keeps what must last, serves the
 // rest.
 //
-// One loop thread decides and hears the nodes; gRPC's own threads speak with proxies. They meet in
+// One loop thread decides and hears the servers; gRPC's own threads speak with proxies. They meet in
 // DiscoveryService and LoadService, which lock.
 #pragma once
 
@@ -12,12 +12,12 @@
 #include <optional>
 #include <string>
 
-#include "control/agreed.h"
-#include "control/answers.h"
+#include "control/admin_commands.h"
+#include "control/admin_queries.h"
 #include "control/discovery_service.h"
-#include "control/door.h"
-#include "control/operators.h"
+#include "control/frame_server.h"
 #include "control/publication_pacer.h"
+#include "control/replicated_control.h"
 #include "control/reporter_links.h"
 #include "control/state_store.h"
 #include "net/log.h"
@@ -28,7 +28,7 @@
 
 struct Addresses {
   std::string discovery;  // "127.0.0.1:18000", for proxies
-  sockaddr_in reports{};  // for nodes
+  sockaddr_in reports{};  // for servers
   sockaddr_in admin{};
 };
 
@@ -43,7 +43,7 @@
 class Control {
  public:
   // Throws settings::DocumentError for the fleet file and std::runtime_error for all else.
-  Control(net::Loop& loop, service::LogPort& log, Options options);
+  Control(net::Loop& loop, service::Logger& log, Options options);
   ~Control();
 
   // Reads the fleet file again. One that makes no sense changes nothing.
@@ -54,28 +54,28 @@
   std::uint16_t admin_port() const { return admin_.port(); }
   const routing::Router& router() const { return router_; }
   // Before a stop: leadership goes to another instance, where there is one.
-  void hand_on(std::function<void()> then);
+  void transfer_leadership(std::function<void()> then);
 
  private:
-  std::optional<routing::Memory> remembered();
-  std::size_t reports_came(Door::Id id, net::Connection& connection, std::string_view bytes);
-  void take(Door::Id id, net::Connection& connection, const report::NodeReport& report);
-  void reporter_gone(Door::Id id);
-  std::size_t asked(Door::Id id, net::Connection& connection, std::string_view bytes);
+  std::optional<routing::PersistedState> remembered();
+  std::size_t reports_came(FrameServer::Id id, net::Connection& connection, std::string_view bytes);
+  void take(FrameServer::Id id, net::Connection& connection, const report::LoadReport& report);
+  void reporter_gone(FrameServer::Id id);
+  std::size_t asked(FrameServer::Id id, net::Connection& connection, std::string_view bytes);
   AnswerFacts facts() const;
   void hear_proxies();
-  google::protobuf::RepeatedPtrField<consensus::ProxyWord> proxy_words();
+  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> proxy_words();
   void step();
   void keep();
   void kept(bool durable);
   void serve();
   void publish(const routing::Published& published);
   void serve_agreed();
-  void order(net::Connection& connection, const report::NodeReport& report);
+  void order(net::Connection& connection, const report::LoadReport& report);
   void gate(Nanos fresh_until);
 
   net::Loop& loop_;
-  service::LogPort& log_;
+  service::Logger& log_;
   Options options_;
   DiscoveryService discovery_;
   LoadService loads_;
@@ -83,18 +83,18 @@
   std::vector<std::string> proxies_before_;  // as the last good state had them
   // One of these two: alone, or one instance of several.
   std::unique_ptr<routing::Router> alone_;
-  std::unique_ptr<Agreed> agreed_;
-  std::unique_ptr<Operators> operators_;  // with it
+  std::unique_ptr<ReplicatedControl> agreed_;
+  std::unique_ptr<AdminCommands> operators_;  // with it
   routing::Router& router_;
-  Door reports_;
-  Door admin_;
-  Answers answers_;
+  FrameServer reports_;
+  FrameServer admin_;
+  AdminQueries answers_;
   int discovery_port_ = 0;
   std::unique_ptr<grpc::Server> server_;
   net::Timer again_;
   ReporterLinks reporters_;
-  std::map<std::string, std::string> words_;           // node -> mode as it said last
-  std::map<std::string, std::string> told_;            // node -> why its reports are refused, as logged last
+  std::map<std::string, std::string> words_;  // server -> mode as it said last
+  std::map<std::string, std::string> told_;   // server -> why its reports are refused, as logged last
   std::shared_ptr<const routing::Published> waiting_;  // decided, not yet kept on disk
   std::shared_ptr<const xds::ResourceSet> served_;
   std::shared_ptr<const xds::ResourceSet> closed_;     // the same without an open shard
--- a/src/control/discovery_service.cpp
+++ b/src/control/discovery_service.cpp
@@ -14,7 +14,7 @@
 using grpc::ByteBuffer;
 
 constexpr std::int64_t kLoadInterval = 1;  // seconds between load reports
-constexpr std::size_t kMostTold = 20'000;  // nodes or endpoints that load reports may name between two looks
+constexpr std::size_t kMaxTold = 20'000;  // servers or endpoints that load reports may name between two looks
 
 Nanos steady_now() {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
@@ -232,7 +232,7 @@
   std::lock_guard lock(mutex_);
   auto note = [&](const std::string& node, const std::string& address, std::uint64_t issued,
                   std::uint64_t succeeded, std::uint64_t failed) {
-    if (told_.size() >= kMostTold && !told_.contains({node, address})) return;
+    if (told_.size() >= kMaxTold && !told_.contains({node, address})) return;
     Told& told = told_[{node, address}];
     told.node = node;
     told.address = address;
--- a/src/control/discovery_service.h
+++ b/src/control/discovery_service.h
@@ -14,7 +14,7 @@
 
 #include "discovery.grpc.pb.h"
 #include "load_stats.grpc.pb.h"
-#include "routing/members.h"
+#include "routing/server_registry.h"
 #include "xds/session_table.h"
 
 namespace myrtlecroft::control {
@@ -52,7 +52,7 @@
   std::unique_ptr<Adapter> adapter_;
 };
 
-// Load reports: what proxies say of nodes, collected until it is asked for.
+// Load reports: what proxies say of servers, collected until it is asked for.
 class LoadService final : public envoy::service::load_stats::v3::LoadReportingService::CallbackService {
  public:
   grpc::ServerBidiReactor<envoy::service::load_stats::v3::LoadStatsRequest,
--- a/src/control/door.h
+++ b/src/control/frame_server.h
@@ -12,7 +12,7 @@
 
 namespace myrtlecroft::control {
 
-class Door {
+class FrameServer {
  public:
   using Id = std::uint64_t;
   struct Events {
@@ -22,13 +22,13 @@
   };
   // Beyond `most` connections a new one is closed at once. Throws std::runtime_error where the address can't
   // be had.
-  Door(net::Loop& loop, service::LogPort& log, const sockaddr_in& listen, std::string what, std::size_t most,
-       Events events);
-  ~Door();
+  FrameServer(net::Loop& loop, service::Logger& log, const sockaddr_in& listen, std::string what,
+              std::size_t max, Events events);
+  ~FrameServer();
   std::uint16_t port() const;
 
  private:
-  class Guest;
+  class Session;
   static void accepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
   static void accept_failed(evconnlistener*, void* self);
   void add(evutil_socket_t socket);
@@ -38,13 +38,13 @@
   };
 
   net::Loop& loop_;
-  service::LogPort& log_;
+  service::Logger& log_;
   std::string what_;
-  std::size_t most_;
+  std::size_t max_;
   Events events_;
   std::unique_ptr<evconnlistener, ListenerFreer> listener_;
   net::Timer accept_again_;
-  std::map<Id, std::unique_ptr<Guest>> guests_;
+  std::map<Id, std::unique_ptr<Session>> sessions_;
   Id last_ = 0;
 };
 
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -11,7 +11,7 @@
 #include <exception>
 #include <string>
 
-#include "control/ask.h"
+#include "control/admin_client.h"
 #include "control/control.h"
 #include "control/release_watch.h"
 #include "control/tables.h"
@@ -25,8 +25,8 @@
 
 constexpr int kUsage = 2;
 constexpr Nanos kLongestHandOn = 1500 * kMs;
-constexpr std::size_t kMostDescriptors =
-    65'536;  // for proxies and nodes; fewer where the process may have fewer
+constexpr std::size_t kMaxDescriptors =
+    65'536;  // for proxies and servers; fewer where the process may have fewer
 
 sockaddr_in address_of(const std::string& given) {
   std::string host;
@@ -44,7 +44,7 @@
   try {
     fleet::Fleet fleet = fleet::read_fleet(path);
     std::printf("%s: good: %zu nodes, %zu endpoint groups, %zu shards\n", path.c_str(), fleet.nodes.size(),
-                fleet.groups.size(), fleet.shards());
+                fleet.request_classes.size(), fleet.shards());
     return 0;
   } catch (const settings::DocumentError& error) {
     std::fprintf(stderr, "myrtlecroft-control: %s\n", error.what());
@@ -54,9 +54,9 @@
 
 void serve(control::Options options) {
   std::signal(SIGPIPE, SIG_IGN);
-  mallopt(M_ARENA_MAX, 2);                     // threads that each keep memory of their own keep it for good
-  google::protobuf::SetLogHandler(nullptr);    // what peers send that makes no sense is told in our own log
-  net::reserve_descriptors(kMostDescriptors);  // before any thread
+  mallopt(M_ARENA_MAX, 2);                    // threads that each keep memory of their own keep it for good
+  google::protobuf::SetLogHandler(nullptr);   // what peers send that makes no sense is told in our own log
+  net::reserve_descriptors(kMaxDescriptors);  // before any thread
   net::Loop loop;
   net::Log log(loop);
   control::Control control(loop, log, std::move(options));
@@ -64,7 +64,7 @@
   net::Timer last_moment(loop.base(), [&] { loop.stop(); });
   auto leave = [&] {
     last_moment.set(kLongestHandOn);
-    control.hand_on([&] { last_moment.set(0); });
+    control.transfer_leadership([&] { last_moment.set(0); });
   };
   net::Timer terminated(loop.base(), SIGTERM, leave);
   net::Timer interrupted(loop.base(), SIGINT, leave);
@@ -76,10 +76,10 @@
 }
 
 // Offline, on the folder of an instance that does not run.
-int begin_again(const std::string& folder, const std::string& list) {
-  consensus::StoreKeeper keeper(
+int reset(const std::string& folder, const std::string& list) {
+  consensus::StoreRaftStorage storage(
       folder, [] { return net::Loop::unix_now(); }, [] {});
-  consensus::Member::begin_again(keeper, control::instances_of(list));
+  consensus::RaftNode::force_new_cluster(storage, control::instances_of(list));
   std::printf(
       "%s goes on with: %s\nWhat only those who are gone had agreed on is lost. Start it without --begin.\n",
       folder.c_str(), list.c_str());
@@ -111,7 +111,8 @@
   if (topic == "outings") return;
   asking.add_option("--zone", rows.zone, "Only rows of this zone");
   if (topic == "proxies") return;
-  asking.add_option("--state", rows.state, topic == "nodes" ? "Only nodes in this state" : "Only nodes of this health");
+  asking.add_option("--state", rows.state,
+                    topic == "nodes" ? "Only nodes in this state" : "Only nodes of this health");
 }
 
 int show(const std::string& admin, const std::string& question, const std::string& rows, bool as_json) {
@@ -119,7 +120,7 @@
   if (!answer.error().empty()) throw std::runtime_error(answer.error());
   if (!as_json) {
     if (!answer.done().empty()) std::puts(answer.done().c_str());
-    bool outings = control::Operators::is_command(question);
+    bool outings = control::AdminCommands::is_command(question);
     if (!outings) control::print_table(answer, answer.done().empty() ? question : "instances");
     return 0;
   }
@@ -135,8 +136,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  // Debian's gRPC is built with this on: each lock that is taken then costs a look into a graph of all locks, a sixth of
-  // the time while thousands of callers connect.
+  // Debian's gRPC is built with this on: each lock that is taken then costs a look into a graph of all locks,
+  // a sixth of the time while thousands of callers connect.
   absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore);
   CLI::App app("Decides where a fleet's exchanges go, and tells proxies over xDS");
   app.require_subcommand(1);
@@ -164,12 +165,15 @@
   serving->add_option("--log", agreement.folder, "Folder of its log");
   serving->add_option("--begin", begin, "First start of several: all of them, as 1=127.0.0.1:7401,2=...");
   std::string reach;
-  serving->add_option("--reach", reach, "Others, where they are reached from here by another address than all know");
+  serving->add_option("--reach", reach,
+                      "Others, where they are reached from here by another address than all know");
   serving->add_flag("--join", agreement.join, "First start of one that is to be let in by 'let-in'");
-  serving->add_option("--hold-format", agreement.format,
-                      "Take and write no newer form of agreed entries, for an upgrade that may be taken back")
+  serving
+      ->add_option("--hold-format", agreement.format,
+                   "Take and write no newer form of agreed entries, for an upgrade that may be taken back")
       ->check(CLI::Range(1u, agreement::kFormat));
-  serving->add_option("--snapshot-after", agreement.snapshot_after, "Entries of the log between two snapshots")
+  serving
+      ->add_option("--snapshot-after", agreement.snapshot_after, "Entries of the log between two snapshots")
       ->check(CLI::Range(8u, 100'000u))
       ->capture_default_str();
   CLI::App* again =
@@ -185,9 +189,10 @@
     telling->add_option("words", words, "Id, and for let-in the address");
   }
   for (const char* command : {"drain", "undrain"}) {
-    CLI::App* telling = app.add_subcommand(command, command == std::string("drain")
-                                                        ? "Take a node, a zone or what uses a service out, within the budgets"
-                                                        : "Let it back");
+    CLI::App* telling =
+        app.add_subcommand(command, command == std::string("drain")
+                                        ? "Take a node, a zone or what uses a service out, within the budgets"
+                                        : "Let it back");
     telling->add_option("--admin", admin, "Admin address of any instance")->capture_default_str();
     telling->add_option("name", words, "Node, zone or service")->required()->expected(1);
   }
@@ -204,10 +209,10 @@
   release_status->add_flag("--json", as_json, "Print JSON");
   RowOptions rows;
   add_row_options(*release_status, "release status", rows);
-  for (const auto& [word, what] : {std::pair("halt", "Let nobody more go out, at once"),
-                                   std::pair("resume", "Go on after a halt"),
-                                   std::pair("back", "Back to the version before, the newest first"),
-                                   std::pair("end", "Leave a halted one as it is")}) {
+  for (const auto& [word, what] :
+       {std::pair("halt", "Let nobody more go out, at once"), std::pair("resume", "Go on after a halt"),
+        std::pair("back", "Back to the version before, the newest first"),
+        std::pair("end", "Leave a halted one as it is")}) {
     releasing->add_subcommand(word, what)->add_option("reason", words, "For the log");
   }
   for (CLI::App* one : releasing->get_subcommands({})) {
@@ -227,7 +232,7 @@
   }
   try {
     if (checking->parsed()) return check(fleet);
-    if (again->parsed()) return begin_again(agreement.folder, begin);
+    if (again->parsed()) return reset(agreement.folder, begin);
     if (serving->parsed()) {
       bool several = agreement.id != 0 || !agreement.address.empty() || !agreement.folder.empty();
       if (several &&
@@ -245,8 +250,8 @@
     }
     if (release_check->parsed()) {
       agreement::Plan read = releases::read_plan(plan);
-      std::printf("%s: good: '%s' to version %u in %u waves\n", plan.c_str(), read.name().c_str(), read.version(),
-                  releases::waves_of(read));
+      std::printf("%s: good: '%s' to version %u in %u waves\n", plan.c_str(), read.name().c_str(),
+                  read.version(), releases::waves_of(read));
       return 0;
     }
     if (watch) {
--- a/src/control/pager.h
+++ b/src/control/pager.h
@@ -8,14 +8,14 @@
 
 class Pager {
  public:
-  static constexpr std::size_t kMostRows = 1000;
-  static constexpr std::size_t kMostBytes = std::size_t{160} << 10;
+  static constexpr std::size_t kMaxRows = 1000;
+  static constexpr std::size_t kMaxBytes = std::size_t{160} << 10;
 
   explicit Pager(std::size_t page) : wanted_(page) {}
 
   // To be called for each row in order; true where it stands on the wanted page.
   bool next(std::size_t bytes) {
-    bool full = rows_on_page_ == kMostRows || (rows_on_page_ > 0 && bytes_on_page_ + bytes > kMostBytes);
+    bool full = rows_on_page_ == kMaxRows || (rows_on_page_ > 0 && bytes_on_page_ + bytes > kMaxBytes);
     if (full || pages_ == 0) {
       ++pages_;
       rows_on_page_ = 0;
--- a/src/control/peer_links.cpp
+++ b/src/control/peer_links.cpp
@@ -8,13 +8,13 @@
 namespace myrtlecroft::control {
 namespace {
 
+using consensus::Acknowledgement;
 using consensus::PeerMessage;
-using consensus::Taken;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kMostInbox = 4'096;     // messages that the loop has not looked at
-constexpr std::size_t kMostWaiting = 512;     // messages of one link
-constexpr std::size_t kMostBytes = 16 << 20;  // of one link
+constexpr std::size_t kMaxInbox = 4'096;     // messages that the loop has not looked at
+constexpr std::size_t kMaxWaiting = 512;     // messages of one link
+constexpr std::size_t kMaxBytes = 16 << 20;  // of one link
 constexpr int kLargestMessage = 32 << 20;
 constexpr int kFirstBackoffMs = 100;
 constexpr int kLastBackoffMs = 500;
@@ -86,7 +86,7 @@
 
   std::shared_ptr<Link> link_;
   grpc::ClientContext context_;
-  Taken taken_;
+  Acknowledgement taken_;
   PeerMessage out_;
   bool writing_ = false;
   bool dropped_ = false;
@@ -116,7 +116,7 @@
 class PeerLinks::Service final : public consensus::Peers::CallbackService {
  public:
   explicit Service(PeerLinks& links) : links_(links) {}
-  grpc::ServerReadReactor<PeerMessage>* Tell(grpc::CallbackServerContext*, Taken*) override {
+  grpc::ServerReadReactor<PeerMessage>* Tell(grpc::CallbackServerContext*, Acknowledgement*) override {
     return new Listening(links_);
   }
 
@@ -125,7 +125,7 @@
 };
 
 PeerLinks::PeerLinks(net::Loop& loop, const std::string& address,
-                     std::map<consensus::InstanceId, std::string> reach, Came came)
+                     std::map<consensus::InstanceId, std::string> reach, FrameHandlers came)
     : came_(std::move(came)),
       reach_(std::move(reach)),
       wake_(loop.base(), [this] { take(); }),
@@ -151,7 +151,7 @@
 void PeerLinks::push(PeerMessage message) {
   {
     std::lock_guard lock(mutex_);
-    if (inbox_.size() >= kMostInbox) {
+    if (inbox_.size() >= kMaxInbox) {
       inbox_.pop_front();
       ++left_out_;
     }
@@ -204,7 +204,7 @@
   std::lock_guard lock(link->mutex);
   link->bytes += message.ByteSizeLong();
   link->waiting.push_back(message);
-  while (link->waiting.size() > kMostWaiting || (link->bytes > kMostBytes && link->waiting.size() > 1)) {
+  while (link->waiting.size() > kMaxWaiting || (link->bytes > kMaxBytes && link->waiting.size() > 1)) {
     link->bytes -= link->waiting.front().ByteSizeLong();
     link->waiting.pop_front();
     ++link->left_out;
--- a/src/control/peer_links.h
+++ b/src/control/peer_links.h
@@ -12,18 +12,18 @@
 #include <vector>
 
 #include "consensus.grpc.pb.h"
-#include "consensus/member.h"
+#include "consensus/raft_node.h"
 #include "net/loop.h"
 
 namespace myrtlecroft::control {
 
-class PeerLinks final : public consensus::Wire {
+class PeerLinks final : public consensus::Transport {
  public:
-  using Came = std::function<void(const consensus::PeerMessage&)>;
+  using FrameHandlers = std::function<void(const consensus::PeerMessage&)>;
   // Listens at `address` ("127.0.0.1:7401"). `came` is called from the loop. Throws std::runtime_error.
   // `reach`: where an instance is reached from here, where that is not the address all know it by.
   PeerLinks(net::Loop& loop, const std::string& address, std::map<consensus::InstanceId, std::string> reach,
-            Came came);
+            FrameHandlers came);
   ~PeerLinks() override;
 
   // Beyond what a link takes, the oldest that waits is left out.
@@ -41,12 +41,12 @@
   void push(consensus::PeerMessage message);
   static void open(const std::shared_ptr<Link>& link);
 
-  Came came_;
+  FrameHandlers came_;
   std::map<consensus::InstanceId, std::string> reach_;
   mutable std::mutex mutex_;
   std::deque<consensus::PeerMessage> inbox_;
   std::uint64_t left_out_ = 0;
-  net::Wake wake_;
+  net::CrossThreadWakeup wake_;
   std::map<std::string, std::shared_ptr<Link>> links_;
   std::unique_ptr<Service> service_;
   int port_ = 0;
--- a/src/control/publication_pacer.h
+++ b/src/control/publication_pacer.h
@@ -1,7 +1,7 @@
 // How soon a publication may follow the one before. No I/O.
 #pragma once
 
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft::control {
 
--- a/src/control/agreed.cpp
+++ b/src/control/replicated_control.cpp
@@ -1,4 +1,4 @@
-#include "control/agreed.h"
+#include "control/replicated_control.h"
 
 #include <charconv>
 #include <random>
@@ -35,21 +35,21 @@
   return out;
 }
 
-Agreed::Agreed(net::Loop& loop, service::LogPort& log, const AgreementOptions& options, fleet::Fleet fleet,
-               bool first_start, std::uint64_t settings, News news)
+ReplicatedControl::ReplicatedControl(net::Loop& loop, service::Logger& log, const AgreementOptions& options,
+                                     fleet::Fleet fleet, bool first_start, std::uint64_t settings, News news)
     : log_(log),
       news_(std::move(news)),
-      disk_(loop.base(), [this] { keeper_->take_done(); }),
-      keeper_(std::make_unique<consensus::StoreKeeper>(
+      disk_(loop.base(), [this] { storage_->take_done(); }),
+      storage_(std::make_unique<consensus::StoreRaftStorage>(
           options.folder, [&loop] { return loop.now(); }, [this] { disk_.fire(); })),
       conductor_([&log](const std::string& line) { log.line(line); }),
       again_(loop.base(), [this] { beat(); }) {
-  if (keeper_->owner() != 0 && keeper_->owner() != options.id) {
+  if (storage_->owner() != 0 && storage_->owner() != options.id) {
     throw std::runtime_error(
-        options.folder + " is the log of instance " + std::to_string(keeper_->owner()) +
+        options.folder + " is the log of instance " + std::to_string(storage_->owner()) +
         "; two must never use one: a replaced instance gets a new id and an empty folder");
   }
-  bool empty = keeper_->load().term == 0;
+  bool empty = storage_->load().term == 0;
   if (empty && options.begin.empty() && !options.join) {
     throw std::runtime_error(options.folder +
                              " holds no log: --begin for a new fleet, --join for a new instance of one");
@@ -58,46 +58,47 @@
     throw std::runtime_error(options.folder + " holds a log already: --begin is for the first start only");
   }
   if (empty) {
-    keeper_->belong_to(options.id);
-    if (!options.begin.empty()) consensus::Member::begin(*keeper_, options.begin);
+    storage_->belong_to(options.id);
+    if (!options.begin.empty()) consensus::RaftNode::bootstrap(*storage_, options.begin);
   }
-  agreement::InstanceTerms terms;
-  terms.id = options.id;
-  terms.address = options.address;
-  terms.log.fleet = fleet.listener;
-  terms.log.snapshot_after = options.snapshot_after;
-  terms.log.snapshot_trailing = std::min(terms.log.snapshot_trailing, options.snapshot_after / 4);
-  terms.format = options.format;
-  terms.settings = settings;
+  agreement::ReplicaOptions replica_options;
+  replica_options.id = options.id;
+  replica_options.address = options.address;
+  replica_options.log.fleet = fleet.listener;
+  replica_options.log.snapshot_after = options.snapshot_after;
+  replica_options.log.snapshot_trailing =
+      std::min(replica_options.log.snapshot_trailing, options.snapshot_after / 4);
+  replica_options.format = options.format;
+  replica_options.settings = settings;
   std::map<consensus::InstanceId, std::string> reach;
   for (const consensus::Server& other : options.reach) reach[other.id()] = other.address();
   links_ = std::make_unique<PeerLinks>(loop, options.address, std::move(reach),
                                        [this](const consensus::PeerMessage& message) {
                                          if (instance_ && instance_->received(message)) news_();
                                        });
-  instance_ = std::make_unique<agreement::Instance>(
-      terms, *keeper_, *links_, std::move(fleet), first_start, [&loop] { return loop.now(); },
+  instance_ = std::make_unique<agreement::ControlReplica>(
+      replica_options, *storage_, *links_, std::move(fleet), first_start, [&loop] { return loop.now(); },
       std::random_device()(), [&log](const std::string& line) { log.line(line); });
   instance_->set_chapter(&conductor_);
   instance_->start();
   again_.set(kBeat);
 }
 
-Agreed::~Agreed() {
+ReplicatedControl::~ReplicatedControl() {
   links_.reset();
   instance_.reset();
 }
 
-void Agreed::beat() {
+void ReplicatedControl::beat() {
   again_.set(kBeat);
-  keeper_->take_done();
+  storage_->take_done();
   if (instance_->tick()) news_();
 }
 
-void Agreed::hand_on(std::function<void()> then) {
-  if (!instance_->member().leads() || instance_->member().voters() < 2) return then();
+void ReplicatedControl::transfer_leadership(std::function<void()> then) {
+  if (!instance_->raft_node().leads() || instance_->raft_node().voters() < 2) return then();
   log_.line("handing on before the stop");
-  instance_->member().hand_on([then = std::move(then)](bool) { then(); });
+  instance_->raft_node().transfer_leadership([then = std::move(then)](bool) { then(); });
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/agreed.h
+++ b/src/control/replicated_control.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "agreement/instance.h"
-#include "consensus/store_keeper.h"
+#include "agreement/control_replica.h"
+#include "consensus/store_raft_storage.h"
 #include "control/peer_links.h"
 #include "net/loop.h"
-#include "releases/conductor.h"
+#include "releases/rollout_controller.h"
 #include "service/ports.h"
 
 namespace myrtlecroft::control {
@@ -31,31 +31,31 @@
 // "1=127.0.0.1:7401,2=127.0.0.1:7402". Throws std::runtime_error.
 std::vector<consensus::Server> instances_of(const std::string& list);
 
-class Agreed {
+class ReplicatedControl {
  public:
   using News = std::function<void()>;
   // Throws std::runtime_error, also where the folder is another instance's.
-  Agreed(net::Loop& loop, service::LogPort& log, const AgreementOptions& options, fleet::Fleet fleet,
-         bool first_start, std::uint64_t settings, News news);
-  ~Agreed();
+  ReplicatedControl(net::Loop& loop, service::Logger& log, const AgreementOptions& options,
+                    fleet::Fleet fleet, bool first_start, std::uint64_t settings, News news);
+  ~ReplicatedControl();
 
-  agreement::Instance& instance() { return *instance_; }
-  const agreement::Instance& instance() const { return *instance_; }
+  agreement::ControlReplica& instance() { return *instance_; }
+  const agreement::ControlReplica& instance() const { return *instance_; }
   const PeerLinks& links() const { return *links_; }
-  const releases::Conductor& conductor() const { return conductor_; }
+  const releases::RolloutController& conductor() const { return conductor_; }
   // Before a stop: leadership goes to another, so that nobody waits for an election.
-  void hand_on(std::function<void()> then);
+  void transfer_leadership(std::function<void()> then);
 
  private:
   void beat();
 
-  service::LogPort& log_;
+  service::Logger& log_;
   News news_;
-  net::Wake disk_;
-  std::unique_ptr<consensus::StoreKeeper> keeper_;
+  net::CrossThreadWakeup disk_;
+  std::unique_ptr<consensus::StoreRaftStorage> storage_;
   std::unique_ptr<PeerLinks> links_;
-  releases::Conductor conductor_;
-  std::unique_ptr<agreement::Instance> instance_;
+  releases::RolloutController conductor_;
+  std::unique_ptr<agreement::ControlReplica> instance_;
   net::Timer again_;
 };
 
