--- a/src/routing_state/saved_state.cpp
+++ b/src/routing_state/saved_state.cpp
@@ -6,16 +6,20 @@
 namespace myrtlecroft::routing_state {
 namespace {
 
-constexpr std::array<routing::State, routing::kStates> kStates = {
-    routing::State::kPresumed, routing::State::kRamping, routing::State::kServing, routing::State::kLeaving,
-    routing::State::kSick,     routing::State::kMute,    routing::State::kSilent};
+constexpr std::array<routing::ServerState, routing::kStates> kStates = {routing::ServerState::kAssumedHealthy,
+                                                                        routing::ServerState::kSlowStart,
+                                                                        routing::ServerState::kServing,
+                                                                        routing::ServerState::kDraining,
+                                                                        routing::ServerState::kUnhealthy,
+                                                                        routing::ServerState::kUnresponsive,
+                                                                        routing::ServerState::kLost};
 
 // Silent where the name is none.
-routing::State state_named(const std::string& name) {
-  for (routing::State state : kStates) {
+routing::ServerState state_named(const std::string& name) {
+  for (routing::ServerState state : kStates) {
     if (name == routing::name_of(state)) return state;
   }
-  return routing::State::kSilent;
+  return routing::ServerState::kLost;
 }
 
 routing::Health health_named(const std::string& name) {
@@ -40,53 +44,53 @@
                          node.priority(), health_named(node.health()), node.weight(), node.in_flight()});
   }
   out.service_listeners = in.service_listeners();
-  std::vector<fleet::ServerList> lists(1);  // the first: all nodes
+  std::vector<fleet::ServerList> lists(1);  // the first: all servers
   for (const ServerList& list : in.server_lists()) {
-    lists.push_back({std::make_shared<const fleet::ServerList::Places>(list.places().begin(), list.places().end())});
+    lists.push_back(
+        {std::make_shared<const fleet::ServerList::Places>(list.places().begin(), list.places().end())});
   }
-  for (const GroupRoute& group : in.groups()) {
-    if (group.servers() >= lists.size()) return false;
-    if (group.effect() > static_cast<std::uint32_t>(Effect::kMutating)) return false;
-    routing::GroupRoute route{.name = group.name(),
-                              .path = group.path(),
-                              .effect = static_cast<Effect>(group.effect()),
-                              .key_header = group.key_header(),
-                              .timeout = group.timeout_ns(),
-                              .repeats = {},
-                              .admitted = group.admitted(),
-                              .stay_away = group.stay_away_ns(),
-                              .servers = lists[group.servers()],
-                              .subset_size = group.subset_size()};
-    const RepeatRule& rule = group.repeats();
+  for (const RequestClassRoute& request_class : in.groups()) {
+    if (request_class.servers() >= lists.size()) return false;
+    if (request_class.effect() > static_cast<std::uint32_t>(Idempotency::kNone)) return false;
+    routing::RequestClassRoute route{.name = request_class.name(),
+                                     .path = request_class.path(),
+                                     .idempotency = static_cast<Idempotency>(request_class.effect()),
+                                     .key_header = request_class.key_header(),
+                                     .timeout = request_class.timeout_ns(),
+                                     .retry_policy = {},
+                                     .admitted = request_class.admitted(),
+                                     .retry_after = request_class.stay_away_ns(),
+                                     .servers = lists[request_class.servers()],
+                                     .subset_size = request_class.subset_size()};
+    const RetryPolicy& rule = request_class.repeats();
     for (std::uint32_t on : rule.on()) {
-      if (on > static_cast<std::uint32_t>(routing::RepeatOn::kLate)) return false;
-      route.repeats.on.push_back(static_cast<routing::RepeatOn>(on));
+      if (on > static_cast<std::uint32_t>(routing::RetryOn::kLate)) return false;
+      route.retry_policy.on.push_back(static_cast<routing::RetryOn>(on));
     }
-    route.repeats.retries = rule.retries();
-    route.repeats.same_node = rule.same_node();
-    route.repeats.per_try = rule.per_try_ns();
-    route.repeats.wait_least = rule.wait_least_ns();
-    route.repeats.wait_most = rule.wait_most_ns();
-    out.groups.push_back(std::move(route));
+    route.retry_policy.retries = rule.retries();
+    route.retry_policy.same_node = rule.same_node();
+    route.retry_policy.per_try = rule.per_try_ns();
+    route.retry_policy.wait_min = rule.wait_least_ns();
+    route.retry_policy.wait_max = rule.wait_most_ns();
+    out.request_classes.push_back(std::move(route));
   }
-  for (const CustomerShare& customer : in.customers())
-    out.customers.push_back({customer.name(), customer.share()});
+  for (const TenantQuota& tenant : in.customers()) out.tenants.push_back({tenant.name(), tenant.share()});
   out.shards.assign(in.shards().begin(), in.shards().end());
   return true;
 }
 
-NodeMemory to_proto(const routing::Memory::Node& node) {
+NodeMemory to_proto(const routing::PersistedState::Node& node) {
   NodeMemory out;
   out.set_name(node.name);
   out.set_state(routing::name_of(node.state));
-  out.set_life(node.life);
+  out.set_life(node.incarnation);
   out.set_weight(node.weight);
   out.set_flaps(node.flaps);
   out.set_version(node.version);
   return out;
 }
 
-routing::Memory::Node from_proto(const NodeMemory& in) {
+routing::PersistedState::Node from_proto(const NodeMemory& in) {
   return {in.name(), state_named(in.state()), in.life(), in.weight(), in.flaps(), in.version()};
 }
 
@@ -110,34 +114,34 @@
   }
   out.set_service_listeners(snapshot.service_listeners);
   std::map<const fleet::ServerList::Places*, std::uint32_t> lists;
-  for (const routing::GroupRoute& group : snapshot.groups) {
-    const auto& places = group.servers.places;
+  for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
+    const auto& places = request_class.servers.places;
     if (places && lists.emplace(places.get(), out.server_lists_size() + 1).second) {
       out.add_server_lists()->mutable_places()->Add(places->begin(), places->end());
     }
   }
-  for (const routing::GroupRoute& group : snapshot.groups) {
-    GroupRoute& to = *out.add_groups();
-    to.set_name(group.name);
-    to.set_path(group.path);
-    to.set_effect(static_cast<std::uint32_t>(group.effect));
-    to.set_key_header(group.key_header);
-    to.set_timeout_ns(group.timeout);
-    for (routing::RepeatOn on : group.repeats.on)
+  for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
+    RequestClassRoute& to = *out.add_groups();
+    to.set_name(request_class.name);
+    to.set_path(request_class.path);
+    to.set_effect(static_cast<std::uint32_t>(request_class.idempotency));
+    to.set_key_header(request_class.key_header);
+    to.set_timeout_ns(request_class.timeout);
+    for (routing::RetryOn on : request_class.retry_policy.on)
       to.mutable_repeats()->add_on(static_cast<std::uint32_t>(on));
-    to.mutable_repeats()->set_retries(group.repeats.retries);
-    to.mutable_repeats()->set_same_node(group.repeats.same_node);
-    to.mutable_repeats()->set_per_try_ns(group.repeats.per_try);
-    to.mutable_repeats()->set_wait_least_ns(group.repeats.wait_least);
-    to.mutable_repeats()->set_wait_most_ns(group.repeats.wait_most);
-    to.set_admitted(group.admitted);
-    to.set_stay_away_ns(group.stay_away);
-    if (!group.servers.all()) to.set_servers(lists.at(group.servers.places.get()));
-    to.set_subset_size(group.subset_size);
+    to.mutable_repeats()->set_retries(request_class.retry_policy.retries);
+    to.mutable_repeats()->set_same_node(request_class.retry_policy.same_node);
+    to.mutable_repeats()->set_per_try_ns(request_class.retry_policy.per_try);
+    to.mutable_repeats()->set_wait_least_ns(request_class.retry_policy.wait_min);
+    to.mutable_repeats()->set_wait_most_ns(request_class.retry_policy.wait_max);
+    to.set_admitted(request_class.admitted);
+    to.set_stay_away_ns(request_class.retry_after);
+    if (!request_class.servers.all()) to.set_servers(lists.at(request_class.servers.places.get()));
+    to.set_subset_size(request_class.subset_size);
   }
-  for (const routing::CustomerShare& customer : snapshot.customers) {
-    out.add_customers()->set_name(customer.name);
-    out.mutable_customers()->rbegin()->set_share(customer.share);
+  for (const routing::TenantQuota& tenant : snapshot.tenants) {
+    out.add_customers()->set_name(tenant.name);
+    out.mutable_customers()->rbegin()->set_share(tenant.share);
   }
   for (int owner : snapshot.shards) out.add_shards(owner);
   return out;
@@ -145,11 +149,11 @@
 
 std::string packed(const SavedState& state) {
   StateFile file;
-  for (const routing::Memory::Node& node : state.memory.nodes) *file.add_nodes() = to_proto(node);
-  for (const routing::Memory::Owner& owner : state.memory.shards) {
+  for (const routing::PersistedState::Node& node : state.memory.nodes) *file.add_nodes() = to_proto(node);
+  for (const routing::PersistedState::Owner& owner : state.memory.shards) {
     ShardMemory& to = *file.add_shards();
     to.set_node(owner.node);
-    to.set_life(owner.life);
+    to.set_life(owner.incarnation);
     to.set_open(owner.open);
   }
   *file.mutable_snapshot() = to_proto(state.memory.snapshot);
--- a/src/routing_state/saved_state.h
+++ b/src/routing_state/saved_state.h
@@ -11,15 +11,15 @@
 namespace myrtlecroft::routing_state {
 
 struct SavedState {
-  routing::Memory memory;
+  routing::PersistedState memory;
   std::vector<std::string> proxies;  // that may still send by what they were served
 };
 
 Snapshot to_proto(const routing::Snapshot& snapshot);
 // False where a number names nothing.
 bool from_proto(const Snapshot& in, routing::Snapshot& out);
-NodeMemory to_proto(const routing::Memory::Node& node);
-routing::Memory::Node from_proto(const NodeMemory& in);
+NodeMemory to_proto(const routing::PersistedState::Node& node);
+routing::PersistedState::Node from_proto(const NodeMemory& in);
 
 // As a record of the store, and back. Nothing where the bytes make no sense to this version.
 std::string packed(const SavedState& state);
--- a/src/service/engine_session.cpp
+++ b/src/service/engine_session.cpp
@@ -9,43 +9,43 @@
 
 }  // namespace
 
-void EngineSession::run(ServerExchange& ex) {
-  runs_.push_back(&ex);
-  by_id_.emplace(ex.id, &ex);
-  give(ex, Command::kRun);
+void EngineSession::run(ServerRequest& request) {
+  runs_.push_back(&request);
+  by_id_.emplace(request.id, &request);
+  give(request, Command::kRun);
 }
 
-void EngineSession::feed(ServerExchange& ex, std::string reply) {
-  ex.payload = std::move(reply);
-  give(ex, Command::kFeed);
+void EngineSession::feed(ServerRequest& request, std::string reply) {
+  request.payload = std::move(reply);
+  give(request, Command::kFeed);
 }
 
-void EngineSession::skip(ServerExchange& ex) { give(ex, Command::kSkip); }
+void EngineSession::skip(ServerRequest& request) { give(request, Command::kSkip); }
 
-void EngineSession::give(ServerExchange& ex, Command command) {
-  ex.command = command;
-  ex.sent = false;
-  if (settled_) send(ex);
+void EngineSession::give(ServerRequest& request, Command command) {
+  request.command = command;
+  request.sent = false;
+  if (settled_) send(request);
 }
 
-void EngineSession::send(ServerExchange& ex) {
-  ex.sent = true;
-  ex.in_doubt = false;
-  ex.sent_as = ++sent_;
-  switch (ex.command) {
+void EngineSession::send(ServerRequest& request) {
+  request.sent = true;
+  request.in_doubt = false;
+  request.sent_as = ++sent_;
+  switch (request.command) {
     case Command::kRun:
-      return link_.run(ex.id, ex.group->name, ex.body);
+      return link_.run(request.id, request.request_class->name, request.body);
     case Command::kFeed:
-      return link_.feed(ex.id, ex.payload);
+      return link_.feed(request.id, request.payload);
     case Command::kSkip:
-      return link_.skip(ex.id, ex.at_notice);
+      return link_.skip(request.id, request.at_notice);
     case Command::kNone:
       return;
   }
 }
 
-void EngineSession::forget(ServerExchange& ex) {
-  if (by_id_.erase(ex.id)) std::erase(runs_, &ex);
+void EngineSession::forget(ServerRequest& request) {
+  if (by_id_.erase(request.id)) std::erase(runs_, &request);
 }
 
 void EngineSession::ask_gauges() {
@@ -67,8 +67,8 @@
 void EngineSession::lost() {
   settled_ = false;
   fence_ = 0;
-  for (ServerExchange* ex : runs_) {
-    ex->in_doubt |= ex->command != Command::kNone && ex->sent && ex->sent_as > confirmed_;
+  for (ServerRequest* request : runs_) {
+    request->in_doubt |= request->command != Command::kNone && request->sent && request->sent_as > confirmed_;
   }
   if (std::exchange(testing_, 0)) events_.tested(false);
 }
@@ -84,16 +84,17 @@
   last_notice_ = notice.number;
   auto place = by_id_.find(notice.id);
   if (notice.kind == Notice::Kind::kNote || place == by_id_.end()) return;
-  ServerExchange& ex = *place->second;
-  ex.command = Command::kNone;
-  ex.in_doubt = false;
+  ServerRequest& request = *place->second;
+  request.command = Command::kNone;
+  request.in_doubt = false;
   if (notice.kind == Notice::Kind::kNeed) {
-    ex.at_notice = notice.number;
-    ex.payload = notice.payload;
-    events_.run_needs_call(ex);
+    request.at_notice = notice.number;
+    request.payload = notice.payload;
+    events_.run_needs_call(request);
   } else {
-    if (notice.outcome == Outcome::kOk || notice.outcome == Outcome::kFailed) calls_[ex.group].add(ex.calls);
-    events_.run_ended(ex, notice.outcome, notice.payload);
+    if (notice.outcome == Outcome::kOk || notice.outcome == Outcome::kFailed)
+      calls_[request.request_class].add(request.calls);
+    events_.run_ended(request, notice.outcome, notice.payload);
   }
 }
 
@@ -112,43 +113,45 @@
 void EngineSession::settle() {
   fence_ = 0;
   settled_ = true;
-  std::vector<ServerExchange*> runs = runs_;
-  for (ServerExchange* ex : runs) {
-    if (ex->command == Command::kNone) continue;
-    if (!ex->sent && ex->command == Command::kRun && ex->answered) {
-      events_.run_ended(*ex, Outcome::kIgnored, "");
-    } else if (!ex->sent) {
-      send(*ex);
-    } else if (ex->in_doubt) {
-      bool again = can_send_again(*ex);
-      if (!again && ex->command == Command::kFeed && ex->group->skip_benefit > 0) {
-        ex->command = Command::kSkip;  // it names its notice
+  std::vector<ServerRequest*> runs = runs_;
+  for (ServerRequest* request : runs) {
+    if (request->command == Command::kNone) continue;
+    if (!request->sent && request->command == Command::kRun && request->answered) {
+      events_.run_ended(*request, Outcome::kIgnored, "");
+    } else if (!request->sent) {
+      send(*request);
+    } else if (request->in_doubt) {
+      bool again = can_send_again(*request);
+      if (!again && request->command == Command::kFeed && request->request_class->degraded_weight_share > 0) {
+        request->command = Command::kSkip;  // it names its notice
         again = true;
       }
       if (again) {
-        send(*ex);
-      } else if (ex->answered && ex->command == Command::kRun) {  // nobody waits for it to end or fall due
-        events_.run_ended(*ex, Outcome::kFailed, "");
+        send(*request);
+      } else if (request->answered &&
+                 request->command == Command::kRun) {  // nobody waits for it to end or fall due
+        events_.run_ended(*request, Outcome::kFailed, "");
       }
     }
   }
 }
 
 // Of what is in doubt.
-bool EngineSession::can_send_again(const ServerExchange& ex) {
-  const Calls& seen = calls_[ex.group];
+bool EngineSession::can_send_again(const ServerRequest& request) {
+  const Calls& seen = calls_[request.request_class];
   bool enough = seen.runs >= kEnoughRuns;
-  switch (ex.command) {
+  switch (request.command) {
     case Command::kRun:
-      return ex.group->effect == Effect::kRepeatable || (enough && seen.fewest >= 1 && !ex.answered);
+      return request.request_class->idempotency == Idempotency::kIdempotent ||
+             (enough && seen.fewest >= 1 && !request.answered);
     case Command::kFeed:
-      return enough && seen.most <= 1;
+      return enough && seen.max <= 1;
     default:
-      return ex.command == Command::kSkip;
+      return request.command == Command::kSkip;
   }
 }
 
-// The engine does not know it: a run that was turned away so has not begun and never will. A site that allows
+// The engine does not know it: a run that was rejected so has not begun and never will. A site that allows
 // no test leaves the report alone to answer checks.
 void EngineSession::not_carried_out(std::string_view command, const std::string& id) {
   if (command == "TEST" && std::exchange(testing_, 0)) return events_.tested(true);
--- a/src/service/engine_session.h
+++ b/src/service/engine_session.h
@@ -4,7 +4,7 @@
 // After a break it is unknown which of the last commands arrived. A command is known to have arrived once
 // gauges asked for after it came back. On a new link nothing is sent before the backlog of notices is read,
 // which the gauges asked for right after HELLO close. Then what never went out is sent. Of what went out
-// unseen, a run of a repeatable exchange and a skip (it names its notice) are sent again. A run that must not
+// unseen, a run of a repeatable request and a skip (it names its notice) are sent again. A run that must not
 // happen twice is, where runs of its group are seen to make a call always: it could not be over by now
 // without having asked for one. A reply is, where they are seen to make one call at most: it can't be taken
 // for the next call's; else the call is skipped where that is allowed. What is left ends by a notice or at
@@ -34,20 +34,20 @@
  public:
   virtual ~EngineEvents() = default;
   virtual void engine_up(bool booting, Nanos age) = 0;  // the first HELLO
-  virtual void run_needs_call(ServerExchange& ex) = 0;
-  virtual void run_ended(ServerExchange& ex, Outcome outcome, std::string_view result) = 0;
+  virtual void run_needs_call(ServerRequest& request) = 0;
+  virtual void run_ended(ServerRequest& request, Outcome outcome, std::string_view result) = 0;
   virtual void gauges_came(const std::vector<double>& values) = 0;
   virtual void tested(bool good) = 0;
 };
 
 class EngineSession {
  public:
-  EngineSession(EnginePort& link, EngineEvents& events) : link_(link), events_(events) {}
+  EngineSession(Engine& link, EngineEvents& events) : link_(link), events_(events) {}
 
-  void run(ServerExchange& ex);
-  void feed(ServerExchange& ex, std::string reply);
-  void skip(ServerExchange& ex);
-  void forget(ServerExchange& ex);
+  void run(ServerRequest& request);
+  void feed(ServerRequest& request, std::string reply);
+  void skip(ServerRequest& request);
+  void forget(ServerRequest& request);
   void ask_gauges();
   bool test();  // false: the link is down, nothing was asked
 
@@ -64,28 +64,28 @@
   std::uint64_t last_notice() const { return last_notice_; }
 
  private:
-  void give(ServerExchange& ex, Command command);
-  void send(ServerExchange& ex);
+  void give(ServerRequest& request, Command command);
+  void send(ServerRequest& request);
   void settle();
-  bool can_send_again(const ServerExchange& ex);
+  bool can_send_again(const ServerRequest& request);
 
   // How many calls the runs of a group were seen to make.
   struct Calls {
     int runs = 0;
     int fewest = 0;
-    int most = 0;
+    int max = 0;
     void add(int calls) {
       fewest = runs == 0 ? calls : std::min(fewest, calls);
-      most = std::max(most, calls);
+      max = std::max(max, calls);
       ++runs;
     }
   };
 
-  EnginePort& link_;
+  Engine& link_;
   EngineEvents& events_;
-  std::vector<ServerExchange*> runs_;  // in the order they were started
-  std::unordered_map<std::string, ServerExchange*> by_id_;
-  std::map<const EndpointGroup*, Calls> calls_;
+  std::vector<ServerRequest*> runs_;  // in the order they were started
+  std::unordered_map<std::string, ServerRequest*> by_id_;
+  std::map<const RequestClass*, Calls> calls_;
   std::uint64_t last_notice_ = 0;
   std::uint64_t sent_ = 0;       // commands and questions so far
   std::uint64_t confirmed_ = 0;  // up to here all that was sent is known to have arrived
--- a/src/service/key_table.h
+++ b/src/service/key_table.h
@@ -1,4 +1,4 @@
-// What was kept by key: tries of one deduplicated exchange, or reads that may share an answer, with results.
+// What was kept by key: tries of one deduplicated request, or reads that may share an answer, with results.
 #pragma once
 
 #include <map>
@@ -7,46 +7,46 @@
 #include <utility>
 #include <vector>
 
-#include "service/server_exchange.h"
+#include "service/server_request.h"
 
 namespace myrtlecroft::service {
 
 struct KeyEntry {
   enum class State { kOpen, kOk, kFailed };
 
-  std::pair<const EndpointGroup*, std::string> name;
-  ServerExchange* holder = nullptr;  // the try that runs or waits to; null once that is over
+  std::pair<const RequestClass*, std::string> name;
+  ServerRequest* holder = nullptr;  // the try that runs or waits to; null once that is over
   State state = State::kOpen;
   std::string result{};
   bool proven = false;  // the engine knows what it stands for
   Nanos ended = 0;
   Nanos expires = 0;
-  std::vector<ServerExchange*> waiters{};  // repeats that want its result
+  std::vector<ServerRequest*> waiters{};  // repeats that want its result
 };
 
 class KeyTable {
  public:
   // Results take at most this many bytes together. One that does not fit is not kept: its repeats then get an
   // error that promises nothing, and still nothing runs twice.
-  explicit KeyTable(std::size_t result_bytes) : most_bytes_(result_bytes) {}
+  explicit KeyTable(std::size_t result_bytes) : max_bytes_(result_bytes) {}
 
-  KeyEntry* find(const EndpointGroup* group, const std::string& key);
-  // Whether another exchange, one that is proven, goes by a key that begins so.
-  bool taken(const EndpointGroup* group, const std::string& beginning) const;
-  void keep(ServerExchange& ex, Nanos expires);
+  KeyEntry* find(const RequestClass* request_class, const std::string& key);
+  // Whether another request, one that is proven, goes by a key that begins so.
+  bool taken(const RequestClass* request_class, const std::string& beginning) const;
+  void keep(ServerRequest& request, Nanos expires);
   void end(KeyEntry& entry, bool good, std::string_view result, Nanos now);
   void drop(KeyEntry& entry);
-  // Known from an earlier life of this node. Not `good`: it may have run.
-  void restore(const EndpointGroup* group, const std::string& key, bool good, std::string_view result,
+  // Known from an earlier incarnation of this server. Not `good`: it may have run.
+  void restore(const RequestClass* request_class, const std::string& key, bool good, std::string_view result,
                Nanos now, Nanos expires);
   // Drops what has expired and has neither holder nor waiters.
   void expire(Nanos now);
 
  private:
-  std::map<std::pair<const EndpointGroup*, std::string>, KeyEntry> entries_;
+  std::map<std::pair<const RequestClass*, std::string>, KeyEntry> entries_;
   std::set<std::pair<Nanos, KeyEntry*>> by_end_;
   std::size_t bytes_ = 0;
-  std::size_t most_bytes_;
+  std::size_t max_bytes_;
 };
 
 }  // namespace myrtlecroft::service
--- a/src/service/ports.h
+++ b/src/service/ports.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "service/server_exchange.h"
+#include "service/server_request.h"
 
 namespace myrtlecroft::service {
 
@@ -16,40 +16,40 @@
   virtual void wake_at(Nanos when) = 0;  // Service::woke() then; a later word replaces an earlier one
 };
 
-class FrontPort {
+class Listener {
  public:
-  virtual ~FrontPort() = default;
+  virtual ~Listener() = default;
   virtual void close_idle(Nanos after) = 0;  // connections with nothing open for this long
   virtual void finish() = 0;  // take no connection any more, close each as soon as nothing is open on it
 };
 
-class EnginePort {
+class Engine {
  public:
-  virtual ~EnginePort() = default;
+  virtual ~Engine() = default;
   virtual void attach(std::uint64_t last_notice) = 0;
-  virtual void run(std::string_view id, std::string_view group, std::string_view body) = 0;
+  virtual void run(std::string_view id, std::string_view request_class, std::string_view body) = 0;
   virtual void feed(std::string_view id, std::string_view reply) = 0;
   virtual void skip(std::string_view id, std::uint64_t notice) = 0;
   virtual void stat(std::uint64_t token) = 0;
   virtual void test(std::uint64_t token) = 0;
 };
 
-class DependencyPort {
+class Dependency {
  public:
-  virtual ~DependencyPort() = default;
-  virtual void call(ServerExchange& ex, std::string_view body, Nanos longest) = 0;
-  virtual void give_up(ServerExchange& ex) = 0;  // its reply is not wanted any more
+  virtual ~Dependency() = default;
+  virtual void call(ServerRequest& request, std::string_view body, Nanos longest) = 0;
+  virtual void give_up(ServerRequest& request) = 0;  // its reply is not wanted any more
 };
 
-class MembershipPort {
+class HealthReporter {
  public:
-  virtual ~MembershipPort() = default;
+  virtual ~HealthReporter() = default;
   virtual void report(bool good) = 0;  // from the first report on it is repeated
 };
 
-class LogPort {
+class Logger {
  public:
-  virtual ~LogPort() = default;
+  virtual ~Logger() = default;
   virtual void line(const std::string& text) = 0;
   virtual void frequent(const std::string& text) = 0;  // may come in storms, and is then left out first
   virtual void routine(const std::string& text) = 0;   // the same for what ended as it should
@@ -57,31 +57,31 @@
 
 // Where it is written down what must not run twice over a crash. A service without one remembers for its
 // life.
-class RecordPort {
+class IdempotencyLog {
  public:
-  virtual ~RecordPort() = default;
+  virtual ~IdempotencyLog() = default;
   virtual bool takes() const = 0;  // false: the disk is sick, nothing can be written down now
-  virtual void intend(const ServerExchange& ex, Nanos window) = 0;  // Service::recorded() follows
-  virtual void ended(const ServerExchange& ex, bool good, std::string_view result) = 0;
-  virtual void never_ran(const ServerExchange& ex) = 0;
+  virtual void intend(const ServerRequest& request, Nanos window) = 0;  // Service::recorded() follows
+  virtual void ended(const ServerRequest& request, bool good, std::string_view result) = 0;
+  virtual void never_ran(const ServerRequest& request) = 0;
 };
 
-// Which deduplicated exchanges are this node's to run, where a fleet has agreed on that.
-class KeyGate {
+// Which deduplicated requests are this server's to run, where a fleet has agreed on that.
+class ShardOwnership {
  public:
-  virtual ~KeyGate() = default;
+  virtual ~ShardOwnership() = default;
   virtual bool admits(std::string_view key) const = 0;
 };
 
 struct Ports {
   Clock& clock;
-  FrontPort& front;
-  EnginePort& engine;
-  DependencyPort& dependency;
-  MembershipPort& membership;
-  LogPort& log;
-  RecordPort* records = nullptr;
-  const KeyGate* gate = nullptr;  // none: all are
+  Listener& front;
+  Engine& engine;
+  Dependency& dependency;
+  HealthReporter& membership;
+  Logger& log;
+  IdempotencyLog* records = nullptr;
+  const ShardOwnership* gate = nullptr;  // none: all are
 };
 
 }  // namespace myrtlecroft::service
--- a/src/service/server_exchange.h
+++ b/src/service/server_request.h
@@ -1,4 +1,4 @@
-// One exchange of a real server. The front fills in what it read and takes the answer; the client side
+// One request of a real server. The front fills in what it read and takes the answer; the client side
 // (engine, database) keeps its part of the work here. The two meet nowhere else.
 #pragma once
 
@@ -10,13 +10,13 @@
 
 namespace myrtlecroft::service {
 
-enum class Answer { kCompleted, kDenied, kTerminated };
+enum class Answer { kCompleted, kRejected, kTerminated };
 
 struct FinalAnswer {
   Answer kind = Answer::kTerminated;
   std::string_view result{};  // of a completed one
-  bool not_elsewhere = false;
-  Nanos stay_away = 0;
+  bool no_failover = false;
+  Nanos retry_after = 0;
   bool unfounded = false;  // the engine knows of no such request, or another one owns its id or key
 };
 
@@ -31,11 +31,11 @@
 
 struct KeyEntry;
 
-struct ServerExchange : Exchange {
+struct ServerRequest : Request {
   // From the front.
   std::string id;  // of this try
   std::string body;
-  std::string key;             // what tries of one exchange, or reads of one subject, share; empty = none
+  std::string key;             // what tries of one request, or reads of one subject, share; empty = none
   AnswerSink* sink = nullptr;  // null once it is answered or its connection is gone
 
   // Of the engine session.
--- a/src/settings/document.cpp
+++ b/src/settings/document.cpp
@@ -39,7 +39,7 @@
   throw DocumentError(file_ + ":" + std::to_string(line) + ": " + path_of(name) + ": " + what);
 }
 
-bool Part::is_whole(const std::string& name) const {
+bool Part::is_integer(const std::string& name) const {
   if (!has(name)) return false;
   auto type = (*fields_)[name.c_str()].getType();
   return type == libconfig::Setting::TypeInt || type == libconfig::Setting::TypeInt64;
@@ -58,7 +58,7 @@
   return has(name) ? text(name) : otherwise;
 }
 
-std::int64_t Part::whole(const std::string& name, std::int64_t least, std::int64_t most) {
+std::int64_t Part::whole(const std::string& name, std::int64_t min, std::int64_t max) {
   const libconfig::Setting& value = field(name);
   std::int64_t out = 0;
   if (value.getType() == libconfig::Setting::TypeInt) {
@@ -68,16 +68,16 @@
   } else {
     bad(name, "is not a whole number");
   }
-  if (out < least || out > most) {
-    bad(name, "is not from " + std::to_string(least) + " to " + std::to_string(most));
+  if (out < min || out > max) {
+    bad(name, "is not from " + std::to_string(min) + " to " + std::to_string(max));
   }
   return out;
 }
 
-std::int64_t Part::whole_or(const std::string& name, std::int64_t otherwise, std::int64_t least,
-                            std::int64_t most) {
+std::int64_t Part::integer_or(const std::string& name, std::int64_t otherwise, std::int64_t min,
+                              std::int64_t max) {
   known_.push_back(name);
-  return has(name) ? whole(name, least, most) : otherwise;
+  return has(name) ? whole(name, min, max) : otherwise;
 }
 
 bool Part::truth_or(const std::string& name, bool otherwise) {
@@ -87,7 +87,7 @@
   return setting;
 }
 
-double Part::number(const std::string& name, double least, double most) {
+double Part::number(const std::string& name, double min, double max) {
   const libconfig::Setting& value = field(name);
   if (!value.isNumber()) bad(name, "is not a number");
   double out = 0;
@@ -98,15 +98,15 @@
   } else {
     out = static_cast<double>(static_cast<long long>(value));
   }
-  if (!std::isfinite(out) || out < least || out > most) {
-    bad(name, "is not from " + shown(least) + " to " + shown(most));
+  if (!std::isfinite(out) || out < min || out > max) {
+    bad(name, "is not from " + shown(min) + " to " + shown(max));
   }
   return out;
 }
 
-double Part::number_or(const std::string& name, double otherwise, double least, double most) {
+double Part::number_or(const std::string& name, double otherwise, double min, double max) {
   known_.push_back(name);
-  return has(name) ? number(name, least, most) : otherwise;
+  return has(name) ? number(name, min, max) : otherwise;
 }
 
 std::optional<Part> Part::part_if(const std::string& name) {
--- a/src/settings/document.h
+++ b/src/settings/document.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft::settings {
 
@@ -26,21 +26,21 @@
       : fields_(&fields), path_(std::move(path)), file_(std::move(file)) {}
 
   bool has(const std::string& name) const { return fields_->exists(name.c_str()); }
-  bool is_whole(const std::string& name) const;  // written without a point
+  bool is_integer(const std::string& name) const;  // written without a point
   std::string text(const std::string& name);
   std::string text_or(const std::string& name, const std::string& otherwise);
-  std::int64_t whole(const std::string& name, std::int64_t least, std::int64_t most);
-  std::int64_t whole_or(const std::string& name, std::int64_t otherwise, std::int64_t least,
-                        std::int64_t most);
-  double number(const std::string& name, double least, double most);
-  double number_or(const std::string& name, double otherwise, double least, double most);
+  std::int64_t whole(const std::string& name, std::int64_t min, std::int64_t max);
+  std::int64_t integer_or(const std::string& name, std::int64_t otherwise, std::int64_t min,
+                          std::int64_t max);
+  double number(const std::string& name, double min, double max);
+  double number_or(const std::string& name, double otherwise, double min, double max);
   bool truth_or(const std::string& name, bool otherwise);
   // A field in whole milliseconds, as a time.
-  Nanos millis(const std::string& name, std::int64_t least, std::int64_t most) {
-    return whole(name, least, most) * kMs;
+  Nanos millis(const std::string& name, std::int64_t min, std::int64_t max) {
+    return whole(name, min, max) * kMs;
   }
-  Nanos millis_or(const std::string& name, Nanos otherwise, std::int64_t least, std::int64_t most) {
-    return has(name) ? millis(name, least, most) : otherwise;
+  Nanos millis_or(const std::string& name, Nanos otherwise, std::int64_t min, std::int64_t max) {
+    return has(name) ? millis(name, min, max) : otherwise;
   }
   std::optional<Part> part_if(const std::string& name);
   // A list of groups; empty where the field is left out.
--- a/src/settings/node_settings.cpp
+++ b/src/settings/node_settings.cpp
@@ -7,7 +7,7 @@
 namespace myrtlecroft::settings {
 namespace {
 
-constexpr std::size_t kMostControls = 8;
+constexpr std::size_t kMaxControls = 8;
 
 ReportSettings read_reports(Part part) {
   ReportSettings out;
@@ -21,7 +21,7 @@
     inet_pton(AF_INET, host.c_str(), &address.sin_addr);
     out.to.push_back(address);
   }
-  if (out.to.size() > kMostControls) part.bad("to", "holds more than 8 addresses");
+  if (out.to.size() > kMaxControls) part.bad("to", "holds more than 8 addresses");
   out.every = part.millis_or("every_ms", out.every, 50, 10'000);
   out.obey = part.truth_or("obey", out.obey);
   if (out.obey && out.to.empty()) part.bad("obey", "needs control services to obey");
@@ -29,9 +29,9 @@
   return out;
 }
 
-peers::PacingTerms read_slow_peers(Part part) {
-  peers::PacingTerms out;
-  out.least_rate = part.number_or("least_bytes_per_s", out.least_rate, 1, 1e9);
+peers::SlowClientOptions read_slow_peers(Part part) {
+  peers::SlowClientOptions out;
+  out.min_rate = part.number_or("least_bytes_per_s", out.min_rate, 1, 1e9);
   out.rate_over = part.millis_or("rate_over_ms", out.rate_over, 100, 60'000);
   out.grace = part.millis_or("grace_ms", out.grace, 100, 60'000);
   out.hurry = part.millis_or("hurry_ms", out.hurry, 10, 60'000);
--- a/src/settings/node_settings.h
+++ b/src/settings/node_settings.h
@@ -1,4 +1,4 @@
-// A node's settings beside what the platform tells it, from a file of our own. All of it may be left out.
+// A server's settings beside what the platform tells it, from a file of our own. All of it may be left out.
 #pragma once
 
 #include <netinet/in.h>
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "myrtlecroft/terms.h"
-#include "peers/pacing.h"
+#include "myrtlecroft/service_config.h"
+#include "peers/slow_client_policy.h"
 
 namespace myrtlecroft::settings {
 
@@ -24,7 +24,7 @@
 
 struct NodeSettings {
   ReportSettings reports;
-  peers::PacingTerms slow_peers;
+  peers::SlowClientOptions slow_peers;
   StoreSettings store;
 };
 
--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -36,7 +36,7 @@
   virtual std::unique_ptr<File> create(const std::string& name) = 0;
   virtual std::uint64_t size(const std::string& name) = 0;
   // As many bytes as there are, `most` at most.
-  virtual std::string read(const std::string& name, std::uint64_t offset, std::size_t most) = 0;
+  virtual std::string read(const std::string& name, std::uint64_t offset, std::size_t max) = 0;
   virtual void rename(const std::string& from, const std::string& to) = 0;
   virtual void remove(const std::string& name) = 0;
   // Makes creations, renames and removals last.
--- a/src/store/file_disk.cpp
+++ b/src/store/file_disk.cpp
@@ -88,7 +88,7 @@
   return static_cast<std::uint64_t>(what.st_size);
 }
 
-std::string FileDisk::read(const std::string& name, std::uint64_t offset, std::size_t most) {
+std::string FileDisk::read(const std::string& name, std::uint64_t offset, std::size_t max) {
   if (reading_ != name) {
     if (reader_ >= 0) ::close(std::exchange(reader_, -1));
     reading_.clear();
@@ -96,10 +96,10 @@
     if (reader_ < 0) fail(path(name));
     reading_ = name;
   }
-  std::string out(most, '\0');
+  std::string out(max, '\0');
   std::size_t got = 0;
-  while (got < most) {
-    ssize_t more = ::pread(reader_, out.data() + got, most - got, static_cast<off_t>(offset + got));
+  while (got < max) {
+    ssize_t more = ::pread(reader_, out.data() + got, max - got, static_cast<off_t>(offset + got));
     if (more < 0 && errno == EINTR) continue;
     if (more < 0) fail(path(name));
     if (more == 0) break;
--- a/src/store/file_disk.h
+++ b/src/store/file_disk.h
@@ -17,7 +17,7 @@
   std::vector<std::string> list() override;
   std::unique_ptr<File> create(const std::string& name) override;
   std::uint64_t size(const std::string& name) override;
-  std::string read(const std::string& name, std::uint64_t offset, std::size_t most) override;
+  std::string read(const std::string& name, std::uint64_t offset, std::size_t max) override;
   void rename(const std::string& from, const std::string& to) override;
   void remove(const std::string& name) override;
   void sync_folder() override;
--- a/src/store/committer.cpp
+++ b/src/store/group_committer.cpp
@@ -1,4 +1,4 @@
-#include "store/committer.h"
+#include "store/group_committer.h"
 
 #include <algorithm>
 #include <chrono>
@@ -18,13 +18,13 @@
   return kNames[static_cast<std::size_t>(health)];
 }
 
-Committer::Committer(Store& store, const CommitterTerms& terms, std::function<Nanos()> clock,
-                     std::function<void()> wake)
-    : store_(store), terms_(terms), clock_(std::move(clock)), wake_(std::move(wake)), thread_([this] {
+GroupCommitter::GroupCommitter(Store& store, const CommitterOptions& options, std::function<Nanos()> clock,
+                               std::function<void()> wake)
+    : store_(store), options_(options), clock_(std::move(clock)), wake_(std::move(wake)), thread_([this] {
         work();
       }) {}
 
-Committer::~Committer() {
+GroupCommitter::~GroupCommitter() {
   {
     std::lock_guard lock(mutex_);
     ending_ = true;
@@ -33,18 +33,18 @@
   thread_.join();
 }
 
-Health Committer::health() const {
+Health GroupCommitter::health() const {
   if (sick_) return Health::kSick;
   Nanos since = since_;
-  return since && clock_() - since > terms_.slow_after ? Health::kSlow : Health::kWell;
+  return since && clock_() - since > options_.slow_after ? Health::kSlow : Health::kWell;
 }
 
-void Committer::put(std::string key, std::string value, Nanos window, Done done) {
+void GroupCommitter::put(std::string key, std::string value, Nanos window, Done done) {
   bool wake = false;
   {
     std::lock_guard lock(mutex_);
     bool bounded = key.size() <= kLongestKey && value.size() <= kLongestValue;
-    if (!bounded || sick_ || asked_.size() >= terms_.most_waiting) {
+    if (!bounded || sick_ || asked_.size() >= options_.max_waiting) {
       told_.push_back({std::move(done), false});
       wake = true;
     } else {
@@ -55,16 +55,16 @@
   more_.notify_one();
 }
 
-void Committer::drop(std::string key) {
+void GroupCommitter::drop(std::string key) {
   {
     std::lock_guard lock(mutex_);
-    if (sick_ || asked_.size() >= terms_.most_waiting) return;
+    if (sick_ || asked_.size() >= options_.max_waiting) return;
     asked_.push_back({std::move(key), {}, 0, true, {}});
   }
   more_.notify_one();
 }
 
-void Committer::take_done() {
+void GroupCommitter::take_done() {
   std::vector<Told> told;
   {
     std::lock_guard lock(mutex_);
@@ -75,14 +75,14 @@
   }
 }
 
-Committer::Counts Committer::counts() {
+GroupCommitter::Counts GroupCommitter::counts() {
   std::lock_guard lock(mutex_);
   Counts out = counts_;
   counts_.longest = 0;
   return out;
 }
 
-void Committer::work() {
+void GroupCommitter::work() {
   bool compacting = false;
   for (;;) {
     std::vector<Ask> asks;
@@ -115,7 +115,7 @@
   }
 }
 
-bool Committer::commit(std::vector<Ask>& asks) {
+bool GroupCommitter::commit(std::vector<Ask>& asks) {
   Nanos begun = clock_();
   since_ = begun;
   bool good = true;
@@ -144,8 +144,8 @@
 
 // A record of our own, on a segment of its own: what failed before is never synced again. Waits between
 // trials, on this thread.
-void Committer::try_again() {
-  trial_wait_ = std::clamp(2 * trial_wait_, terms_.first_trial, terms_.last_trial);
+void GroupCommitter::try_again() {
+  trial_wait_ = std::clamp(2 * trial_wait_, options_.first_trial, options_.last_trial);
   {
     std::unique_lock lock(mutex_);
     more_.wait_for(lock, std::chrono::nanoseconds(trial_wait_), [&] { return ending_; });
--- a/src/store/committer.h
+++ b/src/store/group_committer.h
@@ -22,23 +22,23 @@
 };
 const char* name_of(Health health);
 
-struct CommitterTerms {
+struct CommitterOptions {
   Nanos slow_after = 500 * kMs;   // of one commit
   Nanos first_trial = 100 * kMs;  // after a failure; twice as long after each more
   Nanos last_trial = 5 * kSecond;
-  std::size_t most_waiting = 10'000;  // records; beyond them a put fails at once
+  std::size_t max_waiting = 10'000;  // records; beyond them a put fails at once
 };
 
-class Committer {
+class GroupCommitter {
  public:
   // `durable` false: it is not known whether the record is on the disk, or it never was sent there.
   using Done = std::function<void(bool durable)>;
 
   // `wake` is called on the thread when take_done() has something to tell. The store is open, and belongs to
   // the thread from here on.
-  Committer(Store& store, const CommitterTerms& terms, std::function<Nanos()> clock,
-            std::function<void()> wake);
-  ~Committer();  // what waits is committed first, if the disk is well
+  GroupCommitter(Store& store, const CommitterOptions& options, std::function<Nanos()> clock,
+                 std::function<void()> wake);
+  ~GroupCommitter();  // what waits is committed first, if the disk is well
 
   // All from the loop's thread. Nothing here waits for the disk.
   void put(std::string key, std::string value, Nanos window, Done done);
@@ -71,7 +71,7 @@
   void try_again();
 
   Store& store_;
-  CommitterTerms terms_;
+  CommitterOptions options_;
   std::function<Nanos()> clock_;
   std::function<void()> wake_;
   mutable std::mutex mutex_;
--- a/src/store/main.cpp
+++ b/src/store/main.cpp
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "store/file_disk.h"
-#include "store/survey.h"
+#include "store/store_inspector.h"
 
 namespace {
 
@@ -38,7 +38,7 @@
   return out + '"';
 }
 
-void print(const Survey& found, bool as_json) {
+void print(const StoreInspector& found, bool as_json) {
   if (as_json) {
     std::printf(
         "{\"manifest\":%s,\"damaged\":%s,\"keys\":%llu,\"bytes\":%llu,\"time_ns\":%lld,\"segments\":[",
@@ -88,7 +88,7 @@
 }
 
 int compact(FileDisk& disk, bool as_json) {
-  Store store(disk, {.dead_share = 0.1, .most_small = 1}, steady, static_cast<std::uint32_t>(steady()));
+  Store store(disk, {.dead_share = 0.1, .max_small = 1}, steady, static_cast<std::uint32_t>(steady()));
   Recovery before = store.open();
   while (store.compact_slice()) store.commit();
   store.commit();
@@ -189,7 +189,7 @@
   FileDisk disk(folder);
   if (compacting->parsed()) return compact(disk, as_json);
   if (dumping->parsed()) return dump(disk, hdf5);
-  Survey found = survey(disk);
+  StoreInspector found = survey(disk);
   print(found, as_json);
   return verifying->parsed() && found.damaged() ? kDamaged : 0;
 }
--- a/src/store/record.h
+++ b/src/store/record.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 #include "store/numbers.h"
 
 namespace myrtlecroft::store {
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -99,8 +99,8 @@
   }
 }
 
-Store::Store(Disk& disk, const StoreTerms& terms, std::function<Nanos()> clock, std::uint32_t seed)
-    : disk_(disk), terms_(terms), clock_(std::move(clock)), random_(seed) {
+Store::Store(Disk& disk, const StoreOptions& options, std::function<Nanos()> clock, std::uint32_t seed)
+    : disk_(disk), options_(options), clock_(std::move(clock)), random_(seed) {
   opened_at_ = clock_();
 }
 
@@ -409,7 +409,7 @@
     apply(pending->record.key, entry);
   }
   batch_.clear();
-  if (segments_.at(active_).bytes >= terms_.segment_bytes) {
+  if (segments_.at(active_).bytes >= options_.segment_bytes) {
     segments_.at(active_).sealed = true;
     file_.reset();
     try {
@@ -437,13 +437,13 @@
     if (!segment.sealed) continue;
     double dead = 1 - static_cast<double>(segment.live) /
                           static_cast<double>(std::max<std::uint64_t>(segment.bytes, 1));
-    if (segment.live == 0 || (dead >= terms_.dead_share && segment.bytes >= terms_.segment_bytes / 8))
+    if (segment.live == 0 || (dead >= options_.dead_share && segment.bytes >= options_.segment_bytes / 8))
       return number;
-    if (segment.bytes >= terms_.segment_bytes / 2) continue;
+    if (segment.bytes >= options_.segment_bytes / 2) continue;
     ++small;
     if (!smallest || segment.bytes < segments_.at(*smallest).bytes) smallest = number;
   }
-  return small > terms_.most_small ? smallest : std::nullopt;
+  return small > options_.max_small ? smallest : std::nullopt;
 }
 
 bool Store::compact_slice() {
@@ -465,7 +465,7 @@
   bool whole = true;
   scan(disk_, segment_name(compacting_), {.number = compacting_, .salt = segment.salt}, begin,
        [&](const Record& record, std::uint64_t offset, std::size_t size) {
-         if (offset + size - begin > terms_.slice_bytes && offset > begin) {
+         if (offset + size - begin > options_.slice_bytes && offset > begin) {
            whole = false;
            return false;
          }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -22,11 +22,11 @@
   using std::runtime_error::runtime_error;
 };
 
-struct StoreTerms {
+struct StoreOptions {
   std::size_t segment_bytes = std::size_t{64} << 20;  // from here on a segment is sealed
   double dead_share = 0.5;                            // of a sealed segment, for it to be compacted
   std::size_t slice_bytes = std::size_t{256} << 10;   // of a segment, looked at in one slice of compaction
-  std::size_t most_small = 16;                        // sealed segments beyond which the smallest is merged
+  std::size_t max_small = 16;                         // sealed segments beyond which the smallest is merged
 };
 
 // What was found at the start.
@@ -39,7 +39,7 @@
   std::uint64_t skipped = 0;  // bytes that were no record: a torn tail, or damage
 };
 
-struct Totals {
+struct StoreStats {
   std::uint64_t appended = 0;  // bytes of records that were put
   std::uint64_t written = 0;   // bytes in all, with copies, heads and hints
   std::uint64_t syncs = 0;
@@ -49,7 +49,7 @@
 class Store {
  public:
   // `clock`: nanoseconds that never go back, from anywhere; the wall clock is never asked.
-  Store(Disk& disk, const StoreTerms& terms, std::function<Nanos()> clock, std::uint32_t seed);
+  Store(Disk& disk, const StoreOptions& options, std::function<Nanos()> clock, std::uint32_t seed);
 
   // Reads all that is there. Throws StoreError or DiskError.
   Recovery open();
@@ -76,7 +76,7 @@
 
   std::size_t size() const { return index_.size(); }
   std::size_t segments() const { return segments_.size(); }
-  const Totals& totals() const { return totals_; }
+  const StoreStats& totals() const { return totals_; }
 
  private:
   struct Segment {
@@ -122,7 +122,7 @@
   std::optional<std::uint64_t> to_compact() const;
 
   Disk& disk_;
-  StoreTerms terms_;
+  StoreOptions options_;
   std::function<Nanos()> clock_;
   std::mt19937_64 random_;
   Nanos base_ = 0;
@@ -139,7 +139,7 @@
   std::uint64_t compacting_ = 0;
   std::uint64_t compacted_to_ = 0;
   bool copies_out_ = false;  // all of it is in the batch or committed
-  Totals totals_;
+  StoreStats totals_;
 };
 
 // Which segments count. What lies behind `next` was made later and is live; before it, what is not named is a
--- a/src/store/survey.cpp
+++ b/src/store/store_inspector.cpp
@@ -1,4 +1,4 @@
-#include "store/survey.h"
+#include "store/store_inspector.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 };
 
 struct Reading {
-  Survey survey;
+  StoreInspector survey;
   std::map<std::string, Newest> newest;
   std::map<std::uint64_t, std::uint64_t> salts;
 };
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-bool Survey::damaged() const {
+bool StoreInspector::damaged() const {
   if (manifest.there && !manifest.good) return true;
   return std::any_of(segments.begin(), segments.end(), [](const SurveyedSegment& each) {
     bool empty = each.bytes <= kSegmentHead;  // a crash as it was made
@@ -76,7 +76,7 @@
   });
 }
 
-Survey survey(Disk& disk) { return read_all(disk).survey; }
+StoreInspector survey(Disk& disk) { return read_all(disk).survey; }
 
 void each_current(Disk& disk, const std::function<void(const Record&, std::uint64_t)>& tell) {
   Reading all = read_all(disk);
--- a/src/store/survey.h
+++ b/src/store/store_inspector.h
@@ -22,7 +22,7 @@
   bool tail_only = true;      // and all of these lie behind the last record
 };
 
-struct Survey {
+struct StoreInspector {
   Manifest manifest;
   std::vector<SurveyedSegment> segments;
   std::uint64_t keys = 0;  // known, dropped ones left out
@@ -32,7 +32,7 @@
   bool damaged() const;
 };
 
-Survey survey(Disk& disk);
+StoreInspector survey(Disk& disk);
 
 // The newest record of every key, in the order of their sequence; what is over is left out.
 void each_current(Disk& disk, const std::function<void(const Record&, std::uint64_t segment)>& tell);
--- a/src/terms/fields.cpp
+++ b/src/terms/fields.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-namespace myrtlecroft::terms {
+namespace myrtlecroft::config {
 
 const char* mark_of(object fields) {
   return fields.begin() == fields.end() ? nullptr : fields.begin().key().data();
@@ -42,7 +42,7 @@
   return whole(fields, name, value);
 }
 
-std::int64_t whole_or(object fields, std::string_view name, std::int64_t absent) {
+std::int64_t integer_or(object fields, std::string_view name, std::int64_t absent) {
   element value;
   return find(fields, name, value) ? whole(fields, name, value) : absent;
 }
@@ -92,4 +92,4 @@
   return inner;
 }
 
-}  // namespace myrtlecroft::terms
+}  // namespace myrtlecroft::config
--- a/src/terms/fields.h
+++ b/src/terms/fields.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-namespace myrtlecroft::terms {
+namespace myrtlecroft::config {
 
 using simdjson::dom::element;
 using simdjson::dom::object;
@@ -30,7 +30,7 @@
 const char* mark_of(object fields);
 bool find(object fields, std::string_view name, element& value);
 std::int64_t whole(object fields, std::string_view name);
-std::int64_t whole_or(object fields, std::string_view name, std::int64_t absent);
+std::int64_t integer_or(object fields, std::string_view name, std::int64_t absent);
 double number(object in, std::string_view name, element value);
 double number(object fields, std::string_view name);
 double number_or(object fields, std::string_view name, double absent);
@@ -49,4 +49,4 @@
   bad(fields, name, "has the unknown value '" + given + "'");
 }
 
-}  // namespace myrtlecroft::terms
+}  // namespace myrtlecroft::config
--- a/src/terms/place.cpp
+++ b/src/terms/place.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <optional>
 
-namespace myrtlecroft::terms {
+namespace myrtlecroft::config {
 namespace {
 
 namespace ondemand = simdjson::ondemand;
@@ -113,4 +113,4 @@
          std::string(simdjson::error_message(error));
 }
 
-}  // namespace myrtlecroft::terms
+}  // namespace myrtlecroft::config
--- a/src/terms/place.h
+++ b/src/terms/place.h
@@ -6,7 +6,7 @@
 
 #include "terms/fields.h"
 
-namespace myrtlecroft::terms {
+namespace myrtlecroft::config {
 
 // "LINE: PATH: what is wrong" of a field error: the line of the field, or of the object that lacks it. `root`
 // is the document that was read out of `text`.
@@ -15,4 +15,4 @@
 // "LINE: what is wrong" of a text that is no JSON: the line where it stops to be.
 std::string placed(simdjson::error_code error, const simdjson::padded_string& text);
 
-}  // namespace myrtlecroft::terms
+}  // namespace myrtlecroft::config
--- a/src/terms/reader.cpp
+++ b/src/terms/reader.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace myrtlecroft::terms {
+namespace myrtlecroft::config {
 namespace {
 
 template <class Item, class Read>
@@ -14,68 +14,68 @@
   for (element entry : list) items.push_back(read(fields, name, entry));
 }
 
-EndpointGroup read_group(object in, std::string_view name, element entry) {
+RequestClass read_request_class(object in, std::string_view name, element entry) {
   object fields;
   if (entry.get(fields) != simdjson::SUCCESS) bad(in, name, "has an entry that is not an object");
-  EndpointGroup group;
-  group.name = text(fields, "name");
-  group.effect = word<Effect>(fields, "effect",
-                              {{"idempotent", Effect::kRepeatable},
-                               {"deduplicated", Effect::kDeduplicated},
-                               {"at_most_once", Effect::kMutating}},
-                              "");
-  group.benefit = number(fields, "gain");
-  group.late_benefit = number_or(fields, "lateWorth", 0);
-  group.slo_time = whole(fields, "goalTimeNs");
-  group.async_timeout = whole(fields, "hardLimitNs");
-  group.repeat_window = whole_or(fields, "dedupWindowNs", 0);
-  return group;
+  RequestClass request_class;
+  request_class.name = text(fields, "name");
+  request_class.idempotency = word<Idempotency>(fields, "effect",
+                                                {{"idempotent", Idempotency::kIdempotent},
+                                                 {"deduplicated", Idempotency::kKeyed},
+                                                 {"at_most_once", Idempotency::kNone}},
+                                                "");
+  request_class.priority_weight = number(fields, "gain");
+  request_class.late_weight_share = number_or(fields, "lateWorth", 0);
+  request_class.latency_objective = whole(fields, "goalTimeNs");
+  request_class.client_timeout = whole(fields, "hardLimitNs");
+  request_class.deduplication_window = integer_or(fields, "dedupWindowNs", 0);
+  return request_class;
 }
 
-Customer read_customer(object in, std::string_view name, element entry) {
+Tenant read_tenant(object in, std::string_view name, element entry) {
   object fields;
   if (entry.get(fields) != simdjson::SUCCESS) bad(in, name, "has an entry that is not an object");
-  Customer customer;
-  customer.name = text(fields, "name");
-  customer.quota_per_s = number_or(fields, "quotaPerS", 0);
-  return customer;
+  Tenant tenant;
+  tenant.name = text(fields, "name");
+  tenant.quota_per_s = number_or(fields, "quotaPerS", 0);
+  return tenant;
 }
 
 }  // namespace
 
-ServiceTerms read_terms(object env) {
-  ServiceTerms terms;
-  read_list(env, "classes", terms.groups, read_group);
-  if (terms.groups.empty()) bad(env, "classes", "is missing or empty");
-  read_list(env, "tenants", terms.customers, read_customer);
-  terms.servers = static_cast<int>(std::max<std::int64_t>(1, whole_or(env, "servers", 1)));
-  terms.over_share_benefit = number_or(env, "overShareWorth", 1);
-  terms.benefit_by_work = text_or(env, "worthBy", "request") == "work";
-  terms.tick = whole_or(env, "tickNs", 0);
+ServiceConfig read_config(object env) {
+  ServiceConfig config;
+  read_list(env, "classes", config.request_classes, read_request_class);
+  if (config.request_classes.empty()) bad(env, "classes", "is missing or empty");
+  read_list(env, "tenants", config.tenants, read_tenant);
+  config.servers = static_cast<int>(std::max<std::int64_t>(1, integer_or(env, "servers", 1)));
+  config.over_quota_weight = number_or(env, "overShareWorth", 1);
+  config.weight_by_work = text_or(env, "worthBy", "request") == "work";
+  config.tick = integer_or(env, "tickNs", 0);
 
   object family = part(env, "familyInfo");
-  terms.callers = static_cast<int>(std::max<std::int64_t>(1, whole_or(family, "senders", 1)));
-  terms.cores = static_cast<int>(whole(family, "nCores"));
-  if (terms.cores < 1) bad(family, "nCores", "is under 1");
-  terms.memory_kb = number(family, "ramKb");
-  terms.run_factor = number_or(family, "blowup", 1);
-  terms.key_kb = number_or(family, "keyKb", 0);
-  terms.cold = truth(family, "cold");
-  terms.has_dependency = text_or(family, "downstream", "off") != "off";
-  terms.calls_share = number_or(family, "callsOut", 0);
-  terms.calls_window = whole_or(family, "depWindowNs", 0);
-  terms.call_lingers = whole_or(family, "staysForNs", 0);
-  terms.longest_idle = whole_or(family, "idleNs", 0);
-  terms.fresh_for = whole_or(family, "freshNs", 0);
-  terms.stop_mode = word<StopMode>(
+  config.callers = static_cast<int>(std::max<std::int64_t>(1, integer_or(family, "senders", 1)));
+  config.cores = static_cast<int>(whole(family, "nCores"));
+  if (config.cores < 1) bad(family, "nCores", "is under 1");
+  config.memory_kb = number(family, "ramKb");
+  config.running_memory_factor = number_or(family, "blowup", 1);
+  config.key_kb = number_or(family, "keyKb", 0);
+  config.warming_up = truth(family, "cold");
+  config.has_dependency = text_or(family, "downstream", "off") != "off";
+  config.dependency_share = number_or(family, "callsOut", 0);
+  config.dependency_window = integer_or(family, "depWindowNs", 0);
+  config.abandoned_call_lifetime = integer_or(family, "staysForNs", 0);
+  config.max_idle_time = integer_or(family, "idleNs", 0);
+  config.answer_sharing_window = integer_or(family, "freshNs", 0);
+  config.stop_mode = word<StopMode>(
       family, "stopMode",
       {{"off", StopMode::kNone}, {"discard", StopMode::kDiscard}, {"freeze", StopMode::kFreeze}}, "off");
-  terms.free_value = word<FreeValue>(family, "advert",
-                                     {{"off", FreeValue::kNone},
-                                      {"floor", FreeValue::kFloor},
-                                      {"allowance", FreeValue::kAllowance},
-                                      {"weight", FreeValue::kWeight}},
-                                     "off");
+  config.advertised_capacity = word<AdvertisedCapacity>(family, "advert",
+                                                        {{"off", AdvertisedCapacity::kNone},
+                                                         {"floor", AdvertisedCapacity::kFloor},
+                                                         {"allowance", AdvertisedCapacity::kAllowance},
+                                                         {"weight", AdvertisedCapacity::kWeight}},
+                                                        "off");
   std::vector<bool> calls;
   read_list(family, "classCalls", calls, [](object in, std::string_view name, element entry) {
     bool mark = false;
@@ -85,22 +85,22 @@
   std::vector<double> skips;
   read_list(family, "classSkipWorth", skips,
             [](object in, std::string_view name, element entry) { return number(in, name, entry); });
-  for (std::size_t i = 0; i < terms.groups.size(); ++i) {
-    terms.groups[i].makes_calls = i < calls.size() && calls[i];
-    terms.groups[i].skip_benefit = i < skips.size() ? skips[i] : 0;
+  for (std::size_t i = 0; i < config.request_classes.size(); ++i) {
+    config.request_classes[i].makes_calls = i < calls.size() && calls[i];
+    config.request_classes[i].degraded_weight_share = i < skips.size() ? skips[i] : 0;
   }
 
   object rules = part(env, "rules");
-  terms.answer_slack = whole_or(rules, "answerSlackNs", 0);
-  terms.cold_from = number_or(rules, "coldFrom", 1);
-  terms.warm_within = whole_or(rules, "warmWithinNs", 0);
-  terms.drain_grace = whole_or(rules, "drainGraceNs", 0);
-  terms.crowd_factor = number(rules, "overloadFactor");
-  terms.crowd_window = whole(rules, "overloadForNs");
+  config.answer_slack = integer_or(rules, "answerSlackNs", 0);
+  config.warm_up_initial_speed = number_or(rules, "coldFrom", 1);
+  config.warm_up_time = integer_or(rules, "warmWithinNs", 0);
+  config.drain_grace = integer_or(rules, "drainGraceNs", 0);
+  config.max_running_per_core = number(rules, "overloadFactor");
+  config.contention_window = whole(rules, "overloadForNs");
 
   object limits = part(env, "limits");
-  if (truth(limits, "retryAfter")) terms.longest_pause = whole_or(limits, "maxRetryAfterNs", 0);
-  return terms;
+  if (truth(limits, "retryAfter")) config.max_retry_after = integer_or(limits, "maxRetryAfterNs", 0);
+  return config;
 }
 
 std::vector<std::string> read_gauge_names(object env) {
@@ -113,4 +113,4 @@
   return names;
 }
 
-}  // namespace myrtlecroft::terms
+}  // namespace myrtlecroft::config
--- a/src/wirehost/wire.cpp
+++ b/src/wirehost/wire.cpp
@@ -6,13 +6,13 @@
 #include <unordered_map>
 #include <utility>
 
-#include "service/customer_index.h"
+#include "service/tenant_index.h"
 #include "terms/reader.h"
 
 namespace myrtlecroft::wirehost {
 namespace {
 
-using namespace terms;
+using namespace config;
 
 Outcome read_outcome(object fields) {
   return word<Outcome>(fields, "reason",
@@ -67,80 +67,81 @@
   return message;
 }
 
-struct WireExchange : Exchange {
+struct SimulatedRequest : Request {
   std::uint64_t id = 0;
   std::uint64_t prior_id = 0;
 };
 
 }  // namespace
 
-// One server's life: its Controller, its exchanges by id, and its actions as lines of the reply.
-class Instance final : public Host {
+// One server's life: its Controller, its requests by id, and its actions as lines of the reply.
+class Instance final : public ControllerActions {
  public:
-  Instance(std::int64_t number, const ServiceTerms& terms, std::uint64_t seed, std::string& reply)
-      : terms_(terms), reply_(reply), controller_(terms_, *this, seed) {
+  Instance(std::int64_t number, const ServiceConfig& config, std::uint64_t seed, std::string& reply)
+      : config_(config), reply_(reply), controller_(config_, *this, seed) {
     server_ = ",\"server\":" + std::to_string(number);
   }
 
   Controller& controller() { return controller_; }
 
-  WireExchange& add(object fields) {
-    auto ex = std::make_unique<WireExchange>();
-    ex->id = static_cast<std::uint64_t>(whole(fields, "requestId"));
-    std::string group = text(fields, "profile");
-    for (const EndpointGroup& known : terms_.groups) {
-      if (known.name == group) ex->group = &known;
+  SimulatedRequest& add(object fields) {
+    auto request = std::make_unique<SimulatedRequest>();
+    request->id = static_cast<std::uint64_t>(whole(fields, "requestId"));
+    std::string request_class = text(fields, "profile");
+    for (const RequestClass& known : config_.request_classes) {
+      if (known.name == request_class) request->request_class = &known;
     }
-    if (!ex->group) throw WireError("field 'profile' names the unknown class '" + group + "'");
-    ex->customer = customers_.find(read_tenant(fields));
-    ex->has_subject = has_key(fields);
-    ex->writes = truth(fields, "update");
-    ex->arrived = -whole_or(fields, "ageNs", 0);  // made a clock time when it is delivered
-    ex->gives_up_at = whole_or(fields, "giveUpAtNs", 0);
-    ex->work_hint = whole_or(fields, "workNs", 0);
-    ex->held_kb = number(fields, "footprint");
-    ex->prior_id = static_cast<std::uint64_t>(whole_or(fields, "prior", 0));
-    ex->repeats = ex->prior_id != 0;
-    auto [place, fresh] = exchanges_.emplace(ex->id, std::move(ex));
+    if (!request->request_class)
+      throw WireError("field 'profile' names the unknown class '" + request_class + "'");
+    request->tenant = tenants_.find(read_tenant(fields));
+    request->has_subject = has_key(fields);
+    request->writes = truth(fields, "update");
+    request->arrived = -integer_or(fields, "ageNs", 0);  // made a clock time when it is delivered
+    request->client_deadline = integer_or(fields, "giveUpAtNs", 0);
+    request->work_hint = integer_or(fields, "workNs", 0);
+    request->queued_kb = number(fields, "footprint");
+    request->prior_id = static_cast<std::uint64_t>(integer_or(fields, "prior", 0));
+    request->is_retry = request->prior_id != 0;
+    auto [place, fresh] = requests_.emplace(request->id, std::move(request));
     if (!fresh) throw WireError("field 'requestId' comes a second time");
     return *place->second;
   }
 
   // Null for one that is over.
-  WireExchange* at(std::uint64_t id) {
-    auto place = exchanges_.find(id);
-    return place == exchanges_.end() ? nullptr : place->second.get();
+  SimulatedRequest* at(std::uint64_t id) {
+    auto place = requests_.find(id);
+    return place == requests_.end() ? nullptr : place->second.get();
   }
 
   void free_released() {
-    for (std::uint64_t id : released_) exchanges_.erase(id);
+    for (std::uint64_t id : released_) requests_.erase(id);
     released_.clear();
   }
 
-  void run(Exchange& ex) override { act("Take", ex); }
-  void stop_work(Exchange& ex) override { act("AbortWork", ex); }
-  void deny(Exchange& ex, bool not_elsewhere, Nanos stay_away) override {
-    std::string more = not_elsewhere ? ",\"dontRetry\":true" : "";
-    if (stay_away > 0) more += ",\"pauseNs\":" + std::to_string(stay_away);
-    act("Reject", ex, more);
+  void run(Request& request) override { act("Take", request); }
+  void stop_work(Request& request) override { act("AbortWork", request); }
+  void reject(Request& request, bool no_failover, Nanos retry_after) override {
+    std::string more = no_failover ? ",\"dontRetry\":true" : "";
+    if (retry_after > 0) more += ",\"pauseNs\":" + std::to_string(retry_after);
+    act("Reject", request, more);
   }
-  void terminate(Exchange& ex) override { act("FinishError", ex); }
-  void call(Exchange& ex, Nanos longest) override {
-    act("GoCall", ex, ",\"maxWaitNs\":" + std::to_string(longest));
+  void fail(Request& request) override { act("FinishError", request); }
+  void call(Request& request, Nanos longest) override {
+    act("GoCall", request, ",\"maxWaitNs\":" + std::to_string(longest));
   }
-  bool give_up_call(Exchange&) override { return false; }
-  void skip_call(Exchange& ex) override { act("Bypass", ex); }
-  void keep_key(Exchange& ex, Nanos lifetime) override {
-    act("StoreKey", ex, ",\"forTimeNs\":" + std::to_string(lifetime));
+  bool abandon_call(Request&) override { return false; }
+  void skip_call(Request& request) override { act("Bypass", request); }
+  void retain_key(Request& request, Nanos lifetime) override {
+    act("StoreKey", request, ",\"forTimeNs\":" + std::to_string(lifetime));
   }
-  void drop_key(Exchange& ex) override { act("Unpin", ex); }
-  void attach(Exchange& ex) override { act("Attach", ex); }
+  void forget_key(Request& request) override { act("Unpin", request); }
+  void coalesce(Request& request) override { act("Attach", request); }
   void report_health(bool good) override {
     line("ReportHealth", std::string(",\"stored\":true,\"want\":") + (good ? "true" : "false"));
   }
   void advertise(double value) override { line("Advertise", ",\"level\":" + std::to_string(value)); }
   void close_idle(Nanos after) override { line("IdleLimit", ",\"forTimeNs\":" + std::to_string(after)); }
-  void ring_in(Nanos delay, std::uint64_t token) override {
+  void schedule_timer(Nanos delay, std::uint64_t token) override {
     line("SetTimer", ",\"sleepForNs\":" + std::to_string(delay) + ",\"token\":" + std::to_string(token));
   }
   void log(const std::string& text) override {
@@ -151,7 +152,7 @@
     }
     line("Debug", ",\"bodyText\":\"" + quoted + "\"");
   }
-  void release(Exchange& ex) override { released_.push_back(static_cast<WireExchange&>(ex).id); }
+  void release(Request& request) override { released_.push_back(static_cast<SimulatedRequest&>(request).id); }
 
  private:
   void line(const char* name, const std::string& more) {
@@ -162,15 +163,15 @@
     reply_ += more;
     reply_ += "}\n";
   }
-  void act(const char* name, Exchange& ex, const std::string& more = "") {
-    line(name, ",\"requestId\":" + std::to_string(static_cast<WireExchange&>(ex).id) + more);
+  void act(const char* name, Request& request, const std::string& more = "") {
+    line(name, ",\"requestId\":" + std::to_string(static_cast<SimulatedRequest&>(request).id) + more);
   }
 
-  const ServiceTerms terms_;
-  const service::CustomerIndex<> customers_{terms_.customers};
+  const ServiceConfig config_;
+  const service::TenantIndex<> tenants_{config_.tenants};
   std::string& reply_;
   std::string server_;
-  std::unordered_map<std::uint64_t, std::unique_ptr<WireExchange>> exchanges_;
+  std::unordered_map<std::uint64_t, std::unique_ptr<SimulatedRequest>> requests_;
   std::vector<std::uint64_t> released_;
   Controller controller_;
 };
@@ -179,7 +180,7 @@
   enum class Kind { kStart, kStop, kRead, kReachedCall, kCallEnded, kSettled, kGone, kLeave, kRang };
   Kind kind = Kind::kStart;
   Instance* instance = nullptr;
-  WireExchange* ex = nullptr;
+  SimulatedRequest* request = nullptr;
   std::uint64_t number = 0;  // request id or token
   Outcome outcome = Outcome::kOk;
   Nanos time = 0;
@@ -250,7 +251,7 @@
   return false;
 }
 
-// Exchanges of the whole batch exist before the first event is delivered: tries may name later ones.
+// Requests of the whole batch exist before the first event is delivered: tries may name later ones.
 void Wire::read_event(object fields) {
   std::string name = text(fields, "m");
   using Kind = Event::Kind;
@@ -267,7 +268,7 @@
     std::int64_t number = whole(fields, "server");
     auto seed = static_cast<std::uint64_t>(whole(fields, "seed"));
     end_instance(number);
-    instances_[number] = std::make_unique<Instance>(number, read_terms(part(fields, "env")), seed, reply_);
+    instances_[number] = std::make_unique<Instance>(number, read_config(part(fields, "env")), seed, reply_);
     event.instance = instances_[number].get();
     events_.push_back(event);
     return;
@@ -278,8 +279,8 @@
       end_instance(whole(fields, "server"));
       return;
     case Kind::kRead:
-      event.ex = &event.instance->add(fields);
-      event.ex->arrived += now_;
+      event.request = &event.instance->add(fields);
+      event.request->arrived += now_;
       break;
     case Kind::kLeave:
       event.time = whole(fields, "giveUpAtNs");
@@ -288,7 +289,7 @@
       event.number = static_cast<std::uint64_t>(whole(fields, "token"));
       event.gauges = read_gauges(fields);
       break;
-    default:  // what befell one exchange
+    default:  // what befell one request
       event.number = static_cast<std::uint64_t>(whole(fields, "requestId"));
       if (event.kind == Kind::kCallEnded || event.kind == Kind::kSettled) {
         event.outcome = read_outcome(fields);
@@ -304,26 +305,26 @@
     case Event::Kind::kStart:
       return controller.start(now_);
     case Event::Kind::kLeave:
-      return controller.leave_by(event.time, now_);
+      return controller.begin_drain(event.time, now_);
     case Event::Kind::kRang:
-      return controller.rang(event.number, event.gauges, now_);
+      return controller.timer_expired(event.number, event.gauges, now_);
     case Event::Kind::kRead:
-      event.ex->prior = event.instance->at(event.ex->prior_id);
-      return controller.read(*event.ex, now_);
+      event.request->original = event.instance->at(event.request->prior_id);
+      return controller.request_received(*event.request, now_);
     default:
       break;
   }
-  WireExchange* ex = event.instance->at(event.number);
-  if (!ex) return;  // over: nothing is left to decide
+  SimulatedRequest* request = event.instance->at(event.number);
+  if (!request) return;  // over: nothing is left to decide
   switch (event.kind) {
     case Event::Kind::kReachedCall:
-      return controller.reached_call(*ex, now_);
+      return controller.call_needed(*request, now_);
     case Event::Kind::kCallEnded:
-      return controller.call_ended(*ex, event.outcome, event.time, now_);
+      return controller.call_ended(*request, event.outcome, event.time, now_);
     case Event::Kind::kSettled:
-      return controller.settled(*ex, event.outcome, now_);
+      return controller.run_completed(*request, event.outcome, now_);
     default:
-      return controller.caller_gone(*ex, now_);
+      return controller.caller_disconnected(*request, now_);
   }
 }
 
--- a/src/xds/cluster_messages.cpp
+++ b/src/xds/cluster_messages.cpp
@@ -12,9 +12,9 @@
 namespace cluster = envoy::config::cluster::v3;
 
 constexpr Nanos kConnectTimeout = kSecond;
-constexpr std::uint32_t kLeastRepeats = 2;  // at once, at each proxy, whatever is in flight
-constexpr std::uint64_t kLeastRing = 1024;  // points on the ring of a group that is spread by key
-constexpr std::uint64_t kMostRing = 65'536;
+constexpr std::uint32_t kMinRetries = 2;  // at once, at each proxy, whatever is in flight
+constexpr std::uint64_t kMinRing = 1024;  // points on the ring of a group that is spread by key
+constexpr std::uint64_t kMaxRing = 65'536;
 constexpr double kInFlightStep = 1.25;
 
 cluster::Cluster some_cluster(const std::string& name, std::uint32_t in_flight, double retry_budget) {
@@ -26,14 +26,14 @@
   source.set_resource_api_version(core::V3);
   out.mutable_connect_timeout()->set_seconds(kConnectTimeout / kSecond);
   out.set_lb_policy(cluster::Cluster::ROUND_ROBIN);
-  // Nobody sends to nodes that are out, however many they are: who is out was weighed here.
+  // Nobody sends to servers that are out, however many they are: who is out was weighed here.
   out.mutable_common_lb_config()->mutable_healthy_panic_threshold()->set_value(0);
   out.mutable_common_lb_config()->mutable_locality_weighted_lb_config();
   out.mutable_lrs_server()->mutable_self();
   cluster::CircuitBreakers::Thresholds& bound = *out.mutable_circuit_breakers()->add_thresholds();
   if (in_flight > 0) bound.mutable_max_requests()->set_value(in_flight);
   bound.mutable_retry_budget()->mutable_budget_percent()->set_value(100 * retry_budget);
-  bound.mutable_retry_budget()->mutable_min_retry_concurrency()->set_value(kLeastRepeats);
+  bound.mutable_retry_budget()->mutable_min_retry_concurrency()->set_value(kMinRetries);
   return out;
 }
 
@@ -45,14 +45,14 @@
   return static_cast<std::uint32_t>(std::max(in_flight, std::round(step)));
 }
 
-cluster::Cluster group_cluster(const routing::GroupRoute& group, std::uint32_t in_flight,
+cluster::Cluster group_cluster(const routing::RequestClassRoute& request_class, std::uint32_t in_flight,
                                double retry_budget) {
-  cluster::Cluster out = some_cluster(cluster_of_group(group.name), in_flight, retry_budget);
-  if (!group.key_header.empty()) {
+  cluster::Cluster out = some_cluster(cluster_of_group(request_class.name), in_flight, retry_budget);
+  if (!request_class.key_header.empty()) {
     out.set_lb_policy(cluster::Cluster::RING_HASH);
     out.mutable_ring_hash_lb_config()->set_hash_function(cluster::Cluster::RingHashLbConfig::XX_HASH);
-    out.mutable_ring_hash_lb_config()->mutable_minimum_ring_size()->set_value(kLeastRing);
-    out.mutable_ring_hash_lb_config()->mutable_maximum_ring_size()->set_value(kMostRing);
+    out.mutable_ring_hash_lb_config()->mutable_minimum_ring_size()->set_value(kMinRing);
+    out.mutable_ring_hash_lb_config()->mutable_maximum_ring_size()->set_value(kMaxRing);
   }
   return out;
 }
--- a/src/xds/soundness.cpp
+++ b/src/xds/consistency_check.cpp
@@ -45,12 +45,12 @@
     return found != before_->of(type).end() && found->second.get() == &resource;
   }
   // It is known, and nothing that it may refer to has gone.
-  bool settled(Type type, Type to, const std::string& name, const Resource& resource) const {
+  bool run_completed(Type type, Type to, const std::string& name, const Resource& resource) const {
     return known(type, name, resource) && !set_.fewer[static_cast<std::size_t>(to)];
   }
 
   std::string of_listener(const std::string& name, const Resource& resource) const {
-    if (settled(Type::kListeners, Type::kRoutes, name, resource)) return "";
+    if (run_completed(Type::kListeners, Type::kRoutes, name, resource)) return "";
     listener::Listener body;
     if (!parse_back(resource, body) || body.name() != name) return "listener " + name + " can't be read back";
     for (const std::string& to : resource.refers) {
@@ -60,7 +60,7 @@
   }
 
   std::string of_routes(const std::string& name, const Resource& resource) const {
-    if (settled(Type::kRoutes, Type::kClusters, name, resource)) return "";
+    if (run_completed(Type::kRoutes, Type::kClusters, name, resource)) return "";
     route::RouteConfiguration body;
     if (!parse_back(resource, body) || body.name() != name) return "routes " + name + " can't be read back";
     for (const auto& host : body.virtual_hosts()) {
@@ -74,7 +74,7 @@
   }
 
   std::string of_cluster(const std::string& name, const Resource& resource) const {
-    if (settled(Type::kClusters, Type::kEndpoints, name, resource)) return "";
+    if (run_completed(Type::kClusters, Type::kEndpoints, name, resource)) return "";
     cluster::Cluster body;
     if (!parse_back(resource, body) || body.name() != name) return "cluster " + name + " can't be read back";
     return has(Type::kEndpoints, name) ? "" : "cluster " + name + " has no endpoints";
--- a/src/xds/endpoint_messages.cpp
+++ b/src/xds/endpoint_messages.cpp
@@ -12,10 +12,10 @@
 namespace core = envoy::config::core::v3;
 namespace endpoint = envoy::config::endpoint::v3;
 
-constexpr std::uint32_t kWhole = 10'000;
+constexpr std::uint32_t kComplete = 10'000;
 
-// Each node is a locality of its own, named by its zone and itself: clients that weigh localities but not
-// endpoints then weigh nodes, and their load reports by locality tell of nodes.
+// Each server is a locality of its own, named by its zone and itself: clients that weigh localities but not
+// endpoints then weigh servers, and their load reports by locality tell of servers.
 void add_node(endpoint::ClusterLoadAssignment& to, const routing::NodeRoute& node, std::uint32_t weight,
               std::uint32_t priority) {
   endpoint::LocalityLbEndpoints& place = *to.add_endpoints();
@@ -33,8 +33,10 @@
 
 }  // namespace
 
-std::uint32_t dropped_of(const routing::GroupRoute& group) {
-  return group.effect == Effect::kRepeatable && group.admitted < kWhole ? kWhole - group.admitted : 0;
+std::uint32_t dropped_of(const routing::RequestClassRoute& request_class) {
+  return request_class.idempotency == Idempotency::kIdempotent && request_class.admitted < kComplete
+             ? kComplete - request_class.admitted
+             : 0;
 }
 
 endpoint::ClusterLoadAssignment service_endpoints(const std::string& cluster, const NodeList& nodes,
--- a/src/xds/placement.cpp
+++ b/src/xds/placement.cpp
@@ -14,7 +14,7 @@
 using routing::Health;
 using routing::NodeRoute;
 
-// A node at its place in both: subsets are made from these.
+// A server at its place in both: subsets are made from these.
 bool same_place(const NodeRoute& one, const NodeRoute& other) {
   return one.name == other.name && one.zone == other.zone && one.priority == other.priority;
 }
@@ -33,7 +33,7 @@
   return XXH3_64bits(all.data(), all.size());
 }
 
-// That of the list before, where both have the same nodes.
+// That of the list before, where both have the same servers.
 NodeListPtr shared_with(const NodeListPtr& before, NodeList list) {
   return before && *before == list ? before : std::make_shared<const NodeList>(std::move(list));
 }
@@ -53,16 +53,16 @@
     nodes_[place] = std::make_shared<const NodeRoute>(snapshot.nodes[place]);
     fingerprints_[place] = fingerprint_of(snapshot.nodes[place]);
   }
-  of_group_.reserve(snapshot.groups.size());
-  for (const routing::GroupRoute& group : snapshot.groups) {
-    if (group.effect == Effect::kDeduplicated) {
+  of_group_.reserve(snapshot.request_classes.size());
+  for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
+    if (request_class.idempotency == Idempotency::kKeyed) {
       of_group_.push_back(nullptr);
       continue;
     }
-    PlacementPtr& shared = placements_[{group.servers.places.get(), group.subset_size}];
+    PlacementPtr& shared = placements_[{request_class.servers.places.get(), request_class.subset_size}];
     if (!shared) {
-      shared = place(snapshot, group, before);
-      lists_.push_back(group.servers);
+      shared = place(snapshot, request_class, before);
+      lists_.push_back(request_class.servers);
     }
     of_group_.push_back(shared);
   }
@@ -95,18 +95,19 @@
          std::any_of(servers.begin(), servers.end(), [&](std::uint32_t place) { return touched_[place]; });
 }
 
-PlacementPtr PlacementTable::place(const routing::Snapshot& snapshot, const routing::GroupRoute& group,
+PlacementPtr PlacementTable::place(const routing::Snapshot& snapshot,
+                                   const routing::RequestClassRoute& request_class,
                                    const PlacementTable* before) const {
-  const bool named = !group.servers.all();
-  const Places& servers = named ? *group.servers.places : all_;
+  const bool named = !request_class.servers.all();
+  const Places& servers = named ? *request_class.servers.places : all_;
   PlacementPtr old;
   if (before) {
-    auto found = before->placements_.find({group.servers.places.get(), group.subset_size});
+    auto found = before->placements_.find({request_class.servers.places.get(), request_class.subset_size});
     if (found != before->placements_.end()) old = found->second;
   }
   if (old && !any_touched(servers)) return old;
   auto made = std::make_shared<Placement>();
-  made->subsets = subsets_of(snapshot, servers, group.subset_size, old.get());
+  made->subsets = subsets_of(snapshot, servers, request_class.subset_size, old.get());
   made->serving = serving_of(snapshot, servers, made->subsets.get(), named, old.get());
   made->in_flight = in_flight_of(servers);
   made->digest = digest_of(servers, made->subsets.get());
@@ -137,7 +138,7 @@
 
 // A service of which nobody is in service keeps its servers as they are: what is sent there is refused there.
 // An empty one would make the whole set unfit, and hold up all other services. Where a service runs on all
-// nodes, none is in service at all, and the last set stays.
+// servers, none is in service at all, and the last set stays.
 NodeListPtr PlacementTable::serving_all(const Places& servers, bool named, const Placement* old) const {
   NodeList list = in_service(servers);
   if (list.empty() && named) list = as_they_are(servers);
--- a/src/xds/placement.h
+++ b/src/xds/placement.h
@@ -23,15 +23,17 @@
 };
 using PlacementPtr = std::shared_ptr<const Placement>;
 
-// The placements of one snapshot, and its nodes as they are shared with the snapshots before.
+// The placements of one snapshot, and its servers as they are shared with the snapshots before.
 class PlacementTable {
  public:
   PlacementTable(const routing::Snapshot& snapshot, const PlacementTable* before);
 
-  const PlacementPtr& of_group(std::size_t group) const { return of_group_[group]; }  // null: it has owners
-  // The same nodes at the same places as in the snapshot before, whatever their health.
+  const PlacementPtr& of_group(std::size_t request_class) const {
+    return of_group_[request_class];
+  }  // null: it has owners
+  // The same servers at the same places as in the snapshot before, whatever their health.
   bool same_places() const { return same_places_; }
-  // A node differs in anything from the snapshot before.
+  // A server differs in anything from the snapshot before.
   bool touched(std::size_t place) const { return touched_[place]; }
 
  private:
@@ -39,7 +41,7 @@
   using Key = std::pair<const Places*, std::uint32_t>;  // the list of servers, and the size of subsets
 
   void share_nodes(const routing::Snapshot& snapshot, const PlacementTable& before);
-  PlacementPtr place(const routing::Snapshot& snapshot, const routing::GroupRoute& group,
+  PlacementPtr place(const routing::Snapshot& snapshot, const routing::RequestClassRoute& request_class,
                      const PlacementTable* before) const;
   bool any_touched(const Places& servers) const;
   std::shared_ptr<const routing::Subsets> subsets_of(const routing::Snapshot& snapshot, const Places& servers,
@@ -55,8 +57,8 @@
   std::uint64_t digest_of(const Places& servers, const routing::Subsets* subsets) const;
 
   std::vector<NodePtr> nodes_;
-  std::vector<std::uint64_t> fingerprints_;  // of all that a node's endpoints are made from
-  std::vector<std::uint32_t> in_flight_;     // of nodes: no part of their endpoints
+  std::vector<std::uint64_t> fingerprints_;  // of all that a server's endpoints are made from
+  std::vector<std::uint32_t> in_flight_;     // of servers: no part of their endpoints
   std::vector<bool> touched_;
   bool same_places_ = false;
   Places all_;
--- a/src/xds/resource_builder.cpp
+++ b/src/xds/resource_builder.cpp
@@ -20,22 +20,24 @@
 namespace {
 
 using google::protobuf::Message;
-using routing::GroupRoute;
 using routing::NodeRoute;
+using routing::RequestClassRoute;
 using routing::Snapshot;
 
-constexpr std::size_t kMostLate = 1000;  // clusters that are gone, remembered; of the newest that went first
+constexpr std::size_t kMaxLate = 1000;  // clusters that are gone, remembered; of the newest that went first
 
 bool has_owners(const Snapshot& snapshot) {
-  return std::any_of(snapshot.groups.begin(), snapshot.groups.end(),
-                     [](const GroupRoute& group) { return group.effect == Effect::kDeduplicated; });
+  return std::any_of(snapshot.request_classes.begin(), snapshot.request_classes.end(),
+                     [](const RequestClassRoute& request_class) {
+                       return request_class.idempotency == Idempotency::kKeyed;
+                     });
 }
 
 // Whether routes made from one are those made from the other.
-bool same_route(const GroupRoute& one, const GroupRoute& other) {
-  return one.name == other.name && one.path == other.path && one.effect == other.effect &&
-         one.key_header == other.key_header && one.timeout == other.timeout && one.repeats == other.repeats &&
-         one.stay_away == other.stay_away;
+bool same_route(const RequestClassRoute& one, const RequestClassRoute& other) {
+  return one.name == other.name && one.path == other.path && one.idempotency == other.idempotency &&
+         one.key_header == other.key_header && one.timeout == other.timeout &&
+         one.retry_policy == other.retry_policy && one.retry_after == other.retry_after;
 }
 
 class ResourceBuilder {
@@ -53,10 +55,11 @@
   std::shared_ptr<const ResourceSet> make(std::uint64_t number) {
     out_->number = number;
     out_->origin = origin_;
-    for (std::size_t at = 0; at < from_.groups.size(); ++at) add_group(at);
+    for (std::size_t at = 0; at < from_.request_classes.size(); ++at) add_request_class(at);
     for (std::size_t place = 0; owners_ && place < from_.nodes.size(); ++place) add_node(place);
     add_fleet_routes();
-    for (std::size_t at = 0; from_.service_listeners && at < from_.groups.size(); ++at) add_service(at);
+    for (std::size_t at = 0; from_.service_listeners && at < from_.request_classes.size(); ++at)
+      add_service(at);
     add_listener(from_.listener);
     if (!same_runtime()) add(Type::kRuntime, kRuntimeName, runtime_message(from_), {});
     compare();
@@ -89,10 +92,10 @@
     put(type, make_resource(type, name, message, std::move(refers)));
   }
   // The group at the same place before, where it had the same name.
-  const GroupRoute* old_group(std::size_t at) const {
-    if (!old_ || at >= old_->snapshot.groups.size()) return nullptr;
-    const GroupRoute& old = old_->snapshot.groups[at];
-    return old.name == from_.groups[at].name ? &old : nullptr;
+  const RequestClassRoute* old_class(std::size_t at) const {
+    if (!old_ || at >= old_->snapshot.request_classes.size()) return nullptr;
+    const RequestClassRoute& old = old_->snapshot.request_classes[at];
+    return old.name == from_.request_classes[at].name ? &old : nullptr;
   }
   // All that routes by owner are made from, beside their group.
   bool find_same_owners() const {
@@ -100,33 +103,34 @@
            old_->snapshot.shard_digits == from_.shard_digits && old_->snapshot.closed_for == from_.closed_for;
   }
   bool same_routes_of(std::size_t at) const {
-    const GroupRoute* old = old_group(at);
-    return old && same_route(*old, from_.groups[at]) &&
-           (same_owners_ || from_.groups[at].effect != Effect::kDeduplicated);
+    const RequestClassRoute* old = old_class(at);
+    return old && same_route(*old, from_.request_classes[at]) &&
+           (same_owners_ || from_.request_classes[at].idempotency != Idempotency::kKeyed);
   }
 
   // ---- Clusters and endpoints
 
-  void add_group(std::size_t at) {
-    const GroupRoute& group = from_.groups[at];
-    if (group.effect == Effect::kDeduplicated) return;
-    const std::string name = cluster_of_group(group.name);
+  void add_request_class(std::size_t at) {
+    const RequestClassRoute& request_class = from_.request_classes[at];
+    if (request_class.idempotency == Idempotency::kKeyed) return;
+    const std::string name = cluster_of_group(request_class.name);
     const PlacementPtr& placement = placements_.of_group(at);
-    const GroupRoute* old = old_group(at);
+    const RequestClassRoute* old = old_class(at);
     bool placed_as_before = old && old_->placements.of_group(at) == placement;
-    bool same_cluster = placed_as_before && old->key_header == group.key_header &&
+    bool same_cluster = placed_as_before && old->key_header == request_class.key_header &&
                         old_->snapshot.retry_budget == from_.retry_budget;
-    bool same_endpoints = placed_as_before && dropped_of(*old) == dropped_of(group);
+    bool same_endpoints = placed_as_before && dropped_of(*old) == dropped_of(request_class);
     if (!same_cluster || !keep(Type::kClusters, name)) {
       std::uint32_t in_flight = placement->in_flight > 0 ? in_flight_step(placement->in_flight) : 0;
-      add(Type::kClusters, name, group_cluster(group, in_flight, from_.retry_budget), {name});
+      add(Type::kClusters, name, group_cluster(request_class, in_flight, from_.retry_budget), {name});
     }
     if (same_endpoints && keep(Type::kEndpoints, name)) return;
     if (placement->subsets) {
       put(Type::kEndpoints,
-          make_subset_resource(group, placement, old_resource(Type::kEndpoints, name).get()));
+          make_subset_resource(request_class, placement, old_resource(Type::kEndpoints, name).get()));
     } else {
-      add(Type::kEndpoints, name, service_endpoints(name, *placement->serving[0], dropped_of(group)), {});
+      add(Type::kEndpoints, name, service_endpoints(name, *placement->serving[0], dropped_of(request_class)),
+          {});
     }
   }
 
@@ -148,16 +152,17 @@
 
   void add_fleet_routes() {
     bool same = old_ && old_->snapshot.listener == from_.listener &&
-                old_->snapshot.groups.size() == from_.groups.size();
-    for (std::size_t at = 0; same && at < from_.groups.size(); ++at) same = same_routes_of(at);
+                old_->snapshot.request_classes.size() == from_.request_classes.size();
+    for (std::size_t at = 0; same && at < from_.request_classes.size(); ++at) same = same_routes_of(at);
     if (!same || !keep(Type::kRoutes, from_.listener)) add_routes(from_.listener, fleet_routes(from_));
   }
 
   void add_service(std::size_t at) {
-    const GroupRoute& group = from_.groups[at];
-    add_listener(group.name);
+    const RequestClassRoute& request_class = from_.request_classes[at];
+    add_listener(request_class.name);
     bool same = old_ && old_->snapshot.service_listeners && same_routes_of(at);
-    if (!same || !keep(Type::kRoutes, group.name)) add_routes(group.name, service_routes(from_, group));
+    if (!same || !keep(Type::kRoutes, request_class.name))
+      add_routes(request_class.name, service_routes(from_, request_class));
   }
 
   // A listener is made from its name alone.
@@ -166,15 +171,16 @@
   }
 
   bool same_runtime() {
-    if (!old_ || old_->snapshot.customers != from_.customers ||
-        old_->snapshot.groups.size() != from_.groups.size()) {
+    if (!old_ || old_->snapshot.tenants != from_.tenants ||
+        old_->snapshot.request_classes.size() != from_.request_classes.size()) {
       return false;
     }
-    for (std::size_t at = 0; at < from_.groups.size(); ++at) {
-      const GroupRoute* old = old_group(at);
-      const GroupRoute& group = from_.groups[at];
-      if (!old || old->effect != group.effect) return false;
-      if (group.effect == Effect::kMutating && old->admitted != group.admitted) return false;
+    for (std::size_t at = 0; at < from_.request_classes.size(); ++at) {
+      const RequestClassRoute* old = old_class(at);
+      const RequestClassRoute& request_class = from_.request_classes[at];
+      if (!old || old->idempotency != request_class.idempotency) return false;
+      if (request_class.idempotency == Idempotency::kNone && old->admitted != request_class.admitted)
+        return false;
     }
     return keep(Type::kRuntime, kRuntimeName);
   }
@@ -188,7 +194,7 @@
     const Resources& now = out_->of(Type::kClusters);
     for (const Resources* old : {&before_->of(Type::kClusters), &before_->late_clusters}) {
       for (const auto& [name, resource] : *old) {
-        if (!now.contains(name) && out_->late_clusters.size() < kMostLate)
+        if (!now.contains(name) && out_->late_clusters.size() < kMaxLate)
           out_->late_clusters.emplace(name, resource);
       }
     }
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -34,7 +34,7 @@
   return std::nullopt;
 }
 
-std::string cluster_of_group(const std::string& group) { return "group/" + group; }
+std::string cluster_of_group(const std::string& request_class) { return "group/" + request_class; }
 std::string cluster_of_node(const std::string& node) { return "node/" + node; }
 
 std::string pattern_of(const std::vector<std::size_t>& shards, int digits) {
--- a/src/xds/resources.h
+++ b/src/xds/resources.h
@@ -80,7 +80,7 @@
 std::string version_of(const Resources& resources);
 
 // Cluster names.
-std::string cluster_of_group(const std::string& group);
+std::string cluster_of_group(const std::string& request_class);
 std::string cluster_of_node(const std::string& node);
 // What a key of one of these shards looks like, for a proxy that matches headers.
 std::string pattern_of(const std::vector<std::size_t>& shards, int digits);
--- a/src/xds/route_messages.cpp
+++ b/src/xds/route_messages.cpp
@@ -16,10 +16,10 @@
 namespace core = envoy::config::core::v3;
 namespace listener = envoy::config::listener::v3;
 namespace route = envoy::config::route::v3;
-using routing::RepeatOn;
+using routing::RetryOn;
 
 constexpr Nanos kStreamSlack = 2 * kSecond;
-constexpr std::uint32_t kDenied = 503;
+constexpr std::uint32_t kRejected = 503;
 constexpr std::uint32_t kTerminated = 500;
 
 void set_duration(google::protobuf::Duration& out, Nanos time) {
@@ -37,13 +37,15 @@
     host_->add_domains("*");
   }
   // A group with owners has a route for each of them: what they share is said once.
-  void share_repeats(const routing::GroupRoute& group) {
-    if (usual_ || group.effect != Effect::kDeduplicated || group.repeats.retries == 0) return;
-    usual_ = &group.repeats;
-    set_retries(*host_->mutable_retry_policy(), group.repeats);
+  void share_retries(const routing::RequestClassRoute& request_class) {
+    if (usual_ || request_class.idempotency != Idempotency::kKeyed || request_class.retry_policy.retries == 0)
+      return;
+    usual_ = &request_class.retry_policy;
+    set_retries(*host_->mutable_retry_policy(), request_class.retry_policy);
   }
-  void add(const routing::GroupRoute& group) {
-    group.effect == Effect::kDeduplicated ? add_owner_routes(*host_, group) : add_group_route(*host_, group);
+  void add(const routing::RequestClassRoute& request_class) {
+    request_class.idempotency == Idempotency::kKeyed ? add_owner_routes(*host_, request_class)
+                                                     : add_group_route(*host_, request_class);
   }
   RouteMessage take() { return {std::move(out_), std::move(refers_)}; }
 
@@ -54,30 +56,30 @@
     return text;
   }
 
-  static void answer_directly(route::Route& out, std::uint32_t status, Nanos stay_away) {
+  static void answer_directly(route::Route& out, std::uint32_t status, Nanos retry_after) {
     out.mutable_direct_response()->set_status(status);
     core::HeaderValue& header = *out.add_response_headers_to_add()->mutable_header();
     header.set_key("hold-off-ms");
-    header.set_value(std::to_string((stay_away + kMs - 1) / kMs));
+    header.set_value(std::to_string((retry_after + kMs - 1) / kMs));
   }
 
-  static void set_retries(route::RetryPolicy& retry, const routing::RepeatRule& rule) {
+  static void set_retries(route::RetryPolicy& retry, const routing::RetryPolicy& rule) {
     std::string on;
     auto say = [&](const char* words) { on += (on.empty() ? "" : ",") + std::string(words); };
-    for (RepeatOn when : rule.on) {
+    for (RetryOn when : rule.on) {
       switch (when) {
-        case RepeatOn::kNeverSent:
+        case RetryOn::kNeverSent:
           say("connect-failure,refused-stream");
           break;
-        case RepeatOn::kDenied:
+        case RetryOn::kRejected:
           say("retriable-status-codes");
           retry.add_retriable_status_codes(429);
-          retry.add_retriable_status_codes(kDenied);
+          retry.add_retriable_status_codes(kRejected);
           break;
-        case RepeatOn::kReset:
+        case RetryOn::kReset:
           say("reset,unavailable,resource-exhausted");
           break;
-        case RepeatOn::kLate:
+        case RetryOn::kLate:
           say("gateway-error");
           break;
       }
@@ -85,46 +87,46 @@
     retry.set_retry_on(on);
     retry.mutable_num_retries()->set_value(static_cast<std::uint32_t>(rule.retries));
     if (rule.per_try > 0) set_duration(*retry.mutable_per_try_timeout(), rule.per_try);
-    set_duration(*retry.mutable_retry_back_off()->mutable_base_interval(), rule.wait_least);
-    set_duration(*retry.mutable_retry_back_off()->mutable_max_interval(), rule.wait_most);
+    set_duration(*retry.mutable_retry_back_off()->mutable_base_interval(), rule.wait_min);
+    set_duration(*retry.mutable_retry_back_off()->mutable_max_interval(), rule.wait_max);
   }
 
-  void set_action(route::Route& out, const routing::GroupRoute& group, const std::string& to) {
+  void set_action(route::Route& out, const routing::RequestClassRoute& request_class, const std::string& to) {
     route::RouteAction& action = *out.mutable_route();
     action.set_cluster(to);
-    set_duration(*action.mutable_timeout(), group.timeout);
+    set_duration(*action.mutable_timeout(), request_class.timeout);
     // An outer bound for clients that know no other. Some were seen to count it from more than a second
     // before the call (docs/design/control-xds.md): it must not cut short what is still in time.
     set_duration(*action.mutable_max_stream_duration()->mutable_max_stream_duration(),
-                 group.timeout + kStreamSlack);
-    if (group.repeats.retries > 0 && !(usual_ && *usual_ == group.repeats)) {
-      set_retries(*action.mutable_retry_policy(), group.repeats);
+                 request_class.timeout + kStreamSlack);
+    if (request_class.retry_policy.retries > 0 && !(usual_ && *usual_ == request_class.retry_policy)) {
+      set_retries(*action.mutable_retry_policy(), request_class.retry_policy);
     }
-    if (group.effect == Effect::kRepeatable && !group.key_header.empty()) {
-      action.add_hash_policy()->mutable_header()->set_header_name(lower(group.key_header));
+    if (request_class.idempotency == Idempotency::kIdempotent && !request_class.key_header.empty()) {
+      action.add_hash_policy()->mutable_header()->set_header_name(lower(request_class.key_header));
     }
   }
 
-  void add_group_route(route::VirtualHost& host, const routing::GroupRoute& group) {
+  void add_group_route(route::VirtualHost& host, const routing::RequestClassRoute& request_class) {
     route::Route& out = *host.add_routes();
-    out.set_name(group.name);
-    out.mutable_match()->set_path(group.path);
-    set_action(out, group, cluster_of_group(group.name));
-    refers_.insert(cluster_of_group(group.name));
-    if (group.effect != Effect::kMutating) return;
+    out.set_name(request_class.name);
+    out.mutable_match()->set_path(request_class.path);
+    set_action(out, request_class, cluster_of_group(request_class.name));
+    refers_.insert(cluster_of_group(request_class.name));
+    if (request_class.idempotency != Idempotency::kNone) return;
     // How much is let through comes by runtime layer, so that a change of it touches no route.
     core::RuntimeFractionalPercent& fraction = *out.mutable_match()->mutable_runtime_fraction();
     fraction.mutable_default_value()->set_numerator(100);
-    fraction.set_runtime_key(kRuntimeName + "." + group.name);
+    fraction.set_runtime_key(kRuntimeName + "." + request_class.name);
     route::Route& rest = *host.add_routes();
-    rest.set_name(group.name + "/denied");
-    rest.mutable_match()->set_path(group.path);
-    answer_directly(rest, kDenied, group.stay_away);
+    rest.set_name(request_class.name + "/denied");
+    rest.mutable_match()->set_path(request_class.path);
+    answer_directly(rest, kRejected, request_class.retry_after);
   }
 
-  // Who owns the shard of a key runs it. Where nobody does, the exchange may have run already, and nobody
-  // knows: it is terminated, never denied.
-  void add_owner_routes(route::VirtualHost& host, const routing::GroupRoute& group) {
+  // Who owns the shard of a key runs it. Where nobody does, the request may have run already, and nobody
+  // knows: it is terminated, never rejected.
+  void add_owner_routes(route::VirtualHost& host, const routing::RequestClassRoute& request_class) {
     std::map<int, std::vector<std::size_t>> owned;
     for (std::size_t at = 0; at < from_.shards.size(); ++at) {
       if (from_.shards[at] != routing::kClosed) owned[from_.shards[at]].push_back(at);
@@ -132,20 +134,20 @@
     for (const auto& [at, shards] : owned) {
       const routing::NodeRoute& node = from_.nodes[static_cast<std::size_t>(at)];
       route::Route& out = *host.add_routes();
-      out.set_name(group.name + "/" + node.name);
-      out.mutable_match()->set_path(group.path);
+      out.set_name(request_class.name + "/" + node.name);
+      out.mutable_match()->set_path(request_class.path);
       route::HeaderMatcher& header = *out.mutable_match()->add_headers();
-      header.set_name(lower(group.key_header));
+      header.set_name(lower(request_class.key_header));
       auto& pattern =
           *header.mutable_safe_regex_match();  // older than string_match, and known to more clients
       pattern.mutable_google_re2();
       pattern.set_regex(pattern_of(shards, from_.shard_digits));
-      set_action(out, group, cluster_of_node(node.name));
+      set_action(out, request_class, cluster_of_node(node.name));
       refers_.insert(cluster_of_node(node.name));
     }
     route::Route& rest = *host.add_routes();
-    rest.set_name(group.name + "/closed");
-    rest.mutable_match()->set_path(group.path);
+    rest.set_name(request_class.name + "/closed");
+    rest.mutable_match()->set_path(request_class.path);
     answer_directly(rest, kTerminated, from_.closed_for);
   }
 
@@ -153,22 +155,24 @@
   route::RouteConfiguration out_;
   route::VirtualHost* host_ = nullptr;
   std::set<std::string> refers_;
-  const routing::RepeatRule* usual_ = nullptr;  // as said for all routes that say nothing else
+  const routing::RetryPolicy* usual_ = nullptr;  // as said for all routes that say nothing else
 };
 
 }  // namespace
 
 RouteMessage fleet_routes(const routing::Snapshot& snapshot) {
   RouteBuilder builder(snapshot, snapshot.listener);
-  for (const routing::GroupRoute& group : snapshot.groups) builder.share_repeats(group);
-  for (const routing::GroupRoute& group : snapshot.groups) builder.add(group);
+  for (const routing::RequestClassRoute& request_class : snapshot.request_classes)
+    builder.share_retries(request_class);
+  for (const routing::RequestClassRoute& request_class : snapshot.request_classes) builder.add(request_class);
   return builder.take();
 }
 
-RouteMessage service_routes(const routing::Snapshot& snapshot, const routing::GroupRoute& group) {
-  RouteBuilder builder(snapshot, group.name);
-  builder.share_repeats(group);
-  builder.add(group);
+RouteMessage service_routes(const routing::Snapshot& snapshot,
+                            const routing::RequestClassRoute& request_class) {
+  RouteBuilder builder(snapshot, request_class.name);
+  builder.share_retries(request_class);
+  builder.add(request_class);
   return builder.take();
 }
 
@@ -196,11 +200,12 @@
     fraction["numerator"].set_number_value(share);
     fraction["denominator"].set_string_value("TEN_THOUSAND");
   };
-  for (const routing::GroupRoute& group : snapshot.groups) {
-    if (group.effect == Effect::kMutating) add_fraction(kRuntimeName + "." + group.name, group.admitted);
+  for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
+    if (request_class.idempotency == Idempotency::kNone)
+      add_fraction(kRuntimeName + "." + request_class.name, request_class.admitted);
   }
-  for (const routing::CustomerShare& customer : snapshot.customers) {
-    add_fraction("share." + customer.name, customer.share);
+  for (const routing::TenantQuota& tenant : snapshot.tenants) {
+    add_fraction("share." + tenant.name, tenant.share);
   }
   return out;
 }
--- a/src/xds/route_messages.h
+++ b/src/xds/route_messages.h
@@ -20,7 +20,8 @@
 // All groups, under the listener's name.
 RouteMessage fleet_routes(const routing::Snapshot& snapshot);
 // One group, under its own name.
-RouteMessage service_routes(const routing::Snapshot& snapshot, const routing::GroupRoute& group);
+RouteMessage service_routes(const routing::Snapshot& snapshot,
+                            const routing::RequestClassRoute& request_class);
 
 // Its routes have its name.
 envoy::config::listener::v3::Listener listener_message(const std::string& name);
--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -6,9 +6,9 @@
 namespace myrtlecroft::xds {
 namespace {
 
-constexpr std::size_t kMostNames = 20'000;  // of one type, that a proxy may ask for
+constexpr std::size_t kMaxNames = 20'000;  // of one type, that a proxy may ask for
 constexpr std::size_t kLongestName = 256;
-constexpr double kMostRequests = 400;  // within about a second; a proxy that starts asks for some dozens
+constexpr double kMaxRequests = 400;  // within about a second; a proxy that starts asks for some dozens
 constexpr std::size_t kLongestReason = 500;  // of a refusal, as kept and shown
 
 // Types whose answers tell by absence that something is gone (the specification, "State of the World").
@@ -54,17 +54,17 @@
 
 Fault Session::request(const Request& request, Nanos now) {
   requests_.add(1, now);
-  if (requests_.read(now) > kMostRequests) return Fault::kTooManyRequests;
+  if (requests_.read(now) > kMaxRequests) return Fault::kTooManyRequests;
   auto too_long = [](const auto& names) {
     return std::any_of(names.begin(), names.end(),
                        [](const auto& name) { return name.size() > kLongestName; });
   };
   Subscription& state = of(request.type);
-  if (request.names.size() > kMostNames || too_long(request.names) || too_long(request.subscribe) ||
-      state.names.size() + request.subscribe.size() > kMostNames || request.has.size() > kMostNames) {
+  if (request.names.size() > kMaxNames || too_long(request.names) || too_long(request.subscribe) ||
+      state.names.size() + request.subscribe.size() > kMaxNames || request.has.size() > kMaxNames) {
     return Fault::kTooManyNames;
   }
-  heed(state, request);
+  handle(state, request);
   applied();
   return Fault::kNone;
 }
@@ -88,7 +88,7 @@
 //   answer
 // another nonce      stale: the proxy will say its names       its names count, as each request tells of a
 //                    again with the answer that is out         change; nothing is acknowledged
-void Session::heed(Subscription& state, const Request& request) {
+void Session::handle(Subscription& state, const Request& request) {
   bool first = !std::exchange(state.subscribed, true);
   bool current = state.pending && request.nonce == state.pending->nonce;
   bool last = !state.pending && request.nonce == std::to_string(state.answers);
--- a/src/xds/session.h
+++ b/src/xds/session.h
@@ -65,7 +65,7 @@
 
   // The publication that the proxy has applied whole; 0 = none yet.
   std::uint64_t applied();
-  // It has asked for routes, so that it may send exchanges.
+  // It has asked for routes, so that it may send requests.
   bool routes() const { return of(Type::kRoutes).subscribed; }
   std::vector<Refusal> refusals() const;
   std::uint64_t acks() const { return acks_; }
@@ -116,7 +116,7 @@
   Has has(Type type, const std::string& name) const;
   bool has_version(Type type, const Resource& resource) const;
 
-  void heed(Subscription& state, const Request& request);
+  void handle(Subscription& state, const Request& request);
   void accept(Subscription& state, Type type);
   void forget_endpoints(const std::string& cluster);
   void refuse(Subscription& state, Type type, const std::string& reason);
--- a/src/xds/session_table.cpp
+++ b/src/xds/session_table.cpp
@@ -9,8 +9,7 @@
 namespace myrtlecroft::xds {
 namespace {
 
-constexpr std::size_t kMostGone =
-    100'000;  // proxies remembered; with more, the one gone longest is forgotten
+constexpr std::size_t kMaxGone = 100'000;  // proxies remembered; with more, the one gone longest is forgotten
 constexpr std::size_t kLongestId = 256;
 
 }  // namespace
@@ -36,14 +35,14 @@
 
 // In touch again, though nothing new was published, what was closed for the moment is not left so.
 bool SessionTable::offer_through_gate(Stream& stream, Nanos now) {
-  if (!gate_ || stream.offered == Stream::Offered::kWhole) return false;
+  if (!gate_ || stream.offered == Stream::Offered::kComplete) return false;
   bool fresh = now <= gate_->fresh_until;
   if (!fresh && stream.offered == Stream::Offered::kClosed) return false;
   if (!gate_->served.contains(stream.id)) return false;
   const auto& set = fresh ? set_ : gate_->closed;
   if (!set) return false;
   stream.session.offer(set);
-  stream.offered = fresh ? Stream::Offered::kWhole : Stream::Offered::kClosed;
+  stream.offered = fresh ? Stream::Offered::kComplete : Stream::Offered::kClosed;
   return true;
 }
 
@@ -54,7 +53,7 @@
   }
   if (!set_ || stream.offered != Stream::Offered::kNothing) return;
   stream.session.offer(set_);
-  stream.offered = Stream::Offered::kWhole;
+  stream.offered = Stream::Offered::kComplete;
 }
 
 void SessionTable::add_gone(Gone gone) {
@@ -86,7 +85,7 @@
   } else if (stream.session.routes() && !stream.id.empty()) {
     // Nobody has looked since it came: what it had before this stream, it has no more.
     if (was_gone) erase_gone(before);
-    if (gone_.size() >= kMostGone) erase_gone(gone_.begin());
+    if (gone_.size() >= kMaxGone) erase_gone(gone_.begin());
     add_gone({stream.id, applied, now, last_});
   }
   if (auto same = streams_of_.find(stream.id); same != streams_of_.end() && --same->second == 0) {
@@ -101,7 +100,7 @@
     // Its turn comes with the gate, or once it has asked.
     if (stream.offered == Stream::Offered::kNothing && (gate_ || !stream.asked)) continue;
     stream.session.offer(set_);
-    stream.offered = Stream::Offered::kWhole;
+    stream.offered = Stream::Offered::kComplete;
   }
 }
 
@@ -151,7 +150,7 @@
 }
 
 std::uint64_t SessionTable::applied_by_all(Nanos forget_after, Nanos now) {
-  std::uint64_t least = set_ ? set_->number : 0;
+  std::uint64_t min = set_ ? set_->number : 0;
   for (auto& [id, stream] : streams_) {
     if (!stream.session.routes()) continue;
     std::uint64_t applied = stream.session.applied();
@@ -160,7 +159,7 @@
       auto same = find_gone(stream.id, id);
       if (same != gone_.end()) erase_gone(same);
     }
-    least = std::min(least, applied);
+    min = std::min(min, applied);
   }
   for (auto one = gone_.begin(); one != gone_.end();) {
     if (now - one->since < forget_after) {
@@ -170,8 +169,8 @@
     log_("proxy " + one->id + " has been gone for so long that it is forgotten");
     one = erase_gone(one);
   }
-  for (const Gone& one : gone_) least = std::min(least, one.applied);
-  return least;
+  for (const Gone& one : gone_) min = std::min(min, one.applied);
+  return min;
 }
 
 std::vector<ProxyView> SessionTable::view() {
--- a/src/xds/session_table.h
+++ b/src/xds/session_table.h
@@ -46,7 +46,7 @@
   void gate(Gate gate, Nanos now);
   // The same proxies as in the last gate. True where a stream was offered something.
   bool gate_stays(Nanos fresh_until, std::shared_ptr<const ResourceSet> closed, Nanos now);
-  // The node is named in the first request of a stream, and may be left out of the others.
+  // The server is named in the first request of a stream, and may be left out of the others.
   Fault request(StreamId stream, const std::string& id, const std::string& zone, const Request& request,
                 Nanos now);
   std::optional<Response> next(StreamId stream);
@@ -71,7 +71,7 @@
     std::string peer;
     bool asked = false;    // it has said who it is, as far as it does: before that its subsets are not known
     bool counted = false;  // it has applied something since it came
-    enum class Offered { kNothing, kClosed, kWhole } offered = Offered::kNothing;  // closed: no open shard
+    enum class Offered { kNothing, kClosed, kComplete } offered = Offered::kNothing;  // closed: no open shard
   };
   struct Gone {
     std::string id;
--- a/src/xds/subset_resources.cpp
+++ b/src/xds/subset_resources.cpp
@@ -9,11 +9,11 @@
 
 namespace myrtlecroft::xds {
 
-SubsetResources::SubsetResources(const routing::GroupRoute& group, PlacementPtr placement,
+SubsetResources::SubsetResources(const routing::RequestClassRoute& request_class, PlacementPtr placement,
                                  const SubsetResources* before)
-    : cluster_(cluster_of_group(group.name)),
-      service_(routing::service_key(group.name)),
-      dropped_(dropped_of(group)),
+    : cluster_(cluster_of_group(request_class.name)),
+      service_(routing::service_key(request_class.name)),
+      dropped_(dropped_of(request_class)),
       placement_(std::move(placement)),
       made_(placement_->serving.size()) {
   if (!before || before->dropped_ != dropped_) return;
@@ -51,14 +51,15 @@
   return "";
 }
 
-ResourcePtr make_subset_resource(const routing::GroupRoute& group, const PlacementPtr& placement,
-                                 const Resource* before) {
-  std::string content = group.name + ' ' + hex(placement->digest) + ' ' + std::to_string(dropped_of(group));
+ResourcePtr make_subset_resource(const routing::RequestClassRoute& request_class,
+                                 const PlacementPtr& placement, const Resource* before) {
+  std::string content =
+      request_class.name + ' ' + hex(placement->digest) + ' ' + std::to_string(dropped_of(request_class));
   auto made = std::make_shared<Resource>();
-  made->name = cluster_of_group(group.name);
+  made->name = cluster_of_group(request_class.name);
   made->version = hex(XXH3_64bits(content.data(), content.size()));
-  made->subsets =
-      std::make_shared<const SubsetResources>(group, placement, before ? before->subsets.get() : nullptr);
+  made->subsets = std::make_shared<const SubsetResources>(request_class, placement,
+                                                          before ? before->subsets.get() : nullptr);
   return made;
 }
 
--- a/src/xds/subset_resources.h
+++ b/src/xds/subset_resources.h
@@ -17,7 +17,8 @@
 class SubsetResources {
  public:
   // What was serialised already, and is the same, is taken over from `before`.
-  SubsetResources(const routing::GroupRoute& group, PlacementPtr placement, const SubsetResources* before);
+  SubsetResources(const routing::RequestClassRoute& request_class, PlacementPtr placement,
+                  const SubsetResources* before);
 
   std::size_t count() const { return placement_->serving.size(); }
   ResourcePtr at(std::size_t subset) const;
@@ -37,7 +38,7 @@
 };
 
 // What stands for all of them in a set. Its version tells of a change in any.
-ResourcePtr make_subset_resource(const routing::GroupRoute& group, const PlacementPtr& placement,
-                                 const Resource* before);
+ResourcePtr make_subset_resource(const routing::RequestClassRoute& request_class,
+                                 const PlacementPtr& placement, const Resource* before);
 
 }  // namespace myrtlecroft::xds
--- a/standin/ads_client.cpp
+++ b/standin/ads_client.cpp
@@ -215,10 +215,10 @@
 std::shared_ptr<const AppliedSet::Routes> AdsClient::held_routes() {
   const auto& held = kinds_[kRoutes].held;
   if (services_.empty() || held.size() == 1) {
-    auto most = std::max_element(held.begin(), held.end(), [](const auto& one, const auto& other) {
+    auto max = std::max_element(held.begin(), held.end(), [](const auto& one, const auto& other) {
       return one.second.body->refers.size() < other.second.body->refers.size();
     });
-    return as<AppliedSet::Routes>(*most->second.body);
+    return as<AppliedSet::Routes>(*max->second.body);
   }
   auto all = std::make_shared<AppliedSet::Routes>();
   auto& host = *all->add_virtual_hosts();
--- a/standin/ads_client.h
+++ b/standin/ads_client.h
@@ -16,7 +16,7 @@
 
 namespace myrtlecroft::standin {
 
-// All that a proxy needs to send an exchange; swapped whole.
+// All that a proxy needs to send an request; swapped whole.
 struct AppliedSet {
   using Cluster = envoy::config::cluster::v3::Cluster;
   using Endpoints = envoy::config::endpoint::v3::ClusterLoadAssignment;
--- a/standin/cgi_client.h
+++ b/standin/cgi_client.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft::standin {
 
@@ -37,7 +37,7 @@
   std::uint64_t trace = 0;
   Nanos accepted_unix = 0;
   int client = 1;
-  std::string customer = "acme";
+  std::string tenant = "acme";
   Nanos wait = 0;
   std::string key;  // empty: none
   std::string body;
@@ -71,7 +71,7 @@
   add("HTTP_TRACE_ID", trace);
   add("HTTP_ACCEPTED_AT_MS", std::to_string(fields.accepted_unix / kMs));
   add("HTTP_CLIENT_NO", std::to_string(fields.client));
-  add("HTTP_PROJECT", fields.customer);
+  add("HTTP_PROJECT", fields.tenant);
   add("HTTP_MAX_WAIT_MS", std::to_string(fields.wait / kMs));
   add("HTTP_EXPECTED_MS", std::to_string(fields.expected_ms));
   add("HTTP_RESERVE_KB", "20");
--- a/standin/control_fleet.cpp
+++ b/standin/control_fleet.cpp
@@ -24,15 +24,16 @@
 
 std::string on_loopback(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-ControlFleet::ControlFleet(ControlFleetTerms terms, std::set<int>& taken)
-    : terms_(std::move(terms)), taken_(taken) {
-  for (int i = 0; i < terms_.instances; ++i) add();
+ControlFleet::ControlFleet(ControlFleetOptions options, std::set<int>& taken)
+    : options_(std::move(options)), taken_(taken) {
+  for (int i = 0; i < options_.instances; ++i) add();
 }
 
 int ControlFleet::add() {
   Place place;
   for (int* port : {&place.xds, &place.reports, &place.admin, &place.peer}) *port = free_port(taken_);
-  place.faults = std::make_unique<FaultFile>(terms_.folder + "/faults" + std::to_string(places_.size() + 1));
+  place.faults =
+      std::make_unique<FaultFile>(options_.folder + "/faults" + std::to_string(places_.size() + 1));
   places_.push_back(std::move(place));
   return size() - 1;
 }
@@ -43,18 +44,18 @@
   std::vector<std::string> command = {MYRTLECROFT_CONTROL,
                                       "serve",
                                       "--fleet",
-                                      terms_.fleet,
+                                      options_.fleet,
                                       "--xds",
                                       on_loopback(one.xds),
                                       "--reports",
                                       on_loopback(one.reports),
                                       "--admin",
                                       on_loopback(one.admin)};
-  if (terms_.agreed) {
+  if (options_.agreed) {
     command.insert(command.end(), {"--instance", id, "--peer", on_loopback(one.peer), "--log", state(at),
                                    "--reach", one.reach});
     std::string all;
-    for (int k = 0; k < terms_.instances; ++k)
+    for (int k = 0; k < options_.instances; ++k)
       all += (k ? "," : "") + std::to_string(k + 1) + "=" + on_loopback((*this)[k].peer);
     if (how == Start::kFirst) command.insert(command.end(), {"--begin", all});
     if (how == Start::kJoin) command.push_back("--join");
@@ -62,7 +63,7 @@
     command.insert(command.end(), {"--state", state(at)});
   }
   if (how == Start::kFirst) command.push_back("--first-start");
-  command.insert(command.end(), terms_.more.begin(), terms_.more.end());
+  command.insert(command.end(), options_.more.begin(), options_.more.end());
   one.process = Child(command, log(at), one.faults->variables(MYRTLECROFT_FAULTY));
 }
 
@@ -72,8 +73,8 @@
 
 std::string ControlFleet::discovery(int first) const {
   std::string out = "ipv4:";
-  for (int k = 0; k < terms_.instances; ++k) {
-    const Place& place = places_[static_cast<std::size_t>((k + first) % terms_.instances)];
+  for (int k = 0; k < options_.instances; ++k) {
+    const Place& place = places_[static_cast<std::size_t>((k + first) % options_.instances)];
     out += (k ? "," : "") + on_loopback(place.xds);
   }
   return out;
--- a/standin/control_fleet.h
+++ b/standin/control_fleet.h
@@ -16,7 +16,7 @@
 int free_port(std::set<int>& taken);
 std::string on_loopback(int port);
 
-struct ControlFleetTerms {
+struct ControlFleetOptions {
   std::string folder;
   std::string fleet;  // its file
   int instances = 3;
@@ -32,10 +32,10 @@
     std::unique_ptr<FaultFile> faults;
     Child process;
   };
-  ControlFleet(ControlFleetTerms terms, std::set<int>& taken);
+  ControlFleet(ControlFleetOptions options, std::set<int>& taken);
 
   // Options of each instance that starts from here on.
-  void set_more(std::vector<std::string> more) { terms_.more = std::move(more); }
+  void set_more(std::vector<std::string> more) { options_.more = std::move(more); }
   enum class Start { kFirst, kAgain, kJoin };
   void start(int at, Start how = Start::kAgain);
   void start_all();
@@ -45,13 +45,13 @@
   std::vector<Place>& all() { return places_; }
   Place& operator[](int at) { return places_[static_cast<std::size_t>(at)]; }
   int size() const { return static_cast<int>(places_.size()); }
-  std::string log(int at) const { return terms_.folder + "/control" + std::to_string(at) + ".log"; }
-  std::string state(int at) const { return terms_.folder + "/log" + std::to_string(at + 1); }
+  std::string log(int at) const { return options_.folder + "/control" + std::to_string(at) + ".log"; }
+  std::string state(int at) const { return options_.folder + "/log" + std::to_string(at + 1); }
   // For a proxy's channel; `first` is tried first.
   std::string discovery(int first) const;
 
  private:
-  ControlFleetTerms terms_;
+  ControlFleetOptions options_;
   std::set<int>& taken_;
   std::vector<Place> places_;
 };
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -12,12 +12,12 @@
 constexpr std::size_t kConnections = 64;
 constexpr double kColdSpeed = 3;  // times its usual time, while cold
 constexpr Nanos kBeat = 2 * kMs;
-constexpr std::size_t kMostResult = 4'096;
+constexpr std::size_t kMaxResult = 4'096;
 constexpr Nanos kAtCall = 2 * kSecond;  // a run whose call is never answered ends
 
 }  // namespace
 
-Engine::Engine(net::Loop& loop, service::LogPort& log, std::string node, int cores,
+Engine::Engine(net::Loop& loop, service::Logger& log, std::string node, int cores,
                std::function<void(const RunSeen&)> seen)
     : loop_(loop),
       node_(std::move(node)),
@@ -25,13 +25,13 @@
       seen_(std::move(seen)),
       door_(loop, log, net::loopback(0), "engine", kConnections,
             {.came =
-                 [this](control::Door::Id id, net::Connection& connection, std::string_view bytes) {
+                 [this](control::FrameServer::Id id, net::Connection& connection, std::string_view bytes) {
                    link_id_ = id;
                    return came(connection, bytes);
                  },
              // A new link replaces the one before it, whose end may be seen later.
              .ended =
-                 [this](control::Door::Id id) {
+                 [this](control::FrameServer::Id id) {
                    if (id == link_id_) link_ = nullptr;
                  }}),
       again_(loop.base(), [this] { end_due(); }),
@@ -70,8 +70,8 @@
 void Engine::hello() {
   if (!attached_ || loop_.now() < up_at_) return;
   attached_ = false;
-  tell("{\"cmd\":\"HELLO\",\"result\":\"" + std::string(cold() ? "booting" : "steady") + "\",\"elapsed_ms\":" +
-       std::to_string((loop_.now() - started_) / kMs) + "}");
+  tell("{\"cmd\":\"HELLO\",\"result\":\"" + std::string(warming_up() ? "booting" : "steady") +
+       "\",\"elapsed_ms\":" + std::to_string((loop_.now() - started_) / kMs) + "}");
 }
 
 void Engine::command(const net::EngineLine& line) {
@@ -82,7 +82,8 @@
     start(line.req, net::from_base64(line.payload).value_or(""));
   } else if (line.cmd == "FEED" || line.cmd == "SKIP") {
     auto run = runs_.find(line.req);
-    if (run != runs_.end()) run->second = {loop_.now() + 2 * kMs, false, false, run->second.result, run->second.work};
+    if (run != runs_.end())
+      run->second = {loop_.now() + 2 * kMs, false, false, run->second.result, run->second.work};
   } else if (line.cmd == "STAT") {
     double on = static_cast<double>(runs_.size());
     std::ostringstream out;
@@ -103,22 +104,22 @@
   double ms = 0;
   int calls = 0;
   std::size_t result = 0;
-  words >> seen.group >> seen.key >> ms >> calls >> result;
+  words >> seen.request_class >> seen.key >> ms >> calls >> result;
   seen_(seen);
   if (ms <= 0 && calls == 0 && !silent_) {  // takes no core's time
-    runs_[id] = {loop_.now(), false, false, std::min(result, kMostResult), kMs};
+    runs_[id] = {loop_.now(), false, false, std::min(result, kMaxResult), kMs};
     return end_due();
   }
   bool fits = loop_.now() - started_ >= behaviour_.after && runs_.size() >= behaviour_.from_runs &&
-              (behaviour_.group.empty() || behaviour_.group == seen.group);
-  double work = ms * slow_ * (fits ? behaviour_.slow : 1) * (cold() ? kColdSpeed : 1) * static_cast<double>(kMs);
+              (behaviour_.request_class.empty() || behaviour_.request_class == seen.request_class);
+  double work =
+      ms * slow_ * (fits ? behaviour_.slow : 1) * (warming_up() ? kColdSpeed : 1) * static_cast<double>(kMs);
   Nanos ends = loop_.now() + static_cast<Nanos>(work * crowd());
   if (!free_at_.empty()) {
     auto core = std::min_element(free_at_.begin(), free_at_.end());
     ends = *core = std::max(*core, loop_.now()) + static_cast<Nanos>(work);
   }
-  runs_[id] = {ends, calls > 0, false, std::min(result, kMostResult),
-               std::max(kMs, static_cast<Nanos>(work))};
+  runs_[id] = {ends, calls > 0, false, std::min(result, kMaxResult), std::max(kMs, static_cast<Nanos>(work))};
 }
 
 void Engine::end_due() {
@@ -137,8 +138,8 @@
     std::string result = run->second.result ? std::string(run->second.result, 'r') : "result";
     net::append_base64(payload, run->second.calls ? "parts" : result);
     if (!run->second.calls)
-      head += std::string(",\"result\":\"") + (given_up ? "interrupted" : "success") + "\",\"elapsed_ms\":" +
-              std::to_string(run->second.work / kMs);
+      head += std::string(",\"result\":\"") + (given_up ? "interrupted" : "success") +
+              "\",\"elapsed_ms\":" + std::to_string(run->second.work / kMs);
     tell(head + ",\"payload\":\"" + payload + "\"}");
     if (run->second.calls) {
       run->second = {loop_.now() + kAtCall, false, true, run->second.result, run->second.work};
@@ -149,9 +150,9 @@
   }
 }
 
-Database::Database(net::Loop& loop, service::LogPort& log)
+Database::Database(net::Loop& loop, service::Logger& log)
     : door_(loop, log, net::loopback(0), "database", 4 * kConnections,
-            {.came = [this](control::Door::Id, net::Connection& connection, std::string_view bytes) {
+            {.came = [this](control::FrameServer::Id, net::Connection& connection, std::string_view bytes) {
               return came(connection, bytes);
             }}) {}
 
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -1,5 +1,6 @@
-// A stand-in for the engine of one node, and for the database all nodes share: small, scripted, on loopback.
-// Bodies of exchanges say what work they are: "GROUP KEY MS CALLS", and may add the bytes of the result.
+// A stand-in for the engine of one server, and for the database all servers share: small, scripted, on
+// loopback. Bodies of requests say what work they are: "GROUP KEY MS CALLS", and may add the bytes of the
+// result.
 #pragma once
 
 #include <functional>
@@ -7,50 +8,51 @@
 #include <string>
 #include <vector>
 
-#include "control/door.h"
-#include "net/engine_lines.h"
+#include "control/frame_server.h"
+#include "net/engine_codec.h"
 
 namespace myrtlecroft::standin {
 
 // One run, as it came to some engine.
 struct RunSeen {
   std::string node;
-  std::string group;
+  std::string request_class;
   std::string key;
   Nanos at = 0;
 };
 
 // What a version of the program does to what it runs.
 struct Behaviour {
-  double slow = 1;          // times the usual time
-  Nanos after = 0;          // since its start
+  double slow = 1;            // times the usual time
+  Nanos after = 0;            // since its start
   std::size_t from_runs = 0;  // only with so many at once
-  std::string group;        // only this one; empty: all
-  bool silent = false;      // takes runs and ends none
+  std::string request_class;  // only this one; empty: all
+  bool silent = false;        // takes runs and ends none
 };
 
 class Engine {
  public:
-  Engine(net::Loop& loop, service::LogPort& log, std::string node, int cores,
+  Engine(net::Loop& loop, service::Logger& log, std::string node, int cores,
          std::function<void(const RunSeen&)> seen);
 
   std::uint16_t port() const { return door_.port(); }
   void slow(double factor) { slow_ = factor; }  // times its usual time for each run from now on
   void silent(bool silent);                     // takes runs and ends none
-  // More runs than cores wait for one, and cost nothing beyond that; else each slows those that come after it.
+  // More runs than cores wait for one, and cost nothing beyond that; else each slows those that come after
+  // it.
   void queue_for_cores() { free_at_.assign(static_cast<std::size_t>(cores_), 0); }
   void behave(Behaviour behaviour) { behaviour_ = std::move(behaviour); }
-  bool cold() const { return loop_.now() < warm_at_; }
+  bool warming_up() const { return loop_.now() < warm_at_; }
   // Comes up then: links are taken before that, and get no word.
   void up_at(Nanos when) { up_at_ = when; }
-  // Another life of the node: what ran is gone, notices are numbered anew, and it is cold for a while.
+  // Another life of the server: what ran is gone, notices are numbered anew, and it is cold for a while.
   void restart(Nanos cold_for);
 
  private:
   struct Run {
     Nanos ends = 0;
-    bool calls = false;    // it will
-    bool at_call = false;  // it waits
+    bool calls = false;      // it will
+    bool at_call = false;    // it waits
     std::size_t result = 0;  // bytes; 0: the word
     Nanos work = kMs;        // of a core
   };
@@ -66,9 +68,9 @@
   std::string node_;
   int cores_;
   std::function<void(const RunSeen&)> seen_;
-  control::Door door_;
+  control::FrameServer door_;
   net::Connection* link_ = nullptr;
-  control::Door::Id link_id_{};
+  control::FrameServer::Id link_id_{};
   net::Timer again_;
   std::map<std::string, Run> runs_;
   std::uint64_t notices_ = 0;
@@ -84,12 +86,12 @@
 
 class Database {
  public:
-  Database(net::Loop& loop, service::LogPort& log);
+  Database(net::Loop& loop, service::Logger& log);
   std::uint16_t port() const { return door_.port(); }
 
  private:
   std::size_t came(net::Connection& connection, std::string_view bytes);
-  control::Door door_;
+  control::FrameServer door_;
 };
 
 }  // namespace myrtlecroft::standin
--- a/standin/no_log.h
+++ b/standin/no_log.h
@@ -5,7 +5,7 @@
 
 namespace myrtlecroft::standin {
 
-class NoLog final : public service::LogPort {
+class NoLog final : public service::Logger {
  public:
   void line(const std::string&) override {}
   void frequent(const std::string&) override {}
--- a/standin/node_config.h
+++ b/standin/node_config.h
@@ -1,10 +1,10 @@
-// What a real node is told at its start, with stand-ins for all it speaks with.
+// What a real server is told at its start, with stand-ins for all it speaks with.
 #pragma once
 
 #include <fstream>
 #include <string>
 
-#include "myrtlecroft/terms.h"
+#include "myrtlecroft/service_config.h"
 
 namespace myrtlecroft::standin {
 
@@ -17,23 +17,26 @@
   int memory_mb = 192;
   int descriptors = 1024;
   int servers = 1;
-  Nanos grace = 500 * kMs;  // of a drain
-  std::string groups;  // JSON objects of the settings' classes, with commas between
-  std::string tenants = {};  // JSON objects of the settings' tenants, with commas between; empty: no such list
+  Nanos grace = 500 * kMs;      // of a drain
+  std::string request_classes;  // JSON objects of the settings' classes, with commas between
+  std::string tenants =
+      {};              // JSON objects of the settings' tenants, with commas between; empty: no such list
   std::string family;  // JSON fields of the settings' familyInfo, but for the meters
 };
 
 inline void write_node_config(const std::string& path, const NodeConfig& config) {
   auto at = [](int port) { return "\"127.0.0.1:" + std::to_string(port) + "\""; };
   std::ofstream(path)
-      << R"({"name":")" << config.name << R"(","listen":)" << at(config.port) << R"(,"engine":)" << at(config.engine)
-      << R"(,"members":)" << at(config.members) << R"(,"db":)" << at(config.database)
-      << R"(,"seed":"1f","stop_ms":2500,"limits":{"cores":1.0,"memory_mb":)" << config.memory_mb << R"(,"sockets":)"
-      << config.descriptors << R"(},"settings":{"classes":[)" << config.groups << R"(],)"
-      << (config.tenants.empty() ? "" : R"("tenants":[)" + config.tenants + "],") << R"("familyInfo":{)" << config.family
+      << R"({"name":")" << config.name << R"(","listen":)" << at(config.port) << R"(,"engine":)"
+      << at(config.engine) << R"(,"members":)" << at(config.members) << R"(,"db":)" << at(config.database)
+      << R"(,"seed":"1f","stop_ms":2500,"limits":{"cores":1.0,"memory_mb":)" << config.memory_mb
+      << R"(,"sockets":)" << config.descriptors << R"(},"settings":{"classes":[)" << config.request_classes
+      << R"(],)" << (config.tenants.empty() ? "" : R"("tenants":[)" + config.tenants + "],")
+      << R"("familyInfo":{)" << config.family
       << R"(,"meters":["core_use","on_cores","heap_share","links"]},"limits":{"retryAfter":true,)"
       << R"("maxRetryAfterNs":1000000000},"rules":{"answerSlackNs":100000000,"drainGraceNs":)" << config.grace
-      << R"(,"overloadFactor":6,"overloadForNs":1500000000},"servers":)" << config.servers << R"(,"tickNs":2000000}})";
+      << R"(,"overloadFactor":6,"overloadForNs":1500000000},"servers":)" << config.servers
+      << R"(,"tickNs":2000000}})";
 }
 
 }  // namespace myrtlecroft::standin
--- a/standin/proxy.cpp
+++ b/standin/proxy.cpp
@@ -32,7 +32,7 @@
 }  // namespace
 
 struct Proxy::Going {
-  Exchange exchange;
+  Request request;
   std::function<void(const Ended&)> ended;
   Ended so_far;
   std::string cluster;
@@ -51,16 +51,16 @@
         going_(std::move(going)),
         connection_(proxy.loop_.base(), to, *this, proxy.log_, "try"),
         late_(proxy.loop_.base(), [this] { finish(Ended::Kind::kNoAnswer, true); }) {
-    const Exchange& exchange = going_->exchange;
-    request_ = cgi_request({.path = exchange.path,
+    const Request& request = going_->request;
+    request_ = cgi_request({.path = request.path,
                             .trace = trace,
-                            .accepted_unix = exchange.accepted_unix,
+                            .accepted_unix = request.accepted_unix,
                             .client = proxy.number_,
-                            .customer = exchange.customer,
+                            .tenant = request.tenant,
                             .wait = wait,
-                            .key = exchange.key,
-                            .body = exchange.body,
-                            .expected_ms = exchange.expected_ms});
+                            .key = request.key,
+                            .body = request.body,
+                            .expected_ms = request.expected_ms});
     late_.set(wait);
   }
   void opened(net::Connection& connection) override {
@@ -82,14 +82,14 @@
   void answered(std::uint8_t protocol) {
     if (over_) return;
     if (answer_.starts_with("Status: 200")) return finish(Ended::Kind::kCompleted, false);
-    bool denied = protocol == 2 || answer_.starts_with("Status: 503") || answer_.starts_with("Status: 429");
+    bool rejected = protocol == 2 || answer_.starts_with("Status: 503") || answer_.starts_with("Status: 429");
     std::size_t advice = answer_.find("Hold-Off-Ms: ");
     if (advice != std::string::npos) {
       std::int64_t ms = 0;
       std::from_chars(answer_.data() + advice + 13, answer_.data() + answer_.size(), ms);
-      stay_away_ = ms * kMs;
+      retry_after_ = ms * kMs;
     }
-    finish(denied ? Ended::Kind::kDenied : Ended::Kind::kTerminated, false);
+    finish(rejected ? Ended::Kind::kRejected : Ended::Kind::kTerminated, false);
   }
   void finish(Ended::Kind kind, bool late) {
     over_ = true;
@@ -100,7 +100,7 @@
       going_->so_far.cut = true;
       going_->so_far.cut_node = going_->so_far.last_node;
     }
-    proxy_.tried(going_, kind, !sent_, late, stay_away_);
+    proxy_.tried(going_, kind, !sent_, late, retry_after_);
   }
 
   Proxy& proxy_;
@@ -109,12 +109,12 @@
   net::Timer late_;
   std::string request_;
   std::string answer_;
-  Nanos stay_away_ = 0;
+  Nanos retry_after_ = 0;
   bool sent_ = false;
   bool over_ = false;
 };
 
-Proxy::Proxy(net::Loop& loop, service::LogPort& log, Set set, int number, std::uint32_t seed)
+Proxy::Proxy(net::Loop& loop, service::Logger& log, Set set, int number, std::uint32_t seed)
     : loop_(loop), log_(log), set_(std::move(set)), number_(number), random_(seed) {}
 Proxy::~Proxy() = default;
 
@@ -129,13 +129,13 @@
   return std::regex_match(key, found->second);
 }
 
-Proxy::Chosen Proxy::choose(const AppliedSet& set, const Exchange& exchange) {
+Proxy::Chosen Proxy::choose(const AppliedSet& set, const Request& request) {
   for (const auto& host : set.routes->virtual_hosts()) {
     for (const auto& route : host.routes()) {
-      if (route.match().path() != exchange.path) continue;
+      if (route.match().path() != request.path) continue;
       bool fits = true;
       for (const auto& header : route.match().headers()) {
-        fits = fits && matches(header.safe_regex_match().regex(), exchange.key);
+        fits = fits && matches(header.safe_regex_match().regex(), request.key);
       }
       if (route.match().has_runtime_fraction()) {
         auto share = set.fractions.find(route.match().runtime_fraction().runtime_key());
@@ -190,33 +190,33 @@
   return "";
 }
 
-void Proxy::send(Exchange exchange, std::function<void(const Ended&)> ended) {
+void Proxy::send(Request request, std::function<void(const Ended&)> ended) {
   auto going = std::make_shared<Going>();
-  going->exchange = std::move(exchange);
+  going->request = std::move(request);
   going->ended = std::move(ended);
   going->set = set_();
   if (!going->set) return going->ended(going->so_far);
-  Chosen chosen = choose(*going->set, going->exchange);
+  Chosen chosen = choose(*going->set, going->request);
   if (!chosen.route || chosen.cluster.empty()) {
-    // Answered by the proxy itself: a denial, or for what may have run no promise at all.
-    bool denied = chosen.route && chosen.route->direct_response().status() == 503;
-    going->so_far.kind = denied ? Ended::Kind::kDenied : Ended::Kind::kTerminated;
+    // Answered by the proxy itself: a rejection, or for what may have run no promise at all.
+    bool rejected = chosen.route && chosen.route->direct_response().status() == 503;
+    going->so_far.kind = rejected ? Ended::Kind::kRejected : Ended::Kind::kTerminated;
     for (int i = 0; chosen.route && i < chosen.route->response_headers_to_add_size(); ++i) {
-      going->so_far.stay_away = std::stoll(chosen.route->response_headers_to_add(i).header().value()) * kMs;
+      going->so_far.retry_after = std::stoll(chosen.route->response_headers_to_add(i).header().value()) * kMs;
     }
     return going->ended(going->so_far);
   }
   const auto& endpoints = *going->set->endpoints.at(chosen.cluster);
   for (const auto& drop : endpoints.policy().drop_overloads()) {
     if (static_cast<double>(random_()) / 4294967296.0 * 10'000 < drop.drop_percentage().numerator()) {
-      going->so_far.kind = Ended::Kind::kDenied;
+      going->so_far.kind = Ended::Kind::kRejected;
       return going->ended(going->so_far);
     }
   }
   const auto& bounds = going->set->clusters.at(chosen.cluster)->circuit_breakers().thresholds(0);
   if (bounds.has_max_requests() &&
       in_flight_[chosen.cluster] >= static_cast<int>(bounds.max_requests().value())) {
-    going->so_far.kind = Ended::Kind::kDenied;
+    going->so_far.kind = Ended::Kind::kRejected;
     return going->ended(going->so_far);
   }
   going->cluster = chosen.cluster;
@@ -227,7 +227,7 @@
   } else if (host.has_retry_policy()) {
     going->retry = &host.retry_policy();
   }
-  Nanos wait = std::min(time_of(action.timeout()), going->exchange.wait);
+  Nanos wait = std::min(time_of(action.timeout()), going->request.wait);
   going->until = loop_.now() + wait;
   ++in_flight_[going->cluster];
   next_try(going);
@@ -238,8 +238,8 @@
   if (going->retry && going->retry->has_per_try_timeout()) {
     wait = std::min(wait, time_of(going->retry->per_try_timeout()));
   }
-  std::string to = pick(*going->set, going->cluster, going->exchange.key, going->tried);
-  if (to.empty()) to = pick(*going->set, going->cluster, going->exchange.key, {});
+  std::string to = pick(*going->set, going->cluster, going->request.key, going->tried);
+  if (to.empty()) to = pick(*going->set, going->cluster, going->request.key, {});
   sockaddr_in address{};
   address.sin_family = AF_INET;
   std::size_t colon = to.rfind(':');
@@ -257,16 +257,16 @@
 }
 
 void Proxy::tried(const std::shared_ptr<Going>& going, Ended::Kind kind, bool never_sent, bool late,
-                  Nanos stay_away) {
+                  Nanos retry_after) {
   going->so_far.kind = kind;
-  going->so_far.stay_away = stay_away;
+  going->so_far.retry_after = retry_after;
   if (going->retries > 0) --retries_;
   bool again = false;
   if (going->retry && kind != Ended::Kind::kCompleted &&
       going->retries < static_cast<int>(going->retry->num_retries().value())) {
     const std::string& on = going->retry->retry_on();
     again = (never_sent && says(on, "connect-failure")) ||
-            (kind == Ended::Kind::kDenied && says(on, "retriable-status-codes")) ||
+            (kind == Ended::Kind::kRejected && says(on, "retriable-status-codes")) ||
             (kind == Ended::Kind::kNoAnswer && !never_sent && !late && says(on, "reset")) ||
             (late && !never_sent && says(on, "gateway-error"));
   }
--- a/standin/proxy.h
+++ b/standin/proxy.h
@@ -1,4 +1,5 @@
-// A stand-in proxy: sends real exchanges over FastCGI to nodes by the set it was served, and by nothing else.
+// A stand-in proxy: sends real requests over FastCGI to servers by the set it was served, and by nothing
+// else.
 #pragma once
 
 #include <functional>
@@ -15,52 +16,52 @@
 
 namespace myrtlecroft::standin {
 
-struct Exchange {
+struct Request {
   std::string path;
   std::string key;  // empty: none
   std::string body;
-  std::string customer = "acme";
+  std::string tenant = "acme";
   Nanos accepted_unix = 0;
   Nanos wait = 0;  // of the caller
   int expected_ms = 20;
 };
 
 struct Ended {
-  enum class Kind { kCompleted, kDenied, kTerminated, kNoAnswer };
+  enum class Kind { kCompleted, kRejected, kTerminated, kNoAnswer };
   Kind kind = Kind::kNoAnswer;
-  Nanos stay_away = 0;
+  Nanos retry_after = 0;
   int tries = 0;
   std::string last_node;  // address
-  bool cut = false;       // some try was read by a node and its connection ended with no answer
-  std::string cut_node;   // that node's address
+  bool cut = false;       // some try was read by a server and its connection ended with no answer
+  std::string cut_node;   // that server's address
 };
 
 class Proxy {
  public:
   using Set = std::function<std::shared_ptr<const AppliedSet>()>;
-  Proxy(net::Loop& loop, service::LogPort& log, Set set, int number, std::uint32_t seed);
+  Proxy(net::Loop& loop, service::Logger& log, Set set, int number, std::uint32_t seed);
   ~Proxy();
-  void send(Exchange exchange, std::function<void(const Ended&)> ended);
+  void send(Request request, std::function<void(const Ended&)> ended);
   std::size_t in_flight() const { return tries_.size(); }
 
  private:
   struct Going;
   class Try;
-  // What the routes say of an exchange.
+  // What the routes say of an request.
   struct Chosen {
     const envoy::config::route::v3::Route* route = nullptr;
     std::string cluster;
   };
-  Chosen choose(const AppliedSet& set, const Exchange& exchange);
+  Chosen choose(const AppliedSet& set, const Request& request);
   std::string pick(const AppliedSet& set, const std::string& cluster, const std::string& key,
                    const std::set<std::string>& not_these);
   void next_try(const std::shared_ptr<Going>& going);
   void tried(const std::shared_ptr<Going>& going, Ended::Kind kind, bool never_sent, bool late,
-             Nanos stay_away);
+             Nanos retry_after);
   bool matches(const std::string& pattern, const std::string& key);
 
   net::Loop& loop_;
-  service::LogPort& log_;
+  service::Logger& log_;
   Set set_;
   int number_;
   std::mt19937 random_;
--- a/standin/relay.cpp
+++ b/standin/relay.cpp
@@ -12,7 +12,7 @@
 namespace myrtlecroft::standin {
 namespace {
 
-constexpr std::size_t kMostHeld = std::size_t{4} << 20;  // of one direction; then nothing more is read
+constexpr std::size_t kMaxHeld = std::size_t{4} << 20;  // of one direction; then nothing more is read
 
 void reset_on_close(bufferevent* of) {
   linger now{.l_onoff = 1, .l_linger = 0};
@@ -72,7 +72,7 @@
   }
   void pass(int from, const std::string& bytes) {
     bufferevent_write(sides[1 - from], bytes.data(), bytes.size());
-    if (evbuffer_get_length(bufferevent_get_output(sides[1 - from])) > kMostHeld)
+    if (evbuffer_get_length(bufferevent_get_output(sides[1 - from])) > kMaxHeld)
       bufferevent_disable(sides[from], EV_READ);
   }
   void pass_due() {
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -1,17 +1,17 @@
-// What instances of the control service agree on: the rules, a node's fence, who is in touch, and whole
+// What instances of the control service agree on: the rules, a server's fence, who is in touch, and whole
 // fleets in virtual time.
 #include <gtest/gtest.h>
 
-#include "agreement/contact.h"
-#include "agreement/draft.h"
-#include "agreement/state.h"
+#include "agreement/leader_lease.h"
+#include "agreement/proposal.h"
+#include "agreement/replicated_state.h"
 #include "agreement_world.h"
-#include "fencing/fence.h"
+#include "fencing/fencing_guard.h"
 
 namespace myrtlecroft::agreement {
 namespace {
 
-using fencing::Fence;
+using fencing::FencingGuard;
 using routing::ShardState;
 
 struct StateStory : testing::Test {
@@ -42,10 +42,10 @@
     return out;
   }
   static void hand_over(Decision& decision, std::uint32_t shard, const std::string& owner,
-                        std::uint64_t life) {
+                        std::uint64_t incarnation) {
     ShardStep& out = step(decision, shard, STEP_HAND_OVER);
     out.set_owner(owner);
-    out.set_life(life);
+    out.set_life(incarnation);
   }
   void show(Decision& decision, std::vector<int> shards) const {
     decision.mutable_picture()->set_number(state.published() + 1);
@@ -65,7 +65,7 @@
     decision.set_applied(applied);
     return state.apply(decision);
   }
-  State state;
+  ReplicatedState state;
 };
 
 TEST_F(StateStory, WhatWasDrawnFromAnotherStateChangesNothing) {
@@ -98,7 +98,7 @@
   Decision early = next(999 * kMs);
   hand_over(early, 0, "n2", 3);
   EXPECT_EQ(state.apply(early), Verdict::kShards);
-  EXPECT_EQ(state.shards()[0].state, ShardState::kCooling);
+  EXPECT_EQ(state.shards()[0].state, ShardState::kQuarantined);
   Decision in_time = next(1000 * kMs);
   hand_over(in_time, 0, "n2", 3);
   EXPECT_EQ(state.apply(in_time), Verdict::kTaken);
@@ -163,7 +163,7 @@
 
 TEST_F(StateStory, AnImageIsTheWholeState) {
   close(1);
-  State other;
+  ReplicatedState other;
   ASSERT_TRUE(other.restore(state.image()));
   EXPECT_EQ(other.digest(), state.digest());
   EXPECT_EQ(other.owners_epoch(), state.owners_epoch());
@@ -174,17 +174,17 @@
   Decision newer = next();
   newer.set_format(kFormat + 1);
   EXPECT_EQ(state.apply(newer), Verdict::kNewer);
-  Image image;
+  StateImage image;
   image.ParseFromString(state.image());
   image.set_format(kFormat + 1);
-  EXPECT_FALSE(State().restore(image.SerializeAsString()));
+  EXPECT_FALSE(ReplicatedState().restore(image.SerializeAsString()));
   EXPECT_EQ(state.apply("\xff\xff"), Verdict::kUnreadable);
 }
 
 TEST(FenceStory, NothingIsItsOwnBeforeAnOrder) {
-  Fence fence;
+  FencingGuard fence;
   EXPECT_FALSE(fence.admits("3f"));
-  EXPECT_EQ(fence.take({{1, 1}, 9, 1, {3}}, 9), Fence::Verdict::kTaken);
+  EXPECT_EQ(fence.take({{1, 1}, 9, 1, {3}}, 9), FencingGuard::Verdict::kTaken);
   EXPECT_TRUE(fence.admits("3f"));
   EXPECT_TRUE(fence.admits("3F"));
   EXPECT_FALSE(fence.admits("4f"));
@@ -193,51 +193,51 @@
 }
 
 TEST(FenceStory, AnInstanceLeftBehindIsNotHeeded) {
-  Fence fence;
+  FencingGuard fence;
   fence.take({{2, 10}, 9, 1, {3}}, 9);
-  EXPECT_EQ(fence.take({{1, 9}, 9, 1, {4}}, 9), Fence::Verdict::kOld);
-  EXPECT_EQ(fence.take({{2, 10}, 9, 1, {4}}, 9), Fence::Verdict::kKnown);
+  EXPECT_EQ(fence.take({{1, 9}, 9, 1, {4}}, 9), FencingGuard::Verdict::kOld);
+  EXPECT_EQ(fence.take({{2, 10}, 9, 1, {4}}, 9), FencingGuard::Verdict::kKnown);
   EXPECT_TRUE(fence.admits("3"));
   EXPECT_FALSE(fence.admits("4"));
 }
 
 TEST(FenceStory, AnOrderForAnEarlierLifeOpensNothing) {
-  Fence fence;
-  EXPECT_EQ(fence.take({{2, 10}, 8, 1, {3}}, 9), Fence::Verdict::kOtherLife);
+  FencingGuard fence;
+  EXPECT_EQ(fence.take({{2, 10}, 8, 1, {3}}, 9), FencingGuard::Verdict::kOtherIncarnation);
   EXPECT_FALSE(fence.admits("3"));
 }
 
 // Words between two instances, as they would say them.
 struct ContactStory : testing::Test {
-  consensus::Word word_of(const Contact& from, consensus::InstanceId to, consensus::InstanceId leader,
-                          Nanos now, bool confirmed = false) {
-    consensus::Word out;
+  consensus::Heartbeat word_of(const LeaderLease& from, consensus::InstanceId to,
+                               consensus::InstanceId leader, Nanos now, bool confirmed = false) {
+    consensus::Heartbeat out;
     from.fill(to, 3, leader, now, out);
     out.set_confirmed(confirmed);
     return out;
   }
-  Contact leader{1, 1000 * kMs};
-  Contact follower{2, 1000 * kMs};
+  LeaderLease leader{1, 1000 * kMs};
+  LeaderLease follower{2, 1000 * kMs};
 };
 
 TEST_F(ContactStory, AMajorityThatAnswersIsTouch) {
   follower.heard(1, word_of(leader, 2, 1, 100 * kMs), 3, 1);
   leader.heard(2, word_of(follower, 1, 1, 7 * kMs), 3, 1);
-  EXPECT_TRUE(leader.in_touch(3, 1, 3, 200 * kMs));
-  EXPECT_FALSE(leader.in_touch(3, 1, 5, 200 * kMs)) << "one other of five is no majority";
-  EXPECT_FALSE(leader.in_touch(4, 1, 3, 200 * kMs)) << "a word of another term proves nothing";
-  EXPECT_FALSE(leader.in_touch(3, 1, 3, 1200 * kMs));
+  EXPECT_TRUE(leader.has_quorum(3, 1, 3, 200 * kMs));
+  EXPECT_FALSE(leader.has_quorum(3, 1, 5, 200 * kMs)) << "one other of five is no majority";
+  EXPECT_FALSE(leader.has_quorum(4, 1, 3, 200 * kMs)) << "a word of another term proves nothing";
+  EXPECT_FALSE(leader.has_quorum(3, 1, 3, 1200 * kMs));
 }
 
 TEST_F(ContactStory, WhatLayInASocketWhileAProcessStoodStillProvesNothing) {
   leader.heard(2, word_of(follower, 1, 1, 5 * kMs), 3, 1);
   follower.heard(1, word_of(leader, 2, 1, 10 * kMs, true), 3, 1);
   leader.heard(2, word_of(follower, 1, 1, 50 * kMs), 3, 1);
-  consensus::Word waiting = word_of(leader, 2, 1, 60 * kMs, true);
+  consensus::Heartbeat waiting = word_of(leader, 2, 1, 60 * kMs, true);
   // The follower stands still for a minute, and only then reads what was written to it at once.
   follower.heard(1, waiting, 3, 1);
-  EXPECT_TRUE(follower.in_touch(3, 1, 3, 100 * kMs));
-  EXPECT_FALSE(follower.in_touch(3, 1, 3, 60 * kSecond));
+  EXPECT_TRUE(follower.has_quorum(3, 1, 3, 100 * kMs));
+  EXPECT_FALSE(follower.has_quorum(3, 1, 3, 60 * kSecond));
 }
 
 // What two instances say of proxies.
@@ -251,14 +251,14 @@
     EXPECT_EQ(state.apply(come), Verdict::kTaken);
   }
   void told(consensus::InstanceId by, std::uint64_t applied, Nanos at) {
-    google::protobuf::RepeatedPtrField<consensus::ProxyWord> words;
+    google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
     words.Add()->set_id("p");
     words.rbegin()->set_applied(applied);
     words.rbegin()->set_here(true);
     book.told(by, words, at);
   }
-  State state;
-  ProxyBook book{1000 * kMs};
+  ReplicatedState state;
+  ProxyRegistry book{1000 * kMs};
 };
 
 TEST_F(BookStory, AProxyThatMovedOnIsNotHeldToWhatADeadInstanceSaid) {
@@ -310,7 +310,7 @@
   more.set_basis(state.epoch().number);
   for (const char* id : {"a", "q", "z"}) more.add_proxies_here(id);
   ASSERT_EQ(state.apply(more), Verdict::kTaken);
-  google::protobuf::RepeatedPtrField<consensus::ProxyWord> words;
+  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
   for (const char* id : {"b", "p", "z", "zz"}) {
     words.Add()->set_id(id);
     words.rbegin()->set_here(true);
@@ -330,10 +330,10 @@
 // A few seeds of what `make measure-agreement_sim` plays by the thousand.
 TEST(WorldStory, NothingIsDecidedTwiceWhateverFails) {
   for (std::uint32_t seed = 1; seed <= 16; ++seed) {
-    rehearsal::WorldTerms terms;
-    terms.seed = seed;
-    terms.instances = seed % 2 ? 3 : 5;
-    rehearsal::WorldResult result = rehearsal::World(terms).play();
+    rehearsal::WorldOptions options;
+    options.seed = seed;
+    options.instances = seed % 2 ? 3 : 5;
+    rehearsal::WorldResult result = rehearsal::World(options).play();
     EXPECT_EQ(result.violations(), 0) << result.first;
     EXPECT_EQ(result.wrong_drafts, 0) << "seed " << seed;
     EXPECT_GT(result.runs, 500u) << "seed " << seed;
@@ -344,11 +344,11 @@
 TEST(WorldStory, AFolderPutBackFromAnOlderCopyIsFoundOut) {
   int refused = 0;
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
-    rehearsal::WorldTerms terms;
-    terms.seed = seed;
-    terms.instances = 5;
-    terms.faults_per_s = 1;
-    rehearsal::WorldResult result = rehearsal::World(terms).play();
+    rehearsal::WorldOptions options;
+    options.seed = seed;
+    options.instances = 5;
+    options.faults_per_s = 1;
+    rehearsal::WorldResult result = rehearsal::World(options).play();
     EXPECT_EQ(result.violations(), 0) << result.first;
     refused += result.refused_folders;
   }
@@ -356,13 +356,13 @@
 }
 
 TEST(WorldStory, ASeedPlaysTheSameAgain) {
-  rehearsal::WorldTerms terms;
-  terms.seed = 11;
-  rehearsal::WorldResult first = rehearsal::World(terms).play();
-  rehearsal::WorldResult second = rehearsal::World(terms).play();
+  rehearsal::WorldOptions options;
+  options.seed = 11;
+  rehearsal::WorldResult first = rehearsal::World(options).play();
+  rehearsal::WorldResult second = rehearsal::World(options).play();
   EXPECT_EQ(first.decisions, second.decisions);
   EXPECT_EQ(first.runs, second.runs);
-  EXPECT_EQ(first.denied, second.denied);
+  EXPECT_EQ(first.rejected, second.rejected);
 }
 
 }  // namespace
--- a/tests/capacity_real_test.cpp
+++ b/tests/capacity_real_test.cpp
@@ -56,10 +56,12 @@
 }
 
 TEST(ReportOfAHollowServer, IsWhatControlReads) {
-  std::vector<report::NodeReport> read;
+  std::vector<report::LoadReport> read;
   report::Malformed malformed{};
   std::string frame = report::encode(report_of(3, 4));
-  EXPECT_EQ(report::decode(frame, [&](report::NodeReport one) { read.push_back(one); }, malformed), frame.size());
+  EXPECT_EQ(report::decode(
+                frame, [&](report::LoadReport one) { read.push_back(one); }, malformed),
+            frame.size());
   ASSERT_EQ(read.size(), 1u);
   EXPECT_EQ(read[0], report_of(3, 4));
 }
@@ -123,15 +125,16 @@
 }
 
 TEST(ShardOwners, ShardThatTwoRoutesSendToDifferentServersIsDoubled) {
-  EXPECT_EQ(shards_with_two_owners({word("s4", "(?i)(?:0[01]|10).*", "node/n1"),
-                                    word("s4", "(?i)(?:0[12]).*", "node/n2"),
-                                    word("s8", "(?i)(?:00).*", "node/n3")},
-                                   2),
+  EXPECT_EQ(shards_with_two_owners(
+                {word("s4", "(?i)(?:0[01]|10).*", "node/n1"), word("s4", "(?i)(?:0[12]).*", "node/n2"),
+                 word("s8", "(?i)(?:00).*", "node/n3")},
+                2),
             1);
 }
 
 TEST(ShardOwners, OneOwnerUnderTwoPatternsIsNotDoubled) {
-  EXPECT_EQ(shards_with_two_owners({word("s4", "(?i)(?:0[01]).*", "node/n1"), word("s4", "(?i)(?:0[12]).*", "node/n1")}, 2),
+  EXPECT_EQ(shards_with_two_owners(
+                {word("s4", "(?i)(?:0[01]).*", "node/n1"), word("s4", "(?i)(?:0[12]).*", "node/n1")}, 2),
             0);
 }
 
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -1,5 +1,5 @@
-// A whole control service on loopback, nodes that report as the story says, and a clock that is the real one:
-// stories wait for what they expect, with a limit, and never sleep for it.
+// A whole control service on loopback, servers that report as the story says, and a clock that is the real
+// one: stories wait for what they expect, with a limit, and never sleep for it.
 #pragma once
 
 #include <arpa/inet.h>
@@ -20,12 +20,12 @@
 #include <thread>
 #include <vector>
 
-#include "net/address.h"
 #include "control/control.h"
+#include "net/address.h"
 
 namespace myrtlecroft::control {
 
-class QuietLog final : public service::LogPort {
+class QuietLog final : public service::Logger {
  public:
   void line(const std::string& text) override {
     std::lock_guard lock(mutex_);
@@ -92,8 +92,8 @@
   }
   std::string state_of(const std::string& node) {
     return look([&](Control& control) -> std::string {
-      for (const routing::Member& member : control.router().members().all()) {
-        if (member.node.name == node) return routing::name_of(member.state);
+      for (const routing::ServerStatus& server : control.router().registry().all()) {
+        if (server.node.name == node) return routing::name_of(server.state);
       }
       return "unknown";
     });
@@ -137,7 +137,7 @@
   std::thread thread_;
 };
 
-// Says for many nodes what the story has them say, ten times a second, and connects again where it must.
+// Says for many servers what the story has them say, ten times a second, and connects again where it must.
 class Reporters {
  public:
   explicit Reporters(std::uint16_t port) : port_(port), thread_([this] { run(); }) {}
@@ -147,7 +147,7 @@
     thread_.join();
     for (auto& [name, socket] : sockets_) ::close(socket);
   }
-  void set(const std::string& node, const std::function<void(report::NodeReport&)>& change) {
+  void set(const std::string& node, const std::function<void(report::LoadReport&)>& change) {
     {
       std::lock_guard lock(mutex_);
       change(reports_[node]);
@@ -156,10 +156,10 @@
     wake_.notify_one();
   }
   void add(const std::string& node, const std::string& address) {
-    set(node, [&](report::NodeReport& report) {
+    set(node, [&](report::LoadReport& report) {
       report.node = node;
       report.address = address;
-      report.life = 1;
+      report.incarnation = 1;
       report.engine_up = true;
       report.window = 40;
       report.limit = 8;
@@ -184,7 +184,7 @@
       changed_ = false;
     }
   }
-  void send(const std::string& name, report::NodeReport& report) {
+  void send(const std::string& name, report::LoadReport& report) {
     ++report.sequence;
     report.sent_unix = net::Loop::unix_now();
     int& socket = sockets_[name];
@@ -209,7 +209,7 @@
   std::mutex mutex_;
   std::condition_variable wake_;
   bool changed_ = false;
-  std::map<std::string, report::NodeReport> reports_;
+  std::map<std::string, report::LoadReport> reports_;
   std::map<std::string, bool> quiet_;
   std::map<std::string, int> sockets_;
   std::thread thread_;
--- a/tests/control_size_test.cpp
+++ b/tests/control_size_test.cpp
@@ -5,10 +5,10 @@
 #include <set>
 
 #include "../standin/child.h"
-#include "control/ask.h"
+#include "control/admin_client.h"
+#include "control/admin_query.h"
 #include "control/pager.h"
 #include "control/publication_pacer.h"
-#include "control/question.h"
 #include "control/reporter_links.h"
 #include "control_harness.h"
 
@@ -18,7 +18,7 @@
 constexpr int kServers = 6100;
 constexpr int kGroups = 20;  // each new publication lists every server once for each group: with 200, that
                              // alone holds an answer up for seconds
-constexpr double kMostSeconds = 1;
+constexpr double kMaxSeconds = 1;
 
 // Every third server is in zone c, the others in zone a.
 std::string large_fleet(int servers) {
@@ -28,13 +28,14 @@
              (i % 3 == 0 ? "c" : "a") + "\"; address = \"10.0." + std::to_string(i / 200) + "." +
              std::to_string(i % 200 + 1) + ":4100\"; }";
   }
-  std::string groups = "{ name = \"book\"; repeats = \"deduplicated\"; window_ms = 500; timeout_ms = 500; }";
+  std::string request_classes =
+      "{ name = \"book\"; repeats = \"deduplicated\"; window_ms = 500; timeout_ms = 500; }";
   for (int i = 2; i <= kGroups; ++i) {
-    groups +=
+    request_classes +=
         ",\n{ name = \"group-" + std::to_string(i) + "\"; repeats = \"repeatable\"; timeout_ms = 500; }";
   }
-  return "version = 1; listener = \"fleet\"; proxies = 10; nodes = (" + nodes + "); groups = (" + groups +
-         "); bounds = { shard_digits = 3; };\n";
+  return "version = 1; listener = \"fleet\"; proxies = 10; nodes = (" + nodes + "); groups = (" +
+         request_classes + "); bounds = { shard_digits = 3; };\n";
 }
 
 // Each of these runs on neighbours of its own, and callers get a subset of them.
@@ -54,8 +55,9 @@
 
 std::string large_fleet_with_subsets(int services, int servers) {
   std::string fleet = large_fleet(kServers);
-  const std::string groups = "groups = (";
-  fleet.insert(fleet.find(groups) + groups.size(), services_with_servers(services, servers));
+  const std::string request_classes = "groups = (";
+  fleet.insert(fleet.find(request_classes) + request_classes.size(),
+               services_with_servers(services, servers));
   return fleet + "subsetting = { size = 20; };\n";
 }
 
@@ -91,7 +93,7 @@
     auto begin = std::chrono::steady_clock::now();
     AdminAnswer out = ask(admin(), question);
     std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
-    EXPECT_LT(took.count(), kMostSeconds) << question;
+    EXPECT_LT(took.count(), kMaxSeconds) << question;
     return out;
   }
 
@@ -128,8 +130,8 @@
     AdminAnswer answer = large.answer("snapshot page=" + std::to_string(page));
     for (const routing_state::NodeRoute& node : answer.snapshot().nodes())
       EXPECT_TRUE(routes.insert(node.name()).second);
-    for (const routing_state::GroupRoute& group : answer.snapshot().groups())
-      EXPECT_TRUE(routes.insert(group.name()).second);
+    for (const routing_state::RequestClassRoute& request_class : answer.snapshot().groups())
+      EXPECT_TRUE(routes.insert(request_class.name()).second);
     EXPECT_EQ(answer.snapshot().shards_size(), 4096);
   }
   EXPECT_EQ(routes.size(), static_cast<std::size_t>(kServers + kGroups));
@@ -225,7 +227,7 @@
 TEST(Pager, ARowThatIsLongerThanAPageStandsAloneOnOne) {
   Pager pager(2);
   EXPECT_FALSE(pager.next(10));
-  EXPECT_TRUE(pager.next(Pager::kMostBytes + 1));
+  EXPECT_TRUE(pager.next(Pager::kMaxBytes + 1));
   EXPECT_FALSE(pager.next(10));
   EXPECT_EQ(pager.pages(), 3u);
   EXPECT_EQ(pager.first(), 2u);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -7,7 +7,7 @@
 
 #include "../standin/ads_link.h"
 #include "../standin/child.h"
-#include "control/ask.h"
+#include "control/admin_client.h"
 #include "control_harness.h"
 #include "routing_fakes.h"
 
@@ -97,7 +97,7 @@
   AdsLink link(target(control.discovery_port()), true, "p1");
   ASSERT_TRUE(await([&] { return has_nodes(link, 3) && control.state_of("n3") == "serving"; }));
   auto full = std::make_unique<FullDisk>();
-  reporters.set("n3", [](auto& report) { report.leaving = true; });
+  reporters.set("n3", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(await([&] { return control.log().has("served on until the disk is well"); }));
   EXPECT_TRUE(has_nodes(link, 3));
   EXPECT_TRUE(ask(loopback(control.admin_port()), "nodes").disk_fails());
@@ -139,7 +139,7 @@
   ASSERT_TRUE(await([&] { return all_have(40); }));
   for (int round = 0; round < 4; ++round) {
     for (int i = 1; i <= 10; ++i) {
-      reporters.set("n" + std::to_string(i), [&](auto& report) { report.leaving = round % 2 == 0; });
+      reporters.set("n" + std::to_string(i), [&](auto& report) { report.draining = round % 2 == 0; });
     }
     // As soon as the first of them has it, the service is gone.
     ASSERT_TRUE(await([&] {
@@ -152,7 +152,7 @@
       EXPECT_GE(link->applied()->endpoints.at("group/read")->endpoints_size(), 30);
       EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
     }
-    if (round == 3) {  // it comes back with a changed fleet file, and no node reports
+    if (round == 3) {  // it comes back with a changed fleet file, and no server reports
       for (int i = 1; i <= 40; ++i) reporters.quiet("n" + std::to_string(i), true);
       site.write(fleet_text(38));
     }
@@ -227,7 +227,7 @@
     stub.PrepareBidiStreamingCall(
         &context, "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources", {},
         &once);
-    // Nothing in it, but of a type that is served: it names no node.
+    // Nothing in it, but of a type that is served: it names no server.
     envoy::service::discovery::v3::DiscoveryRequest nameless;
     nameless.set_type_url(xds::url_of(xds::Type::kClusters));
     std::string body = bytes.empty() ? nameless.SerializeAsString() : bytes;
@@ -265,10 +265,10 @@
                        [&](const auto& link) { return has_nodes(*link, count); });
   };
   ASSERT_TRUE(await([&] { return others_have(20); }));
-  reporters.set("n7", [](auto& report) { report.leaving = true; });
+  reporters.set("n7", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(await([&] { return others_have(19); }));
   for (auto& link : links) link->cut();  // all at once, and all come back
-  reporters.set("n8", [](auto& report) { report.leaving = true; });
+  reporters.set("n8", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(await([&] { return others_have(18); }));
   for (auto& link : links) EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
   EXPECT_TRUE(await([&] {
--- a/tests/conversions_sample.cpp
+++ b/tests/conversions_sample.cpp
@@ -1,7 +1,7 @@
 // Compiled by tests/conversions_test.sh alone. With ELEMENT_FOR_OBJECT it holds a line that must not compile.
 #include "terms/fields.h"
 
-namespace myrtlecroft::terms {
+namespace myrtlecroft::config {
 
 double reading(object values, element value) {
 #ifdef ELEMENT_FOR_OBJECT
@@ -11,4 +11,4 @@
 #endif
 }
 
-}  // namespace myrtlecroft::terms
+}  // namespace myrtlecroft::config
--- a/tests/durable_test.cpp
+++ b/tests/durable_test.cpp
@@ -12,13 +12,15 @@
 
 // ---- The service
 
-struct FakeRecords : service::RecordPort {
+struct FakeRecords : service::IdempotencyLog {
   bool takes() const override { return well; }
-  void intend(const service::ServerExchange& ex, Nanos) override { intended.push_back(ex.id); }
-  void ended(const service::ServerExchange& ex, bool good, std::string_view result) override {
-    told.push_back((good ? "good " : "bad ") + ex.id + " " + std::string(result));
+  void intend(const service::ServerRequest& request, Nanos) override { intended.push_back(request.id); }
+  void ended(const service::ServerRequest& request, bool good, std::string_view result) override {
+    told.push_back((good ? "good " : "bad ") + request.id + " " + std::string(result));
+  }
+  void never_ran(const service::ServerRequest& request) override {
+    told.push_back("never ran " + request.id);
   }
-  void never_ran(const service::ServerExchange& ex) override { told.push_back("never ran " + ex.id); }
   bool well = true;
   std::vector<std::string> intended;
   std::vector<std::string> told;
@@ -27,11 +29,11 @@
 struct RecordStory : testing::Test {
   RecordStory() { world.engine_up(); }
   FakeRecords records;
-  FakeWorld world{two_core_terms(), 1'000, &records};
+  FakeWorld world{two_core_config(), 1'000, &records};
 };
 
 TEST_F(RecordStory, ADeduplicatedExchangeRunsOnlyOnceItsIntentIsDurable) {
-  Caller& caller = world.read("a", kWriteGroup, "k1");
+  Caller& caller = world.read("a", kWriteClass, "k1");
   EXPECT_EQ(records.intended, std::vector<std::string>{"a"});
   EXPECT_EQ(world.count("run a"), 0);
   world.service.recorded("a", true);
@@ -49,7 +51,7 @@
 
 // One whose record takes long keeps no core from those behind it.
 TEST_F(RecordStory, ThoseBehindOneThatWaitsForTheDiskAreStarted) {
-  world.read("a", kWriteGroup, "k1");
+  world.read("a", kWriteClass, "k1");
   world.read("b");
   EXPECT_EQ(world.count("run b"), 1);
   world.service.recorded("a", true);
@@ -57,33 +59,33 @@
 }
 
 TEST_F(RecordStory, AnIntentThatIsNotKnownToBeDurableIsDeniedUnrun) {
-  Caller& caller = world.read("a", kWriteGroup, "k1");
+  Caller& caller = world.read("a", kWriteClass, "k1");
   world.service.recorded("a", false);
   EXPECT_EQ(caller.only(), "denied");
   EXPECT_EQ(world.count("run a"), 0);
   // Its repeat is new work.
-  world.read("b", kWriteGroup, "k1");
+  world.read("b", kWriteClass, "k1");
   world.service.recorded("b", true);
   EXPECT_EQ(world.count("run b"), 1);
 }
 
 TEST_F(RecordStory, WithASickDiskNewDeduplicatedWorkIsDeniedAtOnceAndTheRestGoesOn) {
-  world.read("known", kWriteGroup, "k0");
+  world.read("known", kWriteClass, "k0");
   world.service.recorded("known", true);
   world.done("known", Outcome::kOk, "made");
   records.well = false;
-  EXPECT_EQ(world.read("a", kWriteGroup, "k1").only(), "denied");
-  EXPECT_EQ(world.read("again", kWriteGroup, "k0").only(), "completed made");
+  EXPECT_EQ(world.read("a", kWriteClass, "k1").only(), "denied");
+  EXPECT_EQ(world.read("again", kWriteClass, "k0").only(), "completed made");
   world.read("b");
   EXPECT_EQ(world.count("run b"), 1);
   records.well = true;
-  world.read("c", kWriteGroup, "k1");
+  world.read("c", kWriteClass, "k1");
   EXPECT_EQ(records.intended.back(), "c");
 }
 
 TEST_F(RecordStory, ARepeatOfOneThatWaitsForTheDiskWaitsWithIt) {
-  Caller& first = world.read("a", kWriteGroup, "k1");
-  Caller& second = world.read("b", kWriteGroup, "k1");
+  Caller& first = world.read("a", kWriteClass, "k1");
+  Caller& second = world.read("b", kWriteClass, "k1");
   EXPECT_EQ(records.intended.size(), 1u);
   world.service.recorded("a", true);
   world.done("a", Outcome::kOk, "made");
@@ -93,7 +95,7 @@
 
 // A word of the disk that comes after the end changes nothing.
 TEST_F(RecordStory, OneWhoseTimeEndsWhileTheDiskIsOutIsDeniedAndItsIntentTakenBack) {
-  Caller& caller = world.read("a", kWriteGroup, "k1", kSecond);
+  Caller& caller = world.read("a", kWriteClass, "k1", kSecond);
   for (int i = 0; i < 60; ++i) {
     world.time += 25 * kMs;
     world.service.woke();
@@ -105,30 +107,30 @@
 }
 
 TEST_F(RecordStory, WhatAnEarlierLifeLeftIsAnsweredOrTerminatedAndNeverRun) {
-  FakeWorld next(two_core_terms(), 1'000, &records);
+  FakeWorld next(two_core_config(), 1'000, &records);
   // The key as the service makes it of key and body.
-  world.read("a", kWriteGroup, "k1");
-  std::string key = world.callers.back().ex->key;
+  world.read("a", kWriteClass, "k1");
+  std::string key = world.callers.back().request->key;
   next.service.restore("write", key, true, "made before", 5 * kSecond);
   next.engine_up();
-  EXPECT_EQ(next.read("b", kWriteGroup, "k1").only(), "completed made before");
+  EXPECT_EQ(next.read("b", kWriteClass, "k1").only(), "completed made before");
   EXPECT_EQ(next.count("run b"), 0);
-  world.read("c", kWriteGroup, "k2");
-  next.service.restore("write", world.callers.back().ex->key, false, "", 5 * kSecond);
-  EXPECT_EQ(next.read("d", kWriteGroup, "k2").only(), "terminated");
+  world.read("c", kWriteClass, "k2");
+  next.service.restore("write", world.callers.back().request->key, false, "", 5 * kSecond);
+  EXPECT_EQ(next.read("d", kWriteClass, "k2").only(), "terminated");
   EXPECT_EQ(next.count("run d"), 0);
 }
 
-// In the moments between a start and the engine's first word, what had run was denied as if it never had.
+// In the moments between a start and the engine's first word, what had run was rejected as if it never had.
 TEST_F(RecordStory, BeforeTheEngineIsUpWhatAnEarlierLifeLeftIsNotDenied) {
-  FakeWorld next(two_core_terms(), 1'000, &records);
-  world.read("a", kWriteGroup, "k1");
-  next.service.restore("write", world.callers.back().ex->key, true, "made before", 5 * kSecond);
-  world.read("c", kWriteGroup, "k2");
-  next.service.restore("write", world.callers.back().ex->key, false, "", 5 * kSecond);
-  EXPECT_EQ(next.read("b", kWriteGroup, "k1").only(), "completed made before");
-  EXPECT_EQ(next.read("d", kWriteGroup, "k2").only(), "terminated");
-  EXPECT_EQ(next.read("e", kWriteGroup, "k3").only(), "denied");
+  FakeWorld next(two_core_config(), 1'000, &records);
+  world.read("a", kWriteClass, "k1");
+  next.service.restore("write", world.callers.back().request->key, true, "made before", 5 * kSecond);
+  world.read("c", kWriteClass, "k2");
+  next.service.restore("write", world.callers.back().request->key, false, "", 5 * kSecond);
+  EXPECT_EQ(next.read("b", kWriteClass, "k1").only(), "completed made before");
+  EXPECT_EQ(next.read("d", kWriteClass, "k2").only(), "terminated");
+  EXPECT_EQ(next.read("e", kWriteClass, "k3").only(), "denied");
   EXPECT_EQ(next.read("f").only(), "denied");
 }
 
@@ -206,7 +208,7 @@
   std::map<std::string, int> ran;
   std::map<std::string, std::string> key_of;
   int traces = 0;
-  for (int life = 0; life < 8; ++life) {
+  for (int incarnation = 0; incarnation < 8; ++incarnation) {
     start();
     Plain engine = engine_up();
     Plain peer = caller();
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <random>
 
-#include "net/membership.h"
+#include "net/membership_client.h"
 #include "program_story.h"
 
 namespace {
@@ -38,7 +38,8 @@
 constexpr int kHealth = 9;  // the request's number
 
 struct EndingStory : FrontStory {
-  explicit EndingStory(const peers::PacingTerms& terms = {}) : FrontStory(64, 4'000'000, terms, 1'000'000) {}
+  explicit EndingStory(const peers::SlowClientOptions& options = {})
+      : FrontStory(64, 4'000'000, options, 1'000'000) {}
   ~EndingStory() override {
     g_before_accept = nullptr;
     g_after_last_accept = nullptr;
@@ -79,7 +80,7 @@
   EXPECT_TRUE(until([&] { return finished; }));
 }
 
-INSTANTIATE_TEST_SUITE_P(Front, AcceptErrors,
+INSTANTIATE_TEST_SUITE_P(FastCgiServer, AcceptErrors,
                          testing::Values(EMFILE, ENFILE, ENOBUFS, EINTR, ECONNABORTED, EPROTO));
 
 // A caller that came in after the last accept was reset by the close, its request written.
@@ -166,7 +167,7 @@
   EXPECT_FALSE(logged("ended: reset"));
 }
 
-// The connection was closed over what ran beside three exchanges that made no sense.
+// The connection was closed over what ran beside three requests that made no sense.
 TEST_F(EndingStory, WhatRunsBesideWhatIsUnfoundedIsAnswered) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/read", first));
@@ -262,7 +263,8 @@
   turn(5 * kMs);
   const std::string large(4'000, 'r');
   int sent = 0;
-  while (front.pacing().count(peers::State::kPaused) + front.pacing().count(peers::State::kBlocked) == 0 &&
+  while (front.pacing().count(peers::State::kPaused) + front.pacing().count(peers::State::kWriteStalled) ==
+             0 &&
          sent < 200) {
     std::string id = "00000000000" + std::to_string(10'000 + sent++);
     peer.write(request(sent % 32 + 1, "/api/v2/read", id));
@@ -310,27 +312,27 @@
 // away is told to stay away while others wait.
 struct ColdStory : EndingStory, testing::WithParamInterface<unsigned> {
   static constexpr int kSenders = 25;
-  static ServiceTerms terms() {
-    ServiceTerms terms = calling_much();
-    terms.cold = true;
-    terms.cold_from = 0.25;
-    terms.warm_within = 60 * kSecond;
-    return terms;
+  static ServiceConfig options() {
+    ServiceConfig options = calling_much();
+    options.warming_up = true;
+    options.warm_up_initial_speed = 0.25;
+    options.warm_up_time = 60 * kSecond;
+    return options;
   }
   // What the settings let a cold server with these terms have on its cores at once.
   static double survives() {
-    ServiceTerms its = terms();
-    return its.cores * (1 + (its.crowd_factor - 1) * its.cold_from);
+    ServiceConfig its = options();
+    return its.cores * (1 + (its.max_running_per_core - 1) * its.warm_up_initial_speed);
   }
 };
 
 TEST_P(ColdStory, ManySendersTogetherStayWithinWhatAColdServerSurvives) {
-  FakeWorld cold(terms(), 1'000);
-  cold.time = loop.now();
-  cold.engine_up();
+  FakeWorld warming_up(options(), 1'000);
+  warming_up.time = loop.now();
+  warming_up.engine_up();
   int own = free_port();
-  Front door(loop, *this, at_port(own), 64, 4'000'000);
-  door.serve(cold.service, [] {});
+  FastCgiServer door(loop, *this, at_port(own), 64, 4'000'000);
+  door.serve(warming_up.service, [] {});
   std::mt19937 random(GetParam());
   std::vector<Plain> senders(kSenders);
   std::vector<std::string> got(kSenders);
@@ -338,7 +340,7 @@
   std::uint64_t traces = 0;
   std::vector<std::string> running;
   std::size_t seen = 0;
-  double most = 0;
+  double max = 0;
   int sent = 0;
   int completed = 0;
   bool advised = false;
@@ -358,17 +360,18 @@
   }
   for (Nanos end = loop.now() + 1'500 * kMs; loop.now() < end; ++rounds) {
     turn(kMs);
-    cold.pass(std::max<Nanos>(0, loop.now() - cold.time));
-    cold.service.engine().stats(cold.last_token, {1.0, static_cast<double>(running.size()), 0.1, 25});
-    for (; seen < cold.did.size(); ++seen) {
-      if (cold.did[seen].starts_with("run ")) running.push_back(cold.did[seen].substr(4));
+    warming_up.pass(std::max<Nanos>(0, loop.now() - warming_up.time));
+    warming_up.service.engine().stats(warming_up.last_token,
+                                      {1.0, static_cast<double>(running.size()), 0.1, 25});
+    for (; seen < warming_up.did.size(); ++seen) {
+      if (warming_up.did[seen].starts_with("run ")) running.push_back(warming_up.did[seen].substr(4));
     }
-    most = std::max(most, static_cast<double>(running.size()));
+    max = std::max(max, static_cast<double>(running.size()));
     if (!running.empty() && rounds % 20 == 0) {
       std::size_t which = random() % running.size();
       std::string id = running[which];
       running.erase(running.begin() + static_cast<std::ptrdiff_t>(which));
-      cold.done(id);
+      warming_up.done(id);
     }
     for (int i = 0; i < kSenders; ++i) {
       got[i] += senders[i].read();
@@ -380,7 +383,7 @@
       for (int n = 0; n < answers; ++n) send(i);
     }
   }
-  EXPECT_LE(most, survives());
+  EXPECT_LE(max, survives());
   EXPECT_GT(completed, 5);
   EXPECT_GT(sent, 200);
   EXPECT_TRUE(advised);
@@ -392,7 +395,7 @@
 
 TEST_F(NetStory, ALinkThatSaysNothingIsMadeAnew) {
   Plain listener;
-  EngineLink link(loop, *this, at_port(listener.listen()), 65'536, 200 * kMs);
+  EngineClient link(loop, *this, at_port(listener.listen()), 65'536, 200 * kMs);
   service::EngineSession session(link, world.service);
   link.begin(session);
   Plain engine = accepted_by(listener);
@@ -414,7 +417,7 @@
 // A notice that breaks off at any of its bytes is taken once, when it comes whole.
 TEST_F(NetStory, ANoticeThatBreaksOffAnywhereIsTakenOnce) {
   Plain listener;
-  EngineLink link(loop, *this, at_port(listener.listen()));
+  EngineClient link(loop, *this, at_port(listener.listen()));
   link.begin(world.service.engine());
   const std::string hello = "{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":5}\n";
   std::string done =
@@ -428,7 +431,7 @@
     world.answer_gauges();
   };
   attach();
-  Caller& caller = world.read("a", kReadGroup, "", 60 * kSecond);
+  Caller& caller = world.read("a", kReadClass, "", 60 * kSecond);
   for (std::size_t cut = 1; cut <= done.size(); ++cut) {
     engine.write(done.substr(0, cut));
     turn(kMs);
@@ -444,45 +447,45 @@
 // A reply that breaks off at any of its bytes tells nothing, and its call may have run.
 TEST_F(NetStory, AReplyThatBreaksOffAnywhereIsNoReply) {
   Plain listener;
-  Database database(loop, *this, at_port(listener.listen()), 4);
+  DatabaseClient database(loop, *this, at_port(listener.listen()), 4);
   database.begin(world.service);
   world.engine_up();
   for (std::size_t cut = 0; cut <= 14; ++cut) {
     std::string id = "a" + std::to_string(cut + 10);
     const std::string reply = id + " ROWS 3\r\nnew\r\n";
-    service::ServerExchange& ex = *world.read(id, kSkipperGroup).ex;
+    service::ServerRequest& request = *world.read(id, kSkipperClass).request;
     world.need(id);
-    database.call(ex, "x", 250 * kMs);
+    database.call(request, "x", 250 * kMs);
     Plain peer = accepted_by(listener);
     ASSERT_TRUE(comes(peer, "Q " + id));
     peer.write(reply.substr(0, cut));
     turn(kMs);
     cut % 2 ? peer.reset() : peer.close();
-    EXPECT_TRUE(until([&] { return ex.calls_lost == 1; })) << cut;
+    EXPECT_TRUE(until([&] { return request.calls_lost == 1; })) << cut;
     EXPECT_EQ(world.count("feed " + id + " new"), 0);
     world.done(id);
   }
 }
 
-// Two calls share a connection that breaks. What the first one's exchange makes of it gives up the second
+// Two calls share a connection that breaks. What the first one's request makes of it gives up the second
 // call and makes it anew: the break is not the new call's.
 TEST_F(NetStory, ABreakIsNotToldOfACallThatWasGivenUpMeanwhile) {
   Plain listener;
-  Database database(loop, *this, at_port(listener.listen()), 1);
+  DatabaseClient database(loop, *this, at_port(listener.listen()), 1);
   database.begin(world.service);
   world.engine_up();
-  service::ServerExchange* calling[2] = {};
+  service::ServerRequest* calling[2] = {};
   for (int i = 0; i < 2; ++i) {
     std::string id = i ? "b" : "a";
-    calling[i] = world.read(id, kSkipperGroup).ex;
+    calling[i] = world.read(id, kSkipperClass).request;
     world.need(id);
     database.call(*calling[i], "x", 250 * kMs);
   }
   ASSERT_EQ(world.count("call a") + world.count("call b"), 2);
   Plain shared = accepted_by(listener);
   ASSERT_TRUE(comes(shared, "Q b"));
-  world.on_call = [&](service::ServerExchange& ex) {
-    if (&ex != calling[0]) return;
+  world.on_call = [&](service::ServerRequest& request) {
+    if (&request != calling[0]) return;
     database.give_up(*calling[1]);
     database.call(*calling[1], "again", 250 * kMs);
   };
@@ -518,7 +521,7 @@
 
 TEST_F(MembershipStory, ASocketThatCouldNotBeMadeAtTheStartIsMadeLater) {
   std::optional<NoDescriptors> none(std::in_place);
-  Membership membership(loop, "n1", at_port(port));
+  MembershipClient membership(loop, "n1", at_port(port));
   membership.report(true);
   none.reset();
   EXPECT_TRUE(reported("HB n1 UP"));
@@ -528,7 +531,7 @@
 TEST_F(MembershipStory, AServiceThatIsDownAndComesBackHearsOfUs) {
   int where = port;
   ::close(service);
-  Membership membership(loop, "n1", at_port(where));
+  MembershipClient membership(loop, "n1", at_port(where));
   membership.report(true);
   turn(250 * kMs);
   service = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0);
@@ -586,7 +589,7 @@
 }
 
 // Clients that rest fill the descriptors before the engine is up, and the membership service is down. The
-// engine, checks and exchanges get through all the same, and nothing that is accepted starves.
+// engine, checks and requests get through all the same, and nothing that is accepted starves.
 TEST_F(ProgramStory, RestingClientsKeepNobodyOut) {
   write_config(listener_port, free_port(), 64);
   start();
