--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -14,68 +14,71 @@
 
 namespace myrtlecroft {
 
-inline ServiceTerms two_core_terms() {
-  ServiceTerms terms;
-  EndpointGroup read{.name = "read", .benefit = 1, .slo_time = 2 * kSecond, .async_timeout = 5 * kSecond};
-  EndpointGroup write = read;
+inline ServiceConfig two_core_config() {
+  ServiceConfig config;
+  RequestClass read{
+      .name = "read", .priority_weight = 1, .latency_objective = 2 * kSecond, .client_timeout = 5 * kSecond};
+  RequestClass write = read;
   write.name = "write";
-  write.effect = Effect::kDeduplicated;
-  write.repeat_window = 10 * kSecond;
-  EndpointGroup caller = write;
+  write.idempotency = Idempotency::kKeyed;
+  write.deduplication_window = 10 * kSecond;
+  RequestClass caller = write;
   caller.name = "caller";
   caller.makes_calls = true;
-  EndpointGroup skipper = read;
+  RequestClass skipper = read;
   skipper.name = "skipper";
   skipper.makes_calls = true;
-  skipper.skip_benefit = 0.5;
-  terms.groups = {read, write, caller, skipper};
-  terms.customers = {{"big", 100}, {"small", 1}};
-  terms.cores = 2;
-  terms.memory_kb = 100'000;
-  terms.run_factor = 4;
-  terms.key_kb = 10;
-  terms.over_share_benefit = 0.05;
-  terms.benefit_by_work = true;
-  terms.crowd_factor = 8;
-  terms.crowd_window = 2 * kSecond;
-  terms.has_dependency = true;
-  terms.calls_share = 2;
-  terms.calls_window = 5 * kSecond;
-  terms.call_lingers = 200 * kMs;
-  terms.drain_grace = kSecond;
-  terms.answer_slack = 100 * kMs;
-  terms.tick = kMs;
-  terms.longest_pause = kSecond;
-  terms.longest_idle = 30 * kSecond;
-  return terms;
+  skipper.degraded_weight_share = 0.5;
+  config.request_classes = {read, write, caller, skipper};
+  config.tenants = {{"big", 100}, {"small", 1}};
+  config.cores = 2;
+  config.memory_kb = 100'000;
+  config.running_memory_factor = 4;
+  config.key_kb = 10;
+  config.over_quota_weight = 0.05;
+  config.weight_by_work = true;
+  config.max_running_per_core = 8;
+  config.contention_window = 2 * kSecond;
+  config.has_dependency = true;
+  config.dependency_share = 2;
+  config.dependency_window = 5 * kSecond;
+  config.abandoned_call_lifetime = 200 * kMs;
+  config.drain_grace = kSecond;
+  config.answer_slack = 100 * kMs;
+  config.tick = kMs;
+  config.max_retry_after = kSecond;
+  config.max_idle_time = 30 * kSecond;
+  return config;
 }
 
-enum Group { kReadGroup, kWriteGroup, kCallerGroup, kSkipperGroup };
+enum Group { kReadClass, kWriteClass, kCallerClass, kSkipperClass };
 
-class FakeHost : public Host {
+class FakeHost : public ControllerActions {
  public:
-  explicit FakeHost(ServiceTerms given = two_core_terms())
-      : terms(std::move(given)), controller(terms, *this, 7) {
+  explicit FakeHost(ServiceConfig given = two_core_config())
+      : config(std::move(given)), controller(config, *this, 7) {
     controller.start(now);
   }
 
-  // A new exchange of a group, read now.
-  Exchange& read(Group group = kReadGroup, std::function<void(Exchange&)> with = {}) {
-    Exchange& ex = exchanges.emplace_back();
-    ex.group = &terms.groups[static_cast<std::size_t>(group)];
-    ex.held_kb = 10;
-    ex.arrived = now;
-    if (with) with(ex);
-    controller.read(ex, now);
-    return ex;
+  // A new request of a group, read now.
+  Request& read(Group request_class = kReadClass, std::function<void(Request&)> with = {}) {
+    Request& request = requests.emplace_back();
+    request.request_class = &config.request_classes[static_cast<std::size_t>(request_class)];
+    request.queued_kb = 10;
+    request.arrived = now;
+    if (with) with(request);
+    controller.request_received(request, now);
+    return request;
   }
-  Exchange& repeat_of(Exchange& other, Group group = kWriteGroup) {
-    return read(group, [&](Exchange& ex) { ex.repeats = true, ex.prior = &other; });
+  Request& repeat_of(Request& other, Group request_class = kWriteClass) {
+    return read(request_class, [&](Request& request) { request.is_retry = true, request.original = &other; });
   }
-  void read_many(int count, Group group = kReadGroup) {
-    for (int i = 0; i < count; ++i) read(group);
+  void read_many(int count, Group request_class = kReadClass) {
+    for (int i = 0; i < count; ++i) read(request_class);
+  }
+  void settle(Request& request, Outcome outcome = Outcome::kOk) {
+    controller.run_completed(request, outcome, now);
   }
-  void settle(Exchange& ex, Outcome outcome = Outcome::kOk) { controller.settled(ex, outcome, now); }
   // Lets time pass in beats, with the gauges given.
   void pass(Nanos time, double on_cores = 2, double connections = 2) {
     for (Nanos end = now + time; now < end;) {
@@ -83,25 +86,25 @@
       Gauges gauges;
       gauges.on_cores = on_cores;
       gauges.connections = connections;
-      controller.rang(0, gauges, now);
+      controller.timer_expired(0, gauges, now);
     }
   }
-  // Runs `count` exchanges to a timely end, one after the other.
-  void serve(int count, Nanos each = 100 * kMs, Group group = kReadGroup) {
+  // Runs `count` requests to a timely end, one after the other.
+  void serve(int count, Nanos each = 100 * kMs, Group request_class = kReadClass) {
     for (int i = 0; i < count; ++i) {
-      Exchange& ex = read(group);
+      Request& request = read(request_class);
       pass(each);
-      settle(ex);
+      settle(request);
     }
   }
-  // The same for exchanges that make one call each and do nothing else.
+  // The same for requests that make one call each and do nothing else.
   void serve_calls(int count, Nanos took) {
     for (int i = 0; i < count; ++i) {
-      Exchange& ex = read(kCallerGroup);
-      controller.reached_call(ex, now);
+      Request& request = read(kCallerClass);
+      controller.call_needed(request, now);
       pass(took);
-      controller.call_ended(ex, Outcome::kOk, took, now);
-      settle(ex);
+      controller.call_ended(request, Outcome::kOk, took, now);
+      settle(request);
     }
   }
   int count(const std::string& what) const {
@@ -109,54 +112,54 @@
     for (const auto& did : done) n += did.first == what;
     return n;
   }
-  std::string last_of(const Exchange& ex) const {
+  std::string last_of(const Request& request) const {
     std::string last;
     for (const auto& did : done) {
-      if (did.second == &ex) last = did.first;
+      if (did.second == &request) last = did.first;
     }
     return last;
   }
 
-  void run(Exchange& ex) override { note("run", &ex); }
-  void stop_work(Exchange& ex) override { note("stop", &ex); }
-  void deny(Exchange& ex, bool last, Nanos pause) override {
-    note("deny", &ex);
-    not_elsewhere = last;
-    stay_away = pause;
+  void run(Request& request) override { note("run", &request); }
+  void stop_work(Request& request) override { note("stop", &request); }
+  void reject(Request& request, bool last, Nanos pause) override {
+    note("deny", &request);
+    no_failover = last;
+    retry_after = pause;
   }
-  void terminate(Exchange& ex) override { note("terminate", &ex); }
-  void call(Exchange& ex, Nanos longest) override { note("call", &ex), longest_call = longest; }
-  bool give_up_call(Exchange& ex) override {
-    note("give up call", &ex);
+  void fail(Request& request) override { note("terminate", &request); }
+  void call(Request& request, Nanos longest) override { note("call", &request), longest_call = longest; }
+  bool abandon_call(Request& request) override {
+    note("give up call", &request);
     return true;
   }
-  void skip_call(Exchange& ex) override { note("skip", &ex); }
-  void keep_key(Exchange& ex, Nanos lifetime) override { note("keep", &ex), kept_for = lifetime; }
-  void drop_key(Exchange& ex) override { note("drop key", &ex); }
-  void attach(Exchange& ex) override { note("attach", &ex); }
+  void skip_call(Request& request) override { note("skip", &request); }
+  void retain_key(Request& request, Nanos lifetime) override { note("keep", &request), kept_for = lifetime; }
+  void forget_key(Request& request) override { note("drop key", &request); }
+  void coalesce(Request& request) override { note("attach", &request); }
   void report_health(bool good) override { healthy = good; }
   void advertise(double value) override { advertised = value; }
   void close_idle(Nanos after) override { idle_limit = after; }
-  void ring_in(Nanos, std::uint64_t) override { note("ring", nullptr); }
+  void schedule_timer(Nanos, std::uint64_t) override { note("ring", nullptr); }
   void log(const std::string& line) override { lines.push_back(line); }
-  void release(Exchange&) override {}
+  void release(Request&) override {}
 
-  ServiceTerms terms;
+  ServiceConfig config;
   Nanos now = 100 * kSecond;
-  Nanos stay_away = 0;
+  Nanos retry_after = 0;
   Nanos kept_for = 0;
   Nanos longest_call = 0;
   Nanos idle_limit = 0;
   bool healthy = false;
-  bool not_elsewhere = false;
+  bool no_failover = false;
   double advertised = -1;
-  std::deque<Exchange> exchanges;
-  std::vector<std::pair<std::string, const Exchange*>> done;
+  std::deque<Request> requests;
+  std::vector<std::pair<std::string, const Request*>> done;
   std::vector<std::string> lines;
   Controller controller;
 
  private:
-  void note(const char* what, const Exchange* ex) { done.emplace_back(what, ex); }
+  void note(const char* what, const Request* request) { done.emplace_back(what, request); }
 };
 
 // Who asked for an answer, and what came.
@@ -164,27 +167,28 @@
   void answer(const service::FinalAnswer& given) override {
     using service::Answer;
     unfounded = given.unfounded;
-    answers.push_back(given.kind == Answer::kCompleted ? "completed " + std::string(given.result)
-                      : given.kind == Answer::kDenied  ? "denied"
-                                                       : "terminated");
+    answers.push_back(given.kind == Answer::kCompleted  ? "completed " + std::string(given.result)
+                      : given.kind == Answer::kRejected ? "denied"
+                                                        : "terminated");
   }
   std::string only() const { return answers.size() == 1 ? answers[0] : std::to_string(answers.size()); }
-  service::ServerExchange* ex = nullptr;
+  service::ServerRequest* request = nullptr;
   std::vector<std::string> answers;
   bool unfounded = false;
 };
 
 // All ports of one server. The engine's end of the link is played by the story.
 class FakeWorld : public service::Clock,
-                  public service::FrontPort,
-                  public service::EnginePort,
-                  public service::DependencyPort,
-                  public service::MembershipPort,
-                  public service::LogPort {
+                  public service::Listener,
+                  public service::Engine,
+                  public service::Dependency,
+                  public service::HealthReporter,
+                  public service::Logger {
  public:
-  explicit FakeWorld(ServiceTerms terms = two_core_terms(), std::size_t result_bytes = 1000,
-                     service::RecordPort* records = nullptr, const service::KeyGate* gate = nullptr)
-      : service({.terms = std::move(terms),
+  explicit FakeWorld(ServiceConfig config = two_core_config(), std::size_t result_bytes = 1000,
+                     service::IdempotencyLog* records = nullptr,
+                     const service::ShardOwnership* gate = nullptr)
+      : service({.config = std::move(config),
                  .gauge_names = {"core_use", "on_cores", "heap_share", "links"},
                  .seed = 7,
                  .stop_after = 3 * kSecond,
@@ -203,21 +207,21 @@
     engine_up();
   }
 
-  Caller& read(const std::string& id, Group group = kReadGroup, const std::string& key = "",
+  Caller& read(const std::string& id, Group request_class = kReadClass, const std::string& key = "",
                Nanos longest = 2 * kSecond, const std::string& body = "") {
-    auto ex = std::make_unique<service::ServerExchange>();
+    auto request = std::make_unique<service::ServerRequest>();
     Caller& caller = callers.emplace_back();
-    caller.ex = ex.get();
-    ex->id = id;
-    ex->key = key;
-    ex->body = body.empty() ? "body of " + (key.empty() ? id : key) : body;
-    ex->group = &service.terms().groups[static_cast<std::size_t>(group)];
-    ex->held_kb = 10;
-    ex->arrived = time;
-    ex->gives_up_at = time + longest;
-    ex->has_subject = true;
-    ex->sink = &caller;
-    service.read(std::move(ex));
+    caller.request = request.get();
+    request->id = id;
+    request->key = key;
+    request->body = body.empty() ? "body of " + (key.empty() ? id : key) : body;
+    request->request_class = &service.config().request_classes[static_cast<std::size_t>(request_class)];
+    request->queued_kb = 10;
+    request->arrived = time;
+    request->client_deadline = time + longest;
+    request->has_subject = true;
+    request->sink = &caller;
+    service.read(std::move(request));
     return caller;
   }
   void done(const std::string& id, Outcome outcome = Outcome::kOk, const std::string& result = "result") {
@@ -249,11 +253,11 @@
   void skip(std::string_view id, std::uint64_t) override { note("skip ", id); }
   void stat(std::uint64_t token) override { last_token = token; }
   void test(std::uint64_t token) override { did.push_back("test"), test_token = token; }
-  void call(service::ServerExchange& ex, std::string_view, Nanos) override {
-    note("call ", ex.id);
-    if (on_call) on_call(ex);
+  void call(service::ServerRequest& request, std::string_view, Nanos) override {
+    note("call ", request.id);
+    if (on_call) on_call(request);
   }
-  void give_up(service::ServerExchange& ex) override { note("give up ", ex.id); }
+  void give_up(service::ServerRequest& request) override { note("give up ", request.id); }
   void report(bool good) override { healthy = good; }
   void line(const std::string&) override {}
   void frequent(const std::string&) override {}
@@ -267,7 +271,7 @@
   bool healthy = false;
   std::deque<Caller> callers;
   std::vector<std::string> did;
-  std::function<void(service::ServerExchange&)> on_call;
+  std::function<void(service::ServerRequest&)> on_call;
   service::Service service;
 
  private:
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// The fleet file and the frames of node reports: what is read, and what is refused how.
+// The fleet file and the frames of server reports: what is read, and what is refused how.
 #include "fleet/fleet.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 #include <fstream>
 #include <set>
 
-#include "report/frames.h"
+#include "report/load_report.h"
 #include "settings/document.h"
 #include "settings/node_settings.h"
 
@@ -59,8 +59,8 @@
   Written file(kGood);
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   EXPECT_EQ(fleet.nodes[0].address(), "127.0.0.1:4101");
-  EXPECT_EQ(fleet.groups[1].key_header, "Replay-Key");
-  EXPECT_EQ(fleet.groups[1].path, "/api/v2/book");
+  EXPECT_EQ(fleet.request_classes[1].key_header, "Replay-Key");
+  EXPECT_EQ(fleet.request_classes[1].path, "/api/v2/book");
   EXPECT_EQ(fleet.longest_window(), 18 * kSecond);
   EXPECT_EQ(fleet.shards(), 256u);
 }
@@ -95,12 +95,14 @@
 
 const std::string kSubsetted =
     "version = 1; listener = \"fleet\";\n"
-    "nodes = ( { name = \"n1\"; address = \"127.0.0.1:1\"; }, { name = \"n2\"; address = \"127.0.0.1:2\"; },\n"
+    "nodes = ( { name = \"n1\"; address = \"127.0.0.1:1\"; }, { name = \"n2\"; address = \"127.0.0.1:2\"; "
+    "},\n"
     "  { name = \"n3\"; zone = \"b\"; address = \"127.0.0.1:3\"; } );\n"
     "subsetting = { size = 2; };\n"
     "groups = (\n"
     "  { name = \"read\"; repeats = \"repeatable\"; timeout_ms = 50; },\n"
-    "  { name = \"list\"; repeats = \"mutating\"; timeout_ms = 50; servers = (\"zone b\", \"n1\"); subset_size = 1; },\n"
+    "  { name = \"list\"; repeats = \"mutating\"; timeout_ms = 50; servers = (\"zone b\", \"n1\"); "
+    "subset_size = 1; },\n"
     "  { name = \"book\"; repeats = \"deduplicated\"; timeout_ms = 50; window_ms = 50; }\n"
     ");\n";
 
@@ -108,14 +110,14 @@
   Written file(kSubsetted);
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   EXPECT_TRUE(fleet.service_listeners);
-  EXPECT_TRUE(fleet.groups[0].servers.all());
-  EXPECT_EQ(fleet.groups[0].subset_size, 2u);
-  EXPECT_EQ(*fleet.groups[1].servers.places, (fleet::ServerList::Places{0, 2}));
-  EXPECT_EQ(fleet.groups[1].subset_size, 1u);
-  EXPECT_EQ(fleet.groups[2].subset_size, 0u) << "its keys have one owner each";
+  EXPECT_TRUE(fleet.request_classes[0].servers.all());
+  EXPECT_EQ(fleet.request_classes[0].subset_size, 2u);
+  EXPECT_EQ(*fleet.request_classes[1].servers.places, (fleet::ServerList::Places{0, 2}));
+  EXPECT_EQ(fleet.request_classes[1].subset_size, 1u);
+  EXPECT_EQ(fleet.request_classes[2].subset_size, 0u) << "its keys have one owner each";
   Written plain(kGood);
   EXPECT_FALSE(fleet::read_fleet(plain.path()).service_listeners);
-  EXPECT_EQ(fleet::read_fleet(plain.path()).groups[0].subset_size, 0u);
+  EXPECT_EQ(fleet::read_fleet(plain.path()).request_classes[0].subset_size, 0u);
 }
 
 TEST(FleetFile, ErrorsInServersAndSubsetsNameLineAndField) {
@@ -124,7 +126,8 @@
     return error_of(text.replace(text.find(from), from.size(), to));
   };
   EXPECT_EQ(error("\"n1\")", "\"n9\")"), "7: groups[1].servers: 'n9' is neither a node nor 'zone NAME'");
-  EXPECT_EQ(error("\"zone b\"", "\"zone c\""), "7: groups[1].servers: 'zone c' is neither a node nor 'zone NAME'");
+  EXPECT_EQ(error("\"zone b\"", "\"zone c\""),
+            "7: groups[1].servers: 'zone c' is neither a node nor 'zone NAME'");
   EXPECT_EQ(error("\"n1\")", "\"n3\")"), "7: groups[1].servers: names 'n3' twice, with 'n3'");
   EXPECT_EQ(error("(\"zone b\", \"n1\")", "()"), "7: groups[1].servers: names no server");
   EXPECT_EQ(error("subset_size = 1", "subset_size = 3"),
@@ -147,13 +150,16 @@
 TEST(FleetFile, OneOfAWholeRegionIsReadInTime) {
   std::string text = "version = 1; subsetting = { size = 20; };\nnodes = (";
   for (int i = 0; i < 6100; ++i) {
-    text += std::string(i ? "," : "") + "{ name = \"n" + std::to_string(i) + "\"; zone = \"z" + std::to_string(i % 3) +
-            "\"; address = \"10.0." + std::to_string(i / 250) + "." + std::to_string(1 + i % 250) + ":80\"; }\n";
+    text += std::string(i ? "," : "") + "{ name = \"n" + std::to_string(i) + "\"; zone = \"z" +
+            std::to_string(i % 3) + "\"; address = \"10.0." + std::to_string(i / 250) + "." +
+            std::to_string(1 + i % 250) + ":80\"; }\n";
   }
   text += ");\ngroups = (";
   for (int i = 0; i < 9300; ++i) {
-    text += std::string(i ? "," : "") + "{ name = \"s" + std::to_string(i) + "\"; repeats = \"repeatable\"; timeout_ms = 50; servers = (";
-    for (int k = 0; k < 40; ++k) text += (k ? ",\"n" : "\"n") + std::to_string((i * 7 + k * 101) % 6100) + "\"";
+    text += std::string(i ? "," : "") + "{ name = \"s" + std::to_string(i) +
+            "\"; repeats = \"repeatable\"; timeout_ms = 50; servers = (";
+    for (int k = 0; k < 40; ++k)
+      text += (k ? ",\"n" : "\"n") + std::to_string((i * 7 + k * 101) % 6100) + "\"";
     text += "); }\n";
   }
   Written file(text + ");");
@@ -161,7 +167,7 @@
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
   RecordProperty("seconds", std::to_string(took));
-  EXPECT_EQ(fleet.groups.size(), 9300u);
+  EXPECT_EQ(fleet.request_classes.size(), 9300u);
   EXPECT_LT(took, 10.0);
 }
 
@@ -179,13 +185,13 @@
 
 TEST(NodeSettings, SlowPeersAndTheStoreAreCheckedFieldByField) {
   auto plain = settings::read_node_settings(nullptr);
-  EXPECT_EQ(plain.slow_peers.least_rate, 500);
+  EXPECT_EQ(plain.slow_peers.min_rate, 500);
   EXPECT_TRUE(plain.store.folder.empty());
   Written file(
       "version = 1; slow_peers = { least_bytes_per_s = 900.0; grace_ms = 200; unread_kb = 32.0; };\n"
       "store = { folder = \"/tmp/s\"; };");
   auto read = settings::read_node_settings(file.path().c_str());
-  EXPECT_EQ(read.slow_peers.least_rate, 900);
+  EXPECT_EQ(read.slow_peers.min_rate, 900);
   EXPECT_EQ(read.slow_peers.grace, 200 * kMs);
   EXPECT_EQ(read.slow_peers.unread_share, 32'768u);
   EXPECT_EQ(read.slow_peers.hurry, plain.slow_peers.hurry);
@@ -202,22 +208,22 @@
   }
 }
 
-report::NodeReport some_report() {
-  report::NodeReport out{
-      .node = "n1", .address = "127.0.0.1:4101", .life = 7, .sequence = 9, .sent_unix = -3};
-  out.mode = Mode::kTrial;
-  out.cold = true;
+report::LoadReport some_report() {
+  report::LoadReport out{
+      .node = "n1", .address = "127.0.0.1:4101", .incarnation = 7, .sequence = 9, .sent_unix = -3};
+  out.mode = Mode::kProbing;
+  out.warming_up = true;
   out.window = 12;
   out.limit = 3.25;
-  out.groups = {{"read", 5, 1, 3, 2, 1}, {"book", 0, 0, 0, 0, 0}};
+  out.request_classes = {{"read", 5, 1, 3, 2, 1}, {"book", 0, 0, 0, 0, 0}};
   return out;
 }
 
 TEST(ReportFrames, WhatIsWrittenIsReadHoweverItIsSplit) {
   std::string bytes = report::encode(some_report()) + report::encode(some_report());
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-    std::vector<report::NodeReport> came;
-    auto keep = [&](report::NodeReport report) { came.push_back(std::move(report)); };
+    std::vector<report::LoadReport> came;
+    auto keep = [&](report::LoadReport report) { came.push_back(std::move(report)); };
     report::Malformed malformed{};
     std::size_t taken = report::decode(bytes.substr(0, cut), keep, malformed);
     ASSERT_EQ(malformed, report::Malformed::kNo);
@@ -229,20 +235,20 @@
 }
 
 RC_GTEST_PROP(ReportFrames, EncodeAndDecodeAreEachOthersInverse, ()) {
-  report::NodeReport in;
+  report::LoadReport in;
   in.node = "n" + std::to_string(*rc::gen::inRange(0, 1000));
-  in.life = *rc::gen::arbitrary<std::uint64_t>();
+  in.incarnation = *rc::gen::arbitrary<std::uint64_t>();
   in.sent_unix = *rc::gen::arbitrary<std::int64_t>();
   in.window = *rc::gen::arbitrary<std::uint32_t>();
   in.mode = static_cast<Mode>(*rc::gen::inRange(0, 4));
-  in.leaving = *rc::gen::arbitrary<bool>();
+  in.draining = *rc::gen::arbitrary<bool>();
   for (int i = *rc::gen::inRange(0, 20); i > 0; --i) {
-    in.groups.push_back({"g" + std::to_string(i), *rc::gen::arbitrary<std::uint64_t>(), 0, 1, 2, 3});
+    in.request_classes.push_back({"g" + std::to_string(i), *rc::gen::arbitrary<std::uint64_t>(), 0, 1, 2, 3});
   }
   report::Malformed malformed{};
-  std::vector<report::NodeReport> out;
+  std::vector<report::LoadReport> out;
   report::decode(
-      report::encode(in), [&](report::NodeReport one) { out.push_back(std::move(one)); }, malformed);
+      report::encode(in), [&](report::LoadReport one) { out.push_back(std::move(one)); }, malformed);
   RC_ASSERT(malformed == report::Malformed::kNo);
   RC_ASSERT(out.size() == 1u);
   RC_ASSERT(out[0] == in);
@@ -252,7 +258,7 @@
   auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
   report::Malformed malformed{};
   std::size_t taken = report::decode(
-      bytes, [](report::NodeReport) {}, malformed);
+      bytes, [](report::LoadReport) {}, malformed);
   RC_ASSERT(taken <= bytes.size());
 }
 
@@ -264,7 +270,7 @@
       bad[at] = static_cast<char>(bad[at] ^ flip);
       report::Malformed malformed{};
       std::size_t taken = report::decode(
-          bad, [](report::NodeReport) {}, malformed);
+          bad, [](report::LoadReport) {}, malformed);
       EXPECT_LE(taken, bad.size());
     }
   }
@@ -275,18 +281,18 @@
   report::Malformed malformed{};
   std::string unknown_kind = std::string("\0\0\0\x04\x01\x7f??", 8);
   report::decode(
-      unknown_kind + report::encode(some_report()), [&](report::NodeReport) { ++came; }, malformed);
+      unknown_kind + report::encode(some_report()), [&](report::LoadReport) { ++came; }, malformed);
   EXPECT_EQ(came, 1);
   std::string longer = report::encode(some_report());
   longer[3] = static_cast<char>(longer[3] + 3);
   report::decode(
-      longer + "new", [&](report::NodeReport) { ++came; }, malformed);
+      longer + "new", [&](report::LoadReport) { ++came; }, malformed);
   EXPECT_EQ(came, 2);
   report::decode(
-      std::string("\x7f\0\0\0", 4), [&](report::NodeReport) { ++came; }, malformed);
+      std::string("\x7f\0\0\0", 4), [&](report::LoadReport) { ++came; }, malformed);
   EXPECT_EQ(malformed, report::Malformed::kTooLarge);
   report::decode(
-      std::string("\0\0\0\x02\x09\x01", 6), [&](report::NodeReport) { ++came; }, malformed);
+      std::string("\0\0\0\x02\x09\x01", 6), [&](report::LoadReport) { ++came; }, malformed);
   EXPECT_EQ(malformed, report::Malformed::kVersion);
 }
 
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -8,14 +8,14 @@
 #include <sstream>
 
 #include "agreement.pb.h"
-#include "agreement/state.h"
+#include "agreement/replicated_state.h"
 #include "consensus.pb.h"
-#include "consensus/store_keeper.h"
+#include "consensus/store_raft_storage.h"
 #include "control.pb.h"
 #include "echo.pb.h"
 #include "hollow.pb.h"
 #include "recovery/run_records.h"
-#include "report/frames.h"
+#include "report/load_report.h"
 #include "routing_state/saved_state.h"
 #include "store/file_disk.h"
 #include "store/store.h"
@@ -102,49 +102,50 @@
   ASSERT_TRUE(state);
   EXPECT_EQ(routing_state::packed(*state), record->value);
 
-  using routing::State;
-  const std::vector<State> states = {State::kPresumed, State::kRamping, State::kServing, State::kLeaving,
-                                     State::kSick,     State::kMute,    State::kSilent};
+  using routing::ServerState;
+  const std::vector<ServerState> states = {
+      ServerState::kAssumedHealthy, ServerState::kSlowStart,    ServerState::kServing, ServerState::kDraining,
+      ServerState::kUnhealthy,      ServerState::kUnresponsive, ServerState::kLost};
   ASSERT_EQ(state->memory.nodes.size(), states.size());
   for (std::size_t i = 0; i < states.size(); ++i) {
     EXPECT_EQ(state->memory.nodes[i].state, states[i]);
-    EXPECT_EQ(state->memory.nodes[i].life, 101 + i);
+    EXPECT_EQ(state->memory.nodes[i].incarnation, 101 + i);
   }
   const routing::Snapshot& snapshot = state->memory.snapshot;
   ASSERT_EQ(snapshot.nodes.size(), 3u);
   EXPECT_EQ(snapshot.nodes[0].health, routing::Health::kHealthy);
   EXPECT_EQ(snapshot.nodes[1].health, routing::Health::kDraining);
   EXPECT_EQ(snapshot.nodes[2].health, routing::Health::kOut);
-  ASSERT_EQ(snapshot.groups.size(), 3u);
-  EXPECT_EQ(snapshot.groups[0].effect, Effect::kRepeatable);
-  EXPECT_EQ(snapshot.groups[1].effect, Effect::kDeduplicated);
-  EXPECT_EQ(snapshot.groups[2].effect, Effect::kMutating);
-  using routing::RepeatOn;
-  EXPECT_EQ(snapshot.groups[0].repeats.on,
-            (std::vector{RepeatOn::kNeverSent, RepeatOn::kDenied, RepeatOn::kReset, RepeatOn::kLate}));
-  EXPECT_EQ(snapshot.customers[0].share, 2500u);
+  ASSERT_EQ(snapshot.request_classes.size(), 3u);
+  EXPECT_EQ(snapshot.request_classes[0].idempotency, Idempotency::kIdempotent);
+  EXPECT_EQ(snapshot.request_classes[1].idempotency, Idempotency::kKeyed);
+  EXPECT_EQ(snapshot.request_classes[2].idempotency, Idempotency::kNone);
+  using routing::RetryOn;
+  EXPECT_EQ(snapshot.request_classes[0].retry_policy.on,
+            (std::vector{RetryOn::kNeverSent, RetryOn::kRejected, RetryOn::kReset, RetryOn::kLate}));
+  EXPECT_EQ(snapshot.tenants[0].share, 2500u);
   EXPECT_EQ(state->memory.shards[5].node, "");
 }
 
 TEST_F(StoredFormatsTest, RaftLogIsReadAndAppliedToTheSameState) {
-  consensus::StoreKeeper keeper(
+  consensus::StoreRaftStorage storage(
       copy_of("raft_log"), [this] { return clock(); }, [] {});
-  EXPECT_EQ(keeper.owner(), 3u);
-  consensus::Kept kept = keeper.load();
-  EXPECT_EQ(kept.term, 4u);
-  EXPECT_EQ(kept.voted_for, 2u);
-  EXPECT_EQ(kept.first, 2u);
-  ASSERT_EQ(kept.entries.size(), 4u);
-  ASSERT_TRUE(kept.snapshot);
-  EXPECT_EQ(kept.snapshot->index(), 3u);
-  EXPECT_EQ(kept.snapshot->servers_size(), 3);
-
-  agreement::State state;
-  ASSERT_TRUE(state.restore(kept.snapshot->data()));
+  EXPECT_EQ(storage.owner(), 3u);
+  consensus::PersistentState persisted = storage.load();
+  EXPECT_EQ(persisted.term, 4u);
+  EXPECT_EQ(persisted.voted_for, 2u);
+  EXPECT_EQ(persisted.first, 2u);
+  ASSERT_EQ(persisted.entries.size(), 4u);
+  ASSERT_TRUE(persisted.snapshot);
+  EXPECT_EQ(persisted.snapshot->index(), 3u);
+  EXPECT_EQ(persisted.snapshot->servers_size(), 3);
+
+  agreement::ReplicatedState state;
+  ASSERT_TRUE(state.restore(persisted.snapshot->data()));
   EXPECT_EQ(state.digest(), kSnapshotDigest);
-  EXPECT_EQ(state.shards()[3].state, routing::ShardState::kCooling);
+  EXPECT_EQ(state.shards()[3].state, routing::ShardState::kQuarantined);
   for (std::uint64_t index : {4u, 5u}) {
-    EXPECT_EQ(state.apply(kept.entries[index - kept.first].data()), agreement::Verdict::kTaken);
+    EXPECT_EQ(state.apply(persisted.entries[index - persisted.first].data()), agreement::Verdict::kTaken);
   }
   EXPECT_EQ(state.digest(), kLastDigest);
 }
@@ -203,16 +204,20 @@
 }
 
 TEST(FrameFormatsTest, FramesAreAsBefore) {
-  fencing::Order order{
-      .epoch = {3, 9}, .life = 77, .shard_digits = 1, .shards = {1, 4, 15}, .answers = 5, .restart_as = 2};
-  report::NodeReport report{.node = "n3",
+  fencing::ShardAssignment order{.epoch = {3, 9},
+                                 .incarnation = 77,
+                                 .shard_digits = 1,
+                                 .shards = {1, 4, 15},
+                                 .answers = 5,
+                                 .restart_as = 2};
+  report::LoadReport report{.node = "n3",
                             .address = "127.0.0.3:4103",
-                            .life = 0x1122334455667788,
+                            .incarnation = 0x1122334455667788,
                             .sequence = 9,
                             .sent_unix = 1'700'000'000'000'000'001,
-                            .mode = Mode::kTrial,
-                            .cold = true,
-                            .leaving = true,
+                            .mode = Mode::kProbing,
+                            .warming_up = true,
+                            .draining = true,
                             .engine_up = true,
                             .obeys = true,
                             .epoch = {3, 8},
@@ -222,7 +227,7 @@
                             .held = 17,
                             .running = 5,
                             .core_time = 987'654'321,
-                            .groups = {{"read", 10, 2, 7, 6, 1}, {"book", 5, 4, 3, 2, 0}}};
+                            .request_classes = {{"read", 10, 2, 7, 6, 1}, {"book", 5, 4, 3, 2, 0}}};
   EXPECT_EQ(hexadecimal(report::encode(order)) + "\n" + hexadecimal(report::encode(report)) + "\n",
             read_file("frames.txt"));
 }
--- a/tests/grpc_client_test.cpp
+++ b/tests/grpc_client_test.cpp
@@ -17,7 +17,7 @@
 using standin::EchoReply;
 using standin::EchoRequest;
 
-// One node: answers with its name, or as the story has it.
+// One server: answers with its name, or as the story has it.
 class EchoNode final : public Echo::Service {
  public:
   explicit EchoNode(std::string name) : name_(std::move(name)) { start("127.0.0.1:0"); }
@@ -98,7 +98,7 @@
         << "{ name = \"book\"; path = \"/myrtlecroft.standin.Echo/Book\"; repeats = \"deduplicated\"; "
            "window_ms = 500; timeout_ms = 500; });\n"
         << "bounds = { silent_ms = 500; mute_ms = 500; dwell_ms = 300; ramp_ms = 300; settle_ms = 20; "
-        << "most_out = " << most_out << "; weight_step = 10.0; shed_step = 2.0; };\n";
+        << "most_out = " << max_unavailable << "; weight_step = 10.0; shed_step = 2.0; };\n";
   }
   void start() {
     control = std::make_unique<RunningControl>(Options{
@@ -123,22 +123,22 @@
     channel = grpc::CreateCustomChannel("xds:///echo", grpc::InsecureChannelCredentials(), arguments);
     stub = Echo::NewStub(channel);
   }
-  // The node that answered, or the error.
-  std::string say(const std::string& group = "say", const std::string& key = "") {
+  // The server that answered, or the error.
+  std::string say(const std::string& request_class = "say", const std::string& key = "") {
     grpc::ClientContext context;
     context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(2));
     if (!key.empty()) context.AddMetadata("replay-key", key);
     EchoReply reply;
     EchoRequest request;
-    grpc::Status status = group == "book"  ? stub->Book(&context, request, &reply)
-                          : group == "set" ? stub->Set(&context, request, &reply)
-                                           : stub->Say(&context, request, &reply);
+    grpc::Status status = request_class == "book"  ? stub->Book(&context, request, &reply)
+                          : request_class == "set" ? stub->Set(&context, request, &reply)
+                                                   : stub->Say(&context, request, &reply);
     return status.ok() ? reply.node()
                        : "error " + std::to_string(status.error_code()) + " " + status.error_message();
   }
-  std::map<std::string, int> many(int count, const std::string& group = "say") {
+  std::map<std::string, int> many(int count, const std::string& request_class = "say") {
     std::map<std::string, int> out;
-    for (int i = 0; i < count; ++i) ++out[say(group)];
+    for (int i = 0; i < count; ++i) ++out[say(request_class)];
     return out;
   }
   bool ready() {
@@ -155,7 +155,7 @@
 
   Folder folder;
   std::string listed;
-  std::string most_out = "0.6";
+  std::string max_unavailable = "0.6";
   std::map<std::string, std::unique_ptr<EchoNode>> nodes;
   std::uint16_t discovery_port = 0;
   std::uint16_t reports_port = 0;
@@ -186,7 +186,7 @@
   World world({{"n1"}, {"n2", "b"}, {"n3", "b"}});
   world.connect();
   ASSERT_TRUE(world.ready());
-  world.reporters->set("n2", [](auto& report) { report.leaving = true; });
+  world.reporters->set("n2", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(world.only({"n1", "n3"}));
 }
 
@@ -195,7 +195,7 @@
   world.connect();
   ASSERT_TRUE(world.ready());
   ASSERT_TRUE(world.only({"n1"}));
-  world.reporters->set("n1", [](auto& report) { report.leaving = true; });
+  world.reporters->set("n1", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(world.only({"n2"}));
 }
 
@@ -203,12 +203,14 @@
   World world({{"n1"}, {"n2"}});
   world.connect();
   ASSERT_TRUE(world.ready());
-  // Nodes deny most of what they read: the cheapest group is let through in part only.
+  // Servers reject most of what they read: the cheapest group is let through in part only.
   ASSERT_TRUE(await([&] {
     for (const char* node : {"n1", "n2"}) {
       world.reporters->set(node, [](auto& report) {
-        if (report.groups.empty()) report.groups = {{.group = "say"}, {.group = "set"}};
-        for (auto& counts : report.groups) counts.read += 20, counts.denied += 16, counts.completed += 4;
+        if (report.request_classes.empty())
+          report.request_classes = {{.request_class = "say"}, {.request_class = "set"}};
+        for (auto& counts : report.request_classes)
+          counts.read += 20, counts.rejected += 16, counts.completed += 4;
       });
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -225,8 +227,8 @@
     return world.control->look(
         [](Control& control) { return control.router().published()->snapshot.nodes[0].in_flight == 5; });
   }));
-  // What is in flight at once never goes beyond the bound, and more is refused at once. The client may hear of
-  // the bound a moment after control has set it: what it does with twelve at once is asked until it has.
+  // What is in flight at once never goes beyond the bound, and more is refused at once. The client may hear
+  // of the bound a moment after control has set it: what it does with twelve at once is asked until it has.
   EXPECT_TRUE(await([&] {
     world.nodes["n1"]->hold(true);
     std::atomic<int> refused = 0;
@@ -253,7 +255,7 @@
     ASSERT_NE(owners[key].substr(0, 5), "error") << owners[key];
     EXPECT_EQ(world.say("book", key), owners[key]);
   }
-  world.reporters->set("n1", [](auto& report) { report.leaving = true; });
+  world.reporters->set("n1", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(await([&] { return world.control->state_of("n1") == "leaving"; }));
   // From now on: at the old owner until the closure is there, then at nobody, then at another one.
   for (const auto& [key, owner] : owners) {
@@ -282,7 +284,7 @@
   auto served = world.many(40);
   EXPECT_EQ(served.size(), 2u);
   for (const auto& [name, count] : served) EXPECT_NE(name.substr(0, 5), "error") << name;
-  world.reporters->set("n2", [](auto& report) { report.leaving = true; });
+  world.reporters->set("n2", [](auto& report) { report.draining = true; });
   world.start();
   ASSERT_TRUE(world.only({"n1"}));
 }
--- a/tests/instances_test.cpp
+++ b/tests/instances_test.cpp
@@ -1,5 +1,5 @@
-// Several instances of the control service with nodes and proxies: the log on disk, and real processes beside
-// faults.
+// Several instances of the control service with servers and proxies: the log on disk, and real processes
+// beside faults.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -8,10 +8,10 @@
 #include "../measure/agreement_rig.h"
 #include "../standin/child.h"
 #include "../standin/control_fleet.h"
-#include "consensus/store_keeper.h"
-#include "control/ask.h"
+#include "consensus/store_raft_storage.h"
+#include "control/admin_client.h"
 #include "control_harness.h"
-#include "report/frames.h"
+#include "report/load_report.h"
 #include "xds/session_table.h"
 
 namespace myrtlecroft {
@@ -27,8 +27,8 @@
 };
 
 struct KeeperStory : FolderStory {
-  std::unique_ptr<consensus::StoreKeeper> open() {
-    return std::make_unique<consensus::StoreKeeper>(
+  std::unique_ptr<consensus::StoreRaftStorage> open() {
+    return std::make_unique<consensus::StoreRaftStorage>(
         folder, [this] { return ++now; }, [] {});
   }
   static consensus::LogEntry entry(std::uint64_t term, const std::string& data) {
@@ -38,7 +38,7 @@
     out.set_data(data);
     return out;
   }
-  static void append(consensus::StoreKeeper& keeper, std::uint64_t first,
+  static void append(consensus::StoreRaftStorage& keeper, std::uint64_t first,
                      std::vector<consensus::LogEntry> entries) {
     bool done = false;
     keeper.append(first, std::move(entries), [&](bool durable) { done = durable; });
@@ -52,11 +52,11 @@
   {
     auto keeper = open();
     keeper->belong_to(3);
-    ASSERT_TRUE(keeper->keep_vote(4, 2));
+    ASSERT_TRUE(keeper->save_vote(4, 2));
     append(*keeper, 1, {entry(3, "a"), entry(3, "b"), entry(4, "c")});
   }
   auto keeper = open();
-  consensus::Kept kept = keeper->load();
+  consensus::PersistentState kept = keeper->load();
   EXPECT_EQ(keeper->owner(), 3u);
   EXPECT_EQ(kept.term, 4u);
   EXPECT_EQ(kept.voted_for, 2u);
@@ -71,7 +71,7 @@
     keeper->truncate(2);
     append(*keeper, 2, {entry(2, "other")});
   }
-  consensus::Kept kept = open()->load();
+  consensus::PersistentState kept = open()->load();
   ASSERT_EQ(kept.entries.size(), 2u);
   EXPECT_EQ(kept.entries[1].data(), "other");
 }
@@ -85,11 +85,11 @@
     snapshot.set_term(1);
     snapshot.set_data("state");
     bool done = false;
-    keeper->keep_snapshot(snapshot, 3, [&](bool durable) { done = durable; });
+    keeper->save_snapshot(snapshot, 3, [&](bool durable) { done = durable; });
     for (int i = 0; i < 2000 && !done; ++i) keeper->take_done(), ::usleep(1000);
     ASSERT_TRUE(done);
   }
-  consensus::Kept kept = open()->load();
+  consensus::PersistentState kept = open()->load();
   ASSERT_TRUE(kept.snapshot);
   EXPECT_EQ(kept.snapshot->data(), "state");
   EXPECT_EQ(kept.first, 3u);
@@ -98,18 +98,19 @@
 }
 
 TEST(OrderFrames, AnOrderIsReadAsItWasWritten) {
-  fencing::Order order{{3, 44}, 17, 2, {0, 7, 255}};
+  fencing::ShardAssignment order{{3, 44}, 17, 2, {0, 7, 255}};
   std::string bytes = report::encode(order);
-  fencing::Order read;
+  fencing::ShardAssignment read;
   report::Malformed malformed{};
-  EXPECT_EQ(report::decode(bytes, {.report = {}, .order = [&](const fencing::Order& one) { read = one; }},
-                           malformed),
-            bytes.size());
+  EXPECT_EQ(
+      report::decode(bytes, {.report = {}, .order = [&](const fencing::ShardAssignment& one) { read = one; }},
+                     malformed),
+      bytes.size());
   EXPECT_EQ(malformed, report::Malformed::kNo);
   EXPECT_EQ(read, order);
   bytes.resize(bytes.size() - 1);
   bytes[3] = static_cast<char>(bytes[3] - 1);
-  report::decode(bytes, {.report = {}, .order = [](const fencing::Order&) {}}, malformed);
+  report::decode(bytes, {.report = {}, .order = [](const fencing::ShardAssignment&) {}}, malformed);
   EXPECT_EQ(malformed, report::Malformed::kBody) << "a cut order is none";
 }
 
@@ -155,8 +156,8 @@
   EXPECT_EQ(asks("p", 101), "9");
 }
 
-// What a fleet waited for after a start, once in five: its first set, closed because the instance was just then
-// out of touch, stayed so until something else changed.
+// What a fleet waited for after a start, once in five: its first set, closed because the instance was just
+// then out of touch, stayed so until something else changed.
 TEST_F(GateStory, InTouchAgainAStreamThatGotNoOpenShardGetsThemWithoutAChange) {
   table.publish(set(1));
   table.gate({.served = {"p"}, .fresh_until = 100, .closed = set(9)}, 0);
@@ -171,7 +172,7 @@
 
 TEST_F(InstancesStory, AFolderThatWasCopiedIsRefused) {
   {
-    consensus::StoreKeeper keeper(
+    consensus::StoreRaftStorage keeper(
         folder, [] { return Nanos{1}; }, [] {});
     keeper.belong_to(1);
   }
@@ -187,16 +188,17 @@
   std::filesystem::remove(log);
 }
 
-// Real instances, two nodes that report to all of them, and no proxy.
+// Real instances, two servers that report to all of them, and no proxy.
 struct ControlStory : FolderStory {
   explicit ControlStory(std::vector<std::string> more = {}) {
     std::ofstream(folder + "/fleet.conf")
         << "version = 1; listener = \"fleet\"; nodes = ({ name = \"n1\"; address = \"127.0.0.1:20001\"; }, "
            "{ name = \"n2\"; address = \"127.0.0.1:20002\"; });\n"
            "groups = ({ name = \"book\"; repeats = \"deduplicated\"; window_ms = 500; timeout_ms = 500; });\n"
-           "bounds = { silent_ms = 600; dwell_ms = 100; ramp_ms = 100; settle_ms = 20; shard_digits = 1; };\n";
+           "bounds = { silent_ms = 600; dwell_ms = 100; ramp_ms = 100; settle_ms = 20; shard_digits = 1; "
+           "};\n";
     fleet = std::make_unique<standin::ControlFleet>(
-        standin::ControlFleetTerms{
+        standin::ControlFleetOptions{
             .folder = folder, .fleet = folder + "/fleet.conf", .instances = 3, .agreed = true, .more = more},
         taken);
     fleet->start_all();
@@ -229,7 +231,7 @@
       return row.id() == static_cast<std::uint64_t>(at + 1) && row.part() == "votes";
     });
   }
-  bool in_touch(int at) { return ask(at).in_touch(); }
+  bool has_quorum(int at) { return ask(at).in_touch(); }
   // Two that were asked at one epoch say the same state.
   bool agree(const std::vector<int>& asked) {
     return control::await([&] {
@@ -243,9 +245,9 @@
       return epochs.size() == 1 && digests.size() == 1 && *epochs.begin() > 0;
     });
   }
-  // A node that says again and again that it leaves and stays: decisions without end.
-  void flap(bool leaving) {
-    for (auto& one : reporters) one->set("n1", [&](auto& report) { report.leaving = leaving; });
+  // A server that says again and again that it leaves and stays: decisions without end.
+  void flap(bool draining) {
+    for (auto& one : reporters) one->set("n1", [&](auto& report) { report.draining = draining; });
   }
   std::set<int> taken;
   std::unique_ptr<standin::ControlFleet> fleet;
@@ -262,16 +264,15 @@
     place.faults->die_at_next(sync);
     fleet->start(at, standin::ControlFleet::Start::kJoin);
     ASSERT_TRUE(control::await([&] { return leader() >= 0; }));
-    auto let_in = [&] {
-      return "let-in " + std::to_string(at + 1) + " " + standin::on_loopback(place.peer);
-    };
+    auto let_in = [&] { return "let-in " + std::to_string(at + 1) + " " + standin::on_loopback(place.peer); };
     ASSERT_TRUE(control::await([&] {
       if (!place.process.is_over()) return votes(at) || (ask(leader(), let_in()), false);
       ++killed;
       (*place.faults)->die_at_sync = 0;
       fleet->start(at, standin::ControlFleet::Start::kJoin);
       return false;
-    })) << "killed at sync " << sync;
+    })) << "killed at sync "
+        << sync;
     ASSERT_TRUE(agree({leader(), at}));
     ASSERT_TRUE(control::await([&] {
       ask(leader(), "let-out " + std::to_string(at + 1));
@@ -288,7 +289,7 @@
 
 TEST_F(SnapshotStory, KilledAtAnySyncOfItsSnapshotsAnInstanceKnowsAllThatWasAgreed) {
   ASSERT_TRUE(control::await([&] { return leader() >= 0; }));
-  bool leaving = false;
+  bool draining = false;
   for (int sync = 1; sync <= 8; ++sync) {
     int led = leader();
     int at = (std::max(0, led) + 1) % 3;
@@ -296,12 +297,13 @@
     std::uint64_t before = ask(at).epoch();
     place.faults->die_at_next(sync);
     ASSERT_TRUE(control::await([&] {
-      flap(leaving = !leaving);
+      flap(draining = !draining);
       return place.process.is_over();
-    })) << "sync " << sync;
+    })) << "sync "
+        << sync;
     (*place.faults)->die_at_sync = 0;
     fleet->start(at);
-    ASSERT_TRUE(control::await([&] { return in_touch(at); })) << "sync " << sync;
+    ASSERT_TRUE(control::await([&] { return has_quorum(at); })) << "sync " << sync;
     EXPECT_GE(ask(at).epoch(), before);
   }
   flap(false);
@@ -320,13 +322,14 @@
     ASSERT_TRUE(control::await([&] { return ask(led).disk_fails(); }));
     EXPECT_GT(ask(led).published(), 0u) << "what it served it serves on";
     faults.*fail = 0;
-    ASSERT_TRUE(control::await([&] { return !ask(led).disk_fails() && in_touch(led); }));
+    ASSERT_TRUE(control::await([&] { return !ask(led).disk_fails() && has_quorum(led); }));
   }
   EXPECT_TRUE(agree({0, 1, 2}));
 }
 
 TEST_F(ControlStory, AWallClockThatIsWrongMovesNoDecision) {
-  ASSERT_TRUE(control::await([&] { return leader() >= 0 && ask(leader(), "nodes").nodes(1).state() == "serving"; }));
+  ASSERT_TRUE(
+      control::await([&] { return leader() >= 0 && ask(leader(), "nodes").nodes(1).state() == "serving"; }));
   int led = leader();
   // An hour ahead: reports look old, which is nothing. Then behind: they look as if from the future.
   for (std::int64_t hours : {1, -1}) {
@@ -356,7 +359,7 @@
         << drain(at);
     (*fleet)[at].process.end(SIGTERM);
     fleet->start(at);
-    ASSERT_TRUE(control::await([&] { return in_touch(at) && leader() >= 0; }));
+    ASSERT_TRUE(control::await([&] { return has_quorum(at) && leader() >= 0; }));
   }
   ASSERT_TRUE(control::await([&] { return drain(0).find("1 nodes") != std::string::npos; })) << drain(0);
   EXPECT_TRUE(agree({0, 1, 2}));
@@ -366,13 +369,13 @@
   fleet->start(2);
   ASSERT_TRUE(control::await([&] { return leader() >= 0 && leader() != 2; }));
   control::await([&] { return false; }, 1500);
-  EXPECT_FALSE(in_touch(2));
+  EXPECT_FALSE(has_quorum(2));
   std::ifstream in(fleet->log(2));
   std::string said((std::istreambuf_iterator<char>(in)), {});
   EXPECT_NE(said.find("newer form"), std::string::npos);
 }
 
-// What starts a node again in the version that its exit code names.
+// What starts a server again in the version that its exit code names.
 TEST_F(InstancesStory, ASupervisorStartsTheVersionThatIsAskedFor) {
   std::filesystem::create_directories(folder + "/1");
   std::filesystem::create_directories(folder + "/7");
@@ -391,53 +394,55 @@
   EXPECT_EQ(version, 7);
 }
 
-// Leaders killed, stopped and cut off one way, links reset, cut in mid frame and late, nodes killed and cut
+// Leaders killed, stopped and cut off one way, links reset, cut in mid frame and late, servers killed and cut
 // off, under load: what make measure-agreement plays for minutes.
 TEST(AgreementProcesses, NothingRunsTwiceAndNothingAgreedIsLost) {
-  rehearsal::RigTerms terms;
-  terms.incident = {.instances = 3,
-                    .nodes = 3,
-                    .proxies = 2,
-                    .keys_per_s = 100,
-                    .length = 9 * kSecond,
-                    .faults_per_s = 0.8,
-                    .steps = {}};
-  terms.seed = 3;
-  rehearsal::RigResult result = rehearsal::play(terms);
+  rehearsal::RigOptions options;
+  options.incident = {.instances = 3,
+                      .nodes = 3,
+                      .proxies = 2,
+                      .keys_per_s = 100,
+                      .length = 9 * kSecond,
+                      .faults_per_s = 0.8,
+                      .steps = {}};
+  options.seed = 3;
+  rehearsal::RigResult result = rehearsal::play(options);
   EXPECT_EQ(result.violations(), 0) << result.first << ", logs in " << result.folder;
   EXPECT_GE(result.faults, 4);
   EXPECT_GT(result.completed, 0);
 }
 
-// A node's shards move while whoever leads is killed at one sync after another.
+// A server's shards move while whoever leads is killed at one sync after another.
 TEST(AgreementProcesses, KilledAtAnyStepOfAChangeOfOwnerNothingRunsTwice) {
-  rehearsal::RigTerms terms;
-  terms.incident = rehearsal::read_incident(MYRTLECROFT_INCIDENTS "/owner-moves.conf");
-  terms.seed = 4;
-  rehearsal::RigResult result = rehearsal::play(terms);
+  rehearsal::RigOptions options;
+  options.incident = rehearsal::read_incident(MYRTLECROFT_INCIDENTS "/owner-moves.conf");
+  options.seed = 4;
+  rehearsal::RigResult result = rehearsal::play(options);
   EXPECT_EQ(result.violations(), 0) << result.first << ", logs in " << result.folder;
   EXPECT_GT(result.completed, result.offered / 3);
 }
 
-// A version comes to all nodes while leaders die: nobody goes without leave, never more than may be, and nothing that was read goes unanswered.
+// A version comes to all servers while leaders die: nobody goes without leave, never more than may be, and
+// nothing that was read goes unanswered.
 TEST(AgreementProcesses, ReleasesGoOnBesideTheDeathOfLeaders) {
-  rehearsal::RigTerms terms;
-  terms.incident.nodes = 6;
-  terms.incident.keys_per_s = 10;
-  terms.incident.reads_per_s = 60;
-  terms.incident.length = 22 * kSecond;
-  terms.incident.most_out = 0.34;
-  terms.incident.first_nodes = 2;
-  terms.incident.soak = 1500 * kMs;
-  terms.incident.releases = {{.at = kSecond, .to = 2, .bad = rehearsal::Bad::kNone, .by = 0}};
+  rehearsal::RigOptions options;
+  options.incident.nodes = 6;
+  options.incident.keys_per_s = 10;
+  options.incident.reads_per_s = 60;
+  options.incident.length = 22 * kSecond;
+  options.incident.max_unavailable = 0.34;
+  options.incident.first_nodes = 2;
+  options.incident.soak = 1500 * kMs;
+  options.incident.releases = {{.at = kSecond, .to = 2, .bad = rehearsal::Bad::kNone, .by = 0}};
   for (Nanos at : {2 * kSecond, 7 * kSecond, 12 * kSecond})
-    terms.incident.steps.push_back({.at = at, .length = kSecond, .fault = rehearsal::Fault::kKill, .who = {}});
-  terms.seed = 2;
-  rehearsal::RigResult result = rehearsal::play(terms);
+    options.incident.steps.push_back(
+        {.at = at, .length = kSecond, .fault = rehearsal::Fault::kKill, .who = {}});
+  options.seed = 2;
+  rehearsal::RigResult result = rehearsal::play(options);
   EXPECT_EQ(result.violations(), 0) << result.first << ", logs in " << result.folder;
   ASSERT_EQ(result.releases.size(), 1u);
   EXPECT_GT(result.releases[0].reached, 0.3) << result.releases[0].reason;
-  EXPECT_LE(result.most_out, 2);
+  EXPECT_LE(result.max_unavailable, 2);
   EXPECT_GT(result.completed, result.offered * 9 / 10);
 }
 
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kPlannedTenants = 380'000;
-constexpr long kMostBytesATenant = 85;  // its name and quota, its rate and its place in the index
+constexpr long kMaxBytesATenant = 85;  // its name and quota, its rate and its place in the index
 
 struct MemoryStory : ProgramStory {
   void set_tenants(int count) const {
@@ -47,7 +47,7 @@
   long few = resident_kb_with(2);
   long planned = resident_kb_with(kPlannedTenants);
   ASSERT_GT(few, 0);
-  EXPECT_LT((planned - few) * 1024 / kPlannedTenants, kMostBytesATenant);
+  EXPECT_LT((planned - few) * 1024 / kPlannedTenants, kMaxBytesATenant);
 }
 
 }  // namespace
--- a/tests/net_story.h
+++ b/tests/net_story.h
@@ -17,9 +17,9 @@
 
 #include "fakes.h"
 #include "net/address.h"
-#include "net/database.h"
-#include "net/engine_link.h"
-#include "net/front.h"
+#include "net/database_client.h"
+#include "net/engine_client.h"
+#include "net/fastcgi_server.h"
 
 namespace myrtlecroft::net {
 
@@ -76,9 +76,9 @@
     close();
   }
   // What has come since the last look; "(end)" once the peer has closed.
-  std::string read(std::size_t most = 65'536) {
+  std::string read(std::size_t max = 65'536) {
     char bytes[65'536];
-    ssize_t got = ::read(socket_, bytes, std::min(most, sizeof bytes));
+    ssize_t got = ::read(socket_, bytes, std::min(max, sizeof bytes));
     return got > 0 ? std::string(bytes, static_cast<std::size_t>(got)) : got == 0 ? "(end)" : "";
   }
 
@@ -112,13 +112,13 @@
 
 inline int free_port() { return Plain().listen(); }
 
-inline ServiceTerms calling_much() {
-  ServiceTerms terms = two_core_terms();
-  terms.calls_share = 20;
-  return terms;
+inline ServiceConfig calling_much() {
+  ServiceConfig config = two_core_config();
+  config.dependency_share = 20;
+  return config;
 }
 
-struct NetStory : testing::Test, service::LogPort {
+struct NetStory : testing::Test, service::Logger {
   void line(const std::string& text) override { lines.push_back(text); }
   void frequent(const std::string& text) override { lines.push_back(text); }
   void routine(const std::string& text) override { lines.push_back(text); }
@@ -161,11 +161,11 @@
 
 struct FrontStory : NetStory {
   FrontStory() : FrontStory(12, 300'000, {}, 1'000) {}
-  FrontStory(std::size_t connections, std::size_t bytes, const peers::PacingTerms& terms,
+  FrontStory(std::size_t connections, std::size_t bytes, const peers::SlowClientOptions& config,
              std::size_t result_bytes)
       : NetStory(result_bytes),
         port(free_port()),
-        front(loop, *this, at_port(port), connections, bytes, terms) {
+        front(loop, *this, at_port(port), connections, bytes, config) {
     world.engine_up();
     front.serve(world.service, [this] { finished = true; });
   }
@@ -209,7 +209,7 @@
   const std::string first = "00000000000000aa";
   const std::string second = "00000000000000bb";
   int port;
-  Front front;
+  FastCgiServer front;
   bool finished = false;
 };
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -49,7 +49,7 @@
   EXPECT_TRUE(comes(peer, "Status: 200"));
 }
 
-// Such exchanges were taken and completed, or held places until the engine turned them away.
+// Such requests were taken and completed, or held places until the engine turned them away.
 TEST_F(FrontStory, WhatIsOutOfTheProtocolsRangeIsTerminatedUnrun) {
   const FrontStory::Pairs wrong = {
       {"HTTP_PROJECT", "nobody"}, {"HTTP_RESERVE_KB", "2000"}, {"HTTP_RESERVE_KB", "nan"},
@@ -242,7 +242,7 @@
     link.begin(session);
   }
   Plain listener;
-  EngineLink link;
+  EngineClient link;
   service::EngineSession session;
 };
 
@@ -316,7 +316,7 @@
 // The process stood still for a second.
 TEST_F(FrontStory, AfterAPauseRunsThatEndedAreTakenBeforeWhatIsNew) {
   Plain listener;
-  EngineLink link(loop, *this, at_port(listener.listen()));
+  EngineClient link(loop, *this, at_port(listener.listen()));
   link.begin(world.service.engine());
   Plain engine = accepted_by(listener);
   turn(10 * kMs);
@@ -372,21 +372,21 @@
     database.begin(world.service);
     world.engine_up();
   }
-  // An exchange whose run waits for its call.
-  service::ServerExchange& calling(const std::string& id) {
-    Caller& caller = world.read(id, kSkipperGroup);
+  // An request whose run waits for its call.
+  service::ServerRequest& calling(const std::string& id) {
+    Caller& caller = world.read(id, kSkipperClass);
     world.need(id);
-    return *caller.ex;
+    return *caller.request;
   }
   Plain accept() { return accepted_by(listener); }
   Plain listener;
-  Database database;
+  DatabaseClient database;
 };
 
 // One spoilt reply took all calls of a shared connection with it.
 TEST_F(DatabaseStory, CallsHaveConnectionsOfTheirOwnSoThatASpoiltReplyEndsOne) {
-  service::ServerExchange& one = calling("a");
-  service::ServerExchange& two = calling("b");
+  service::ServerRequest& one = calling("a");
+  service::ServerRequest& two = calling("b");
   database.call(one, "x", 250 * kMs);
   Plain first = accept();
   database.call(two, "yz", 250 * kMs);
@@ -408,22 +408,22 @@
 }
 
 TEST_F(DatabaseStory, ALineThatDoesNotEndEndsItsCallSoon) {
-  service::ServerExchange& ex = calling("a");
-  database.call(ex, "x", 60 * kSecond);
+  service::ServerRequest& request = calling("a");
+  database.call(request, "x", 60 * kSecond);
   Plain peer = accept();
   peer.write("a ROWS 20\r\nshort");
-  EXPECT_TRUE(until([&] { return ex.calls_lost > 0; }));
+  EXPECT_TRUE(until([&] { return request.calls_lost > 0; }));
 }
 
-// The exchange calls again: a copy of its first reply must not be taken for the second call's.
+// The request calls again: a copy of its first reply must not be taken for the second call's.
 TEST_F(DatabaseStory, ASecondCopyOfAReplyIsNotTheNextCalls) {
-  service::ServerExchange& ex = calling("a");
-  database.call(ex, "first", 250 * kMs);
+  service::ServerRequest& request = calling("a");
+  database.call(request, "first", 250 * kMs);
   Plain one = accept();
   one.write("0123456789abcdef ROWS 1\r\nn\r\na ROWS 3\r\nold\r\n");
   ASSERT_TRUE(until([&] { return world.count("feed a old") == 1; }));
-  ex.calling = true;
-  database.call(ex, "second", 250 * kMs);
+  request.calling = true;
+  database.call(request, "second", 250 * kMs);
   Plain two = accept();
   one.offer("a ROWS 3\r\nold\r\n");
   turn(20 * kMs);
@@ -431,11 +431,11 @@
 }
 
 TEST_F(DatabaseStory, AReplyThatCrossesAGiveUpIsNotTheNextCalls) {
-  service::ServerExchange& ex = calling("a");
-  database.call(ex, "first", 250 * kMs);
+  service::ServerRequest& request = calling("a");
+  database.call(request, "first", 250 * kMs);
   Plain one = accept();
-  database.give_up(ex);
-  database.call(ex, "second", 250 * kMs);
+  database.give_up(request);
+  database.call(request, "second", 250 * kMs);
   Plain two = accept();
   one.offer("a ROWS 3\r\nold\r\n");
   turn(20 * kMs);
@@ -469,12 +469,12 @@
 }
 
 TEST_F(DatabaseStory, ARefusedConnectionProvesThatNothingRanAndABreakDoesNot) {
-  service::ServerExchange& ex = calling("a");
-  database.call(ex, "x", 250 * kMs);
+  service::ServerRequest& request = calling("a");
+  database.call(request, "x", 250 * kMs);
   accept().close();
-  EXPECT_TRUE(until([&] { return ex.calls_lost > 0; }));
+  EXPECT_TRUE(until([&] { return request.calls_lost > 0; }));
   listener.close();
-  service::ServerExchange& other = calling("b");
+  service::ServerRequest& other = calling("b");
   database.call(other, "x", 250 * kMs);
   EXPECT_TRUE(until([&] { return other.call_verdict == Outcome::kUnreachable; }));
   EXPECT_TRUE(logged("database connection ended: refused"));
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -4,8 +4,8 @@
 #include <set>
 
 #include "net/base64.h"
-#include "net/database_lines.h"
-#include "net/engine_lines.h"
+#include "net/database_codec.h"
+#include "net/engine_codec.h"
 #include "net/fastcgi.h"
 
 namespace myrtlecroft::net {
@@ -190,10 +190,10 @@
   for (std::size_t size = 0; size < 17; ++size) {
     EXPECT_EQ(read_database_reply(bytes.substr(0, size), reply), LineState::kPartial) << size;
   }
-  ASSERT_EQ(read_database_reply(bytes, reply), LineState::kWhole);
+  ASSERT_EQ(read_database_reply(bytes, reply), LineState::kComplete);
   EXPECT_EQ(reply.id, "ab");
   EXPECT_EQ(reply.body, "\r\nx\n");
-  ASSERT_EQ(read_database_reply(std::string_view(bytes).substr(reply.size), reply), LineState::kWhole);
+  ASSERT_EQ(read_database_reply(std::string_view(bytes).substr(reply.size), reply), LineState::kComplete);
   EXPECT_EQ(reply.reply, service::Reply::kFull);
   EXPECT_EQ(reply.size, 9u);
 }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -15,70 +15,71 @@
 
 TEST(RunRecords, ItRunsOnceItsIntentIsDurableAndRepeatsGetItsResult) {
   RunRecords records;
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kIntend);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kIntend);
   EXPECT_EQ(records.record_of("a"), "I");
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kJoin);
-  EXPECT_EQ(records.take("a", Input::kDurable), Effect::kRun);
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kJoin);
-  EXPECT_EQ(records.take("a", Input::kEndedWell, 0, "result"), Effect::kKeep);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kJoin);
+  EXPECT_EQ(records.take("a", Input::kDurable), Idempotency::kRun);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kJoin);
+  EXPECT_EQ(records.take("a", Input::kEndedWell, 0, "result"), Idempotency::kKeep);
   EXPECT_EQ(records.record_of("a"), "Gresult");
-  EXPECT_EQ(records.take("a", Input::kDurable), Effect::kNone);
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kAnswer);
+  EXPECT_EQ(records.take("a", Input::kDurable), Idempotency::kNone);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kAnswer);
   EXPECT_EQ(records.find("a")->result, "result");
-  EXPECT_EQ(records.take("a", Input::kOver), Effect::kForget);
+  EXPECT_EQ(records.take("a", Input::kOver), Idempotency::kForget);
   EXPECT_EQ(records.size(), 0u);
 }
 
 TEST(RunRecords, AnIntentWithoutAnOutcomeMayHaveRun) {
   RunRecords records;
   EXPECT_TRUE(records.recovered("a", "I", kWindow));
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kTerminate);
-  EXPECT_EQ(records.take("a", Input::kWantedSick, kWindow), Effect::kTerminate);
-  EXPECT_EQ(records.take("a", Input::kOver), Effect::kForget);
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kIntend);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kTerminate);
+  EXPECT_EQ(records.take("a", Input::kWantedSick, kWindow), Idempotency::kTerminate);
+  EXPECT_EQ(records.take("a", Input::kOver), Idempotency::kForget);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kIntend);
 }
 
 TEST(RunRecords, OutcomesOutliveACrash) {
   RunRecords records;
   EXPECT_TRUE(records.recovered("good", "Gwhat it made", kWindow));
   EXPECT_TRUE(records.recovered("bad", "B", kWindow));
-  EXPECT_EQ(records.take("good", Input::kWanted, kWindow), Effect::kAnswer);
+  EXPECT_EQ(records.take("good", Input::kWanted, kWindow), Idempotency::kAnswer);
   EXPECT_EQ(records.find("good")->result, "what it made");
-  EXPECT_EQ(records.take("bad", Input::kWanted, kWindow), Effect::kTerminate);
+  EXPECT_EQ(records.take("bad", Input::kWanted, kWindow), Idempotency::kTerminate);
 }
 
 TEST(RunRecords, ARecordOfNoKnownKindIsTakenForOneThatMayHaveRun) {
   RunRecords records;
   EXPECT_FALSE(records.recovered("a", "Zsomething newer", kWindow));
   EXPECT_FALSE(records.recovered("b", "", kWindow));
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kTerminate);
-  EXPECT_EQ(records.take("b", Input::kWanted, kWindow), Effect::kTerminate);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kTerminate);
+  EXPECT_EQ(records.take("b", Input::kWanted, kWindow), Idempotency::kTerminate);
 }
 
 TEST(RunRecords, WithASickDiskWhatIsNewIsDeniedAndWhatIsKnownIsAnswered) {
   RunRecords records;
   records.recovered("done", "Gr", kWindow);
-  EXPECT_EQ(records.take("new", Input::kWantedSick, kWindow), Effect::kDeny);
-  EXPECT_EQ(records.take("done", Input::kWantedSick, kWindow), Effect::kAnswer);
-  EXPECT_EQ(records.take("lost", Input::kWanted, kWindow), Effect::kIntend);
-  EXPECT_EQ(records.take("lost", Input::kLost), Effect::kDeny);
-  EXPECT_EQ(records.take("lost", Input::kWanted, kWindow), Effect::kIntend);  // the disk is well again
+  EXPECT_EQ(records.take("new", Input::kWantedSick, kWindow), Idempotency::kReject);
+  EXPECT_EQ(records.take("done", Input::kWantedSick, kWindow), Idempotency::kAnswer);
+  EXPECT_EQ(records.take("lost", Input::kWanted, kWindow), Idempotency::kIntend);
+  EXPECT_EQ(records.take("lost", Input::kLost), Idempotency::kReject);
+  EXPECT_EQ(records.take("lost", Input::kWanted, kWindow), Idempotency::kIntend);  // the disk is well again
 }
 
 TEST(RunRecords, WhatNeverRanMayRunLater) {
   RunRecords records;
   records.take("a", Input::kWanted, kWindow);
   records.take("a", Input::kDurable);
-  EXPECT_EQ(records.take("a", Input::kNeverRan), Effect::kTakeBack);
-  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Effect::kIntend);
+  EXPECT_EQ(records.take("a", Input::kNeverRan), Idempotency::kTakeBack);
+  EXPECT_EQ(records.take("a", Input::kWanted, kWindow), Idempotency::kIntend);
 }
 
-// A node in small: records and store on a fake disk that fails and loses, the engine an account of what ran.
+// A server in small: records and store on a fake disk that fails and loses, the engine an account of what
+// ran.
 struct Node {
   Node(std::unique_ptr<store::FakeDisk> on, std::map<std::string, int>& engine)
       : disk(std::move(on)),
         store(
-            *disk, {.segment_bytes = 600, .slice_bytes = 300, .most_small = 3}, [this] { return time; }, 5),
+            *disk, {.segment_bytes = 600, .slice_bytes = 300, .max_small = 3}, [this] { return time; }, 5),
         ran(engine) {}
   void start() {
     store.open();
@@ -93,16 +94,16 @@
       if (intent) records.take(key, Input::kLost);
       return;
     }
-    if (intent && records.take(key, Input::kDurable) == Effect::kRun) ++ran[key];
+    if (intent && records.take(key, Input::kDurable) == Idempotency::kRun) ++ran[key];
   }
   // What the caller is told.
-  Effect wanted(const std::string& key) {
-    Effect effect = records.take(key, Input::kWanted, kWindow);
-    if (effect == Effect::kIntend) write(key, true);
-    return effect;
+  Idempotency wanted(const std::string& key) {
+    Idempotency idempotency = records.take(key, Input::kWanted, kWindow);
+    if (idempotency == Idempotency::kIntend) write(key, true);
+    return idempotency;
   }
   void ended(const std::string& key) {
-    if (records.take(key, Input::kEndedWell, 0, "of " + key) == Effect::kKeep) write(key, false);
+    if (records.take(key, Input::kEndedWell, 0, "of " + key) == Idempotency::kKeep) write(key, false);
   }
 
   Nanos time = 0;
@@ -118,18 +119,18 @@
     std::map<std::string, int> ran;
     std::set<std::string> ended;
     auto node = std::make_unique<Node>(std::make_unique<store::FakeDisk>(), ran);
-    for (int life = 0; life < 4; ++life) {
+    for (int incarnation = 0; incarnation < 4; ++incarnation) {
       node->disk->crash_at = static_cast<int>(1 + random() % 60);
       if (random() % 2) node->disk->fail_at = static_cast<int>(8 + random() % 30);
       try {
         node->start();
         for (int i = 0; i < 30; ++i) {
           std::string key = "key" + std::to_string(random() % 6);
-          Effect told = node->wanted(key);
-          if (told == Effect::kAnswer) {
+          Idempotency told = node->wanted(key);
+          if (told == Idempotency::kAnswer) {
             EXPECT_EQ(node->records.find(key)->result, "of " + key);
           }
-          if (told == Effect::kDeny) {
+          if (told == Idempotency::kReject) {
             EXPECT_EQ(ran[key], 0) << "what has run is never denied";
           }
           if (random() % 2) node->ended(key);
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -7,20 +7,20 @@
 #include <fstream>
 #include <random>
 
-#include "releases/conductor.h"
 #include "releases/plan.h"
+#include "releases/rollout_controller.h"
 #include "settings/document.h"
 
 namespace myrtlecroft::releases {
 namespace {
 
 using agreement::Decision;
-using agreement::State;
-using agreement::TripInput;
-using agreement::TripPlace;
+using agreement::MaintenanceInput;
+using agreement::MaintenancePhase;
+using agreement::ReplicatedState;
 using agreement::Verdict;
 
-fleet::Fleet fleet_of(int nodes, fleet::MostOut most_out = {.by_count = true, .most = 2}) {
+fleet::Fleet fleet_of(int nodes, fleet::MaxUnavailable max_unavailable = {.by_count = true, .max = 2}) {
   fleet::Fleet out;
   out.listener = "fleet";
   for (int i = 1; i <= nodes; ++i) {
@@ -29,8 +29,9 @@
                          .host = "127.0.0.1",
                          .port = static_cast<std::uint16_t>(4100 + i)});
   }
-  out.groups.push_back({.name = "read", .path = "/read", .slo_time = 500 * kMs, .async_timeout = 500 * kMs});
-  out.outings.most_out = most_out;
+  out.request_classes.push_back(
+      {.name = "read", .path = "/read", .latency_objective = 500 * kMs, .client_timeout = 500 * kMs});
+  out.outings.max_unavailable = max_unavailable;
   out.outings.permit_lasts = 20 * kSecond;
   out.bounds.dwell = out.bounds.ramp = 0;
   return out;
@@ -87,21 +88,21 @@
     out.set_elapsed_ns(elapsed);
     return out;
   }
-  static agreement::TripStep& step(Decision& to, const std::string& node, TripInput input) {
-    agreement::TripStep& out = *to.add_trips();
+  static agreement::MaintenanceStep& step(Decision& to, const std::string& node, MaintenanceInput input) {
+    agreement::MaintenanceStep& out = *to.add_trips();
     out.set_node(node);
     out.set_input(input);
     return out;
   }
   Verdict grant(const std::string& node, Nanos lasts = 10 * kSecond) {
     Decision decision = next();
-    agreement::TripStep& one = step(decision, node, agreement::TRIP_GRANT);
+    agreement::MaintenanceStep& one = step(decision, node, agreement::TRIP_GRANT);
     one.set_why(agreement::WHY_RELEASE);
     one.set_version(2);
     one.set_for_ns(lasts);
     return state.apply(decision);
   }
-  Verdict take(const std::string& node, TripInput input, std::uint64_t applied = 0) {
+  Verdict take(const std::string& node, MaintenanceInput input, std::uint64_t applied = 0) {
     Decision decision = next();
     step(decision, node, input);
     decision.set_applied(applied);
@@ -133,8 +134,10 @@
     memory.set_version(version);
     ASSERT_EQ(state.apply(decision), Verdict::kTaken);
   }
-  const agreement::AgreedTrip* trip(const std::string& node) const { return state.outings().trip(node); }
-  State state;
+  const agreement::MaintenanceLease* trip(const std::string& node) const {
+    return state.outings().lease(node);
+  }
+  ReplicatedState state;
 };
 
 TEST_F(RulesStory, NoMoreAreOutThanTheBudgetsAllow) {
@@ -142,7 +145,7 @@
   EXPECT_EQ(grant("n1"), Verdict::kOutings) << "not twice";
   EXPECT_EQ(grant("n2"), Verdict::kTaken);
   EXPECT_EQ(grant("n3"), Verdict::kOutings);
-  EXPECT_EQ(state.outings().trips().size(), 2u);
+  EXPECT_EQ(state.outings().leases().size(), 2u);
 }
 
 TEST_F(RulesStory, WhatHasFailedUsesUpTheSameBudget) {
@@ -157,7 +160,7 @@
 
 TEST_F(RulesStory, WhereNothingMayBeOutNothingGoes) {
   Decision none = next();
-  *none.mutable_budgets() = budgets_of(fleet_of(4, {.by_count = true, .most = 0}));
+  *none.mutable_budgets() = budgets_of(fleet_of(4, {.by_count = true, .max = 0}));
   ASSERT_EQ(state.apply(none), Verdict::kTaken);
   EXPECT_EQ(grant("n1"), Verdict::kOutings);
 }
@@ -169,7 +172,7 @@
   EXPECT_EQ(take("n1", agreement::TRIP_EMPTIED, state.published() - 1), Verdict::kOutings);
   EXPECT_EQ(take("n1", agreement::TRIP_ORDER), Verdict::kOutings) << "not before it is empty";
   EXPECT_EQ(take("n1", agreement::TRIP_EMPTIED, state.published()), Verdict::kTaken);
-  EXPECT_EQ(trip("n1")->place, TripPlace::kEmpty);
+  EXPECT_EQ(trip("n1")->place, MaintenancePhase::kEmpty);
 }
 
 TEST_F(RulesStory, BackAsAnotherLifeInTheRightVersionOnly) {
@@ -199,14 +202,14 @@
   ASSERT_EQ(grant("n2"), Verdict::kTaken);
   fencing::Epoch before = state.owners_epoch();
   ASSERT_EQ(say(agreement::RELEASE_HALT), Verdict::kTaken);
-  EXPECT_EQ(trip("n1")->place, TripPlace::kReturning);
-  EXPECT_EQ(trip("n2")->place, TripPlace::kReturning);
+  EXPECT_EQ(trip("n1")->place, MaintenancePhase::kReturning);
+  EXPECT_EQ(trip("n2")->place, MaintenancePhase::kReturning);
   EXPECT_GT(state.owners_epoch(), before) << "a newer order says that it may stay";
   EXPECT_EQ(grant("n3"), Verdict::kOutings);
   // It had gone all the same.
   comes_back("n1", 2);
   EXPECT_EQ(take("n1", agreement::TRIP_CAME_BACK), Verdict::kTaken);
-  EXPECT_EQ(trip("n1")->place, TripPlace::kWarming);
+  EXPECT_EQ(trip("n1")->place, MaintenancePhase::kWarming);
 }
 
 TEST_F(RulesStory, OnlyWhatWasTakenGoesBackAndToWhatItHad) {
@@ -217,7 +220,7 @@
   ASSERT_EQ(say(agreement::RELEASE_GO_BACK), Verdict::kTaken);
   for (auto [node, version, taken] : {std::tuple("n2", 1u, false), {"n1", 3u, false}, {"n1", 1u, true}}) {
     Decision decision = next();
-    agreement::TripStep& one = step(decision, node, agreement::TRIP_GRANT);
+    agreement::MaintenanceStep& one = step(decision, node, agreement::TRIP_GRANT);
     one.set_why(agreement::WHY_BACK);
     one.set_version(version);
     one.set_for_ns(kSecond);
@@ -237,10 +240,10 @@
   decision.mutable_drains(0)->set_wanted(true);
   decision.add_results()->set_id(5);
   ASSERT_EQ(state.apply(decision), Verdict::kTaken);
-  State other;
+  ReplicatedState other;
   ASSERT_TRUE(other.restore(state.image()));
   EXPECT_EQ(other.digest(), state.digest());
-  EXPECT_EQ(other.outings().trip("n1")->place, TripPlace::kOrdered);
+  EXPECT_EQ(other.outings().lease("n1")->place, MaintenancePhase::kOrdered);
 }
 
 TEST_F(RulesStory, AnInstanceThatHoldsAnOlderFormKnowsNoneOfIt) {
@@ -248,20 +251,20 @@
   older.set_format(1);
   step(older, "n1", agreement::TRIP_GRANT);
   EXPECT_EQ(state.apply(older), Verdict::kOutings);
-  State held(1);
+  ReplicatedState held(1);
   EXPECT_FALSE(held.restore(state.image()));
   EXPECT_EQ(held.apply(next()), Verdict::kNewer);
 }
 
 // ---- What may be out at the load of the moment
 
-routing::Member member_of(const fleet::Node& node, double asked = 1, double limit = 4) {
-  routing::Member out{.node = node, .state = routing::State::kServing};
+routing::ServerStatus member_of(const fleet::Node& node, double asked = 1, double limit = 4) {
+  routing::ServerStatus out{.node = node, .state = routing::ServerState::kServing};
   out.heard_at = kSecond;
-  out.life = 1;
+  out.incarnation = 1;
   out.version = 1;
   out.report.node = node.name;
-  out.report.life = 1;
+  out.report.incarnation = 1;
   out.report.limit = limit;
   out.report.obeys = true;
   out.asked.add(asked, kSecond);
@@ -270,13 +273,13 @@
 }
 
 TEST(RoomStory, EachPartOfTheFleetHasABudgetOfItsOwn) {
-  fleet::Fleet fleet = fleet_of(6, {.by_count = true, .most = 4});
-  fleet.outings.zone_most_out = {.by_count = false, .most = 0.34};
+  fleet::Fleet fleet = fleet_of(6, {.by_count = true, .max = 4});
+  fleet.outings.zone_max_unavailable = {.by_count = false, .max = 0.34};
   fleet.services.push_back(
-      {.name = "ledger", .used_by = {"n1", "n2", "n4"}, .most_out = {.by_count = true, .most = 1}});
-  std::vector<routing::Member> members;
-  for (const fleet::Node& node : fleet.nodes) members.push_back(member_of(node));
-  Room room(fleet, members, {});
+      {.name = "ledger", .used_by = {"n1", "n2", "n4"}, .max_unavailable = {.by_count = true, .max = 1}});
+  std::vector<routing::ServerStatus> servers;
+  for (const fleet::Node& node : fleet.nodes) servers.push_back(member_of(node));
+  DisruptionBudget room(fleet, servers, {});
   EXPECT_EQ(room.refusal("n1", 0.1), "");
   room.take("n1");
   EXPECT_NE(room.refusal("n3", 0.1).find("zone a"), std::string::npos);
@@ -286,22 +289,23 @@
 
 TEST(RoomStory, WhatStaysMustCarryWhatIsAskedNow) {
   fleet::Fleet fleet = fleet_of(4);
-  std::vector<routing::Member> members;
-  for (const fleet::Node& node : fleet.nodes) members.push_back(member_of(node, 2.6, 4));
-  EXPECT_EQ(Room(fleet, members, {}).refusal("n1", 0.1), "") << "10.4 of 12, a tenth to spare";
-  EXPECT_NE(Room(fleet, members, {}).refusal("n1", 0.2).find("load"), std::string::npos);
+  std::vector<routing::ServerStatus> servers;
+  for (const fleet::Node& node : fleet.nodes) servers.push_back(member_of(node, 2.6, 4));
+  EXPECT_EQ(DisruptionBudget(fleet, servers, {}).refusal("n1", 0.1), "") << "10.4 of 12, a tenth to spare";
+  EXPECT_NE(DisruptionBudget(fleet, servers, {}).refusal("n1", 0.2).find("load"), std::string::npos);
 }
 
 TEST(RoomStory, WhatIsOutForItsHealthTakesNothingMore) {
-  fleet::Fleet fleet = fleet_of(4, {.by_count = true, .most = 1});
-  std::vector<routing::Member> members;
-  for (const fleet::Node& node : fleet.nodes) members.push_back(member_of(node));
-  members[2].state = routing::State::kMute;
-  Room room(fleet, members, {});
+  fleet::Fleet fleet = fleet_of(4, {.by_count = true, .max = 1});
+  std::vector<routing::ServerStatus> servers;
+  for (const fleet::Node& node : fleet.nodes) servers.push_back(member_of(node));
+  servers[2].state = routing::ServerState::kUnresponsive;
+  DisruptionBudget room(fleet, servers, {});
   EXPECT_EQ(room.refusal("n3", 0.1), "");
   EXPECT_NE(room.refusal("n1", 0.1), "");
-  members[1].state = routing::State::kRamping;
-  EXPECT_NE(Room(fleet, members, {}).refusal("n2", 0.1), "") << "on its way back beside one that is out";
+  servers[1].state = routing::ServerState::kSlowStart;
+  EXPECT_NE(DisruptionBudget(fleet, servers, {}).refusal("n2", 0.1), "")
+      << "on its way back beside one that is out";
 }
 
 // ---- The judge
@@ -328,33 +332,33 @@
 struct JudgeWorld {
   explicit JudgeWorld(int nodes, int fresh_count, unsigned seed = 1) : fleet(fleet_of(nodes)), random(seed) {
     for (const fleet::Node& node : fleet.nodes) {
-      members.push_back(member_of(node));
-      bool is_fresh = static_cast<int>(members.size()) <= fresh_count;
+      servers.push_back(member_of(node));
+      bool is_fresh = static_cast<int>(servers.size()) <= fresh_count;
       (is_fresh ? fresh : others).insert(node.name);
-      members.back().report.groups.push_back({"read", 0, 0, 0, 0, 0});
+      servers.back().report.request_classes.push_back({"read", 0, 0, 0, 0, 0});
     }
-    judge.begin(members, kSecond);
+    judge.begin(servers, kSecond);
   }
-  // Exchanges at one node, of which so many are late.
-  void serve(std::size_t at, int exchanges, double late, double work_ms = 10) {
-    report::GroupCounts& counts = members[at].report.groups[0];
-    counts.read += static_cast<std::uint64_t>(exchanges);
-    counts.completed += static_cast<std::uint64_t>(exchanges);
-    auto not_in_time = std::binomial_distribution<int>(exchanges, late)(random);
-    counts.in_time += static_cast<std::uint64_t>(exchanges - not_in_time);
-    members[at].report.core_time += static_cast<std::uint64_t>(work_ms * 1e6 * exchanges);
+  // Requests at one server, of which so many are late.
+  void serve(std::size_t at, int requests, double late, double work_ms = 10) {
+    report::RequestClassCounts& counts = servers[at].report.request_classes[0];
+    counts.read += static_cast<std::uint64_t>(requests);
+    counts.completed += static_cast<std::uint64_t>(requests);
+    auto not_in_time = std::binomial_distribution<int>(requests, late)(random);
+    counts.in_time += static_cast<std::uint64_t>(requests - not_in_time);
+    servers[at].report.core_time += static_cast<std::uint64_t>(work_ms * 1e6 * requests);
   }
-  Finding look(unsigned looks = 32) {
+  AnalysisResult look(unsigned looks = 32) {
     agreement::Plan plan = plan_of(2);
     plan.set_least_exchanges(20);
-    return judge.look(plan, members, fresh, others, looks, 10 * kSecond);
+    return judge.look(plan, servers, fresh, others, looks, 10 * kSecond);
   }
   fleet::Fleet fleet;
   std::mt19937 random;
-  std::vector<routing::Member> members;
+  std::vector<routing::ServerStatus> servers;
   std::set<std::string> fresh;
   std::set<std::string> others;
-  Judge judge;
+  CanaryAnalysis judge;
 };
 
 TEST(JudgeStory, AVersionThatIsLateEverywhereIsBadAndOneThatIsAlikeIsGood) {
@@ -386,15 +390,15 @@
   JudgeWorld world(60, 4);
   for (std::size_t i = 0; i < 60; ++i)
     world.serve(i, 60, 0.02, i < 4 ? 20 : 10 + static_cast<double>(i % 5) / 10);
-  Finding found = world.look();
+  AnalysisResult found = world.look();
   EXPECT_EQ(found.verdict, releases::Verdict::kBad);
   EXPECT_NE(found.why.find("core time"), std::string::npos);
 }
 
 TEST(JudgeStory, NodesThatFallOutOfServiceAreBad) {
   JudgeWorld world(100, 3);
-  for (std::size_t i = 0; i < 3; ++i) world.members[i].state = routing::State::kMute;
-  world.judge.watch(world.members, 2 * kSecond);
+  for (std::size_t i = 0; i < 3; ++i) world.servers[i].state = routing::ServerState::kUnresponsive;
+  world.judge.watch(world.servers, 2 * kSecond);
   EXPECT_EQ(world.look().verdict, releases::Verdict::kBad);
 }
 
@@ -453,7 +457,7 @@
 // ---- One instance that decides, and a fleet of fakes
 
 struct FakeNode {
-  std::uint64_t life = 1;
+  std::uint64_t incarnation = 1;
   std::uint32_t version = 1;
   std::uint64_t sequence = 0;
   std::uint64_t reads = 0;
@@ -484,12 +488,12 @@
     decision.set_term(1);
     decision.set_basis(state.epoch().number);
     decision.set_elapsed_ns(state.epoch().number > 0 ? 100 * kMs : 0);
-    for (const routing::Member& member : router.members().all()) {
+    for (const routing::ServerStatus& server : router.registry().all()) {
       routing_state::NodeMemory& node = *decision.add_nodes();
-      node.set_name(member.node.name);
-      node.set_state(routing::name_of(member.state));
-      node.set_life(member.life);
-      node.set_version(member.version);
+      node.set_name(server.node.name);
+      node.set_state(routing::name_of(server.state));
+      node.set_life(server.incarnation);
+      node.set_version(server.version);
     }
     if (next) {
       decision.mutable_picture()->set_number(state.published() + 1);
@@ -500,8 +504,8 @@
     }
     std::uint64_t applied = state.published();
     decision.set_applied(applied);
-    agreement::Chapter::View view{state, router, commands, applied, state.time() + decision.elapsed_ns(),
-                                  now};
+    agreement::DecisionSection::View view{
+        state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
     conductor.watch(view);
     if (!cut_off) conductor.draft(view, decision);
     ASSERT_EQ(state.apply(decision), Verdict::kTaken);
@@ -510,37 +514,38 @@
       if (result) said = result->said();
       return result != nullptr;
     });
-    most_out = std::max(most_out, state.outings().trips().size());
+    max_unavailable = std::max(max_unavailable, state.outings().leases().size());
   }
   void live(std::size_t at) {
     FakeNode& node = nodes[at];
     std::string name = "n" + std::to_string(at + 1);
-    const agreement::AgreedTrip* trip = state.outings().trip(name);
+    const agreement::MaintenanceLease* trip = state.outings().lease(name);
     if (!deaf) node.epoch = state.owners_epoch();
-    if (!deaf && node.alive && trip && trip->place == TripPlace::kOrdered && trip->life == node.life) {
+    if (!deaf && node.alive && trip && trip->place == MaintenancePhase::kOrdered &&
+        trip->incarnation == node.incarnation) {
       node.alive = false;
       node.back_at = now + 500 * kMs;
       if (!node.wrong) node.version = trip->version;
     }
     if (!node.alive && !node.never && now >= node.back_at) {
       node.alive = true;
-      ++node.life;
+      ++node.incarnation;
       node.sequence = node.reads = node.in_time = 0;
     }
     if (!node.alive || cut_off) return;
     node.reads += 10;
     node.in_time += bad_version == node.version ? 2 : slow_below ? 3 : 10;
-    report::NodeReport report;
+    report::LoadReport report;
     report.node = name;
     report.address = "127.0.0.1:" + std::to_string(4101 + at);
-    report.life = node.life;
+    report.incarnation = node.incarnation;
     report.sequence = ++node.sequence;
     report.engine_up = report.obeys = true;
     report.epoch = node.epoch;
     report.version = static_cast<std::uint8_t>(node.version);
     report.window = 20;
     report.limit = 4;
-    report.groups.push_back({"read", node.reads, 0, node.reads, node.in_time, 0});
+    report.request_classes.push_back({"read", node.reads, 0, node.reads, node.in_time, 0});
     router.report_link(name, true, now);
     router.reported(report, now, now);
   }
@@ -557,14 +562,14 @@
 
   Nanos now = 2 * kSecond;
   routing::Router router;
-  State state;
+  ReplicatedState state;
   std::vector<FakeNode> nodes;
   std::vector<std::string> log;
-  Conductor conductor;
+  RolloutController conductor;
   std::map<std::uint64_t, std::string> commands;
   std::uint64_t last_command = 0;
   std::string said;
-  std::size_t most_out = 0;
+  std::size_t max_unavailable = 0;
   std::uint32_t bad_version = 0;
   bool slow_below = false;
   bool cut_off = false;
@@ -577,11 +582,11 @@
   run(60 * kSecond);
   EXPECT_EQ(release().phase(), agreement::PHASE_DONE) << release().reason() << conductor.outlook();
   EXPECT_EQ(with(2), 10);
-  EXPECT_EQ(most_out, 2u);
+  EXPECT_EQ(max_unavailable, 2u);
 }
 
 struct LargeFleetStory : FleetStory {
-  LargeFleetStory() : FleetStory(fleet_of(60, {.by_count = true, .most = 4})) {}
+  LargeFleetStory() : FleetStory(fleet_of(60, {.by_count = true, .max = 4})) {}
 };
 
 TEST_F(LargeFleetStory, ABadVersionGoesBackByItselfBeforeItIsFar) {
@@ -625,7 +630,7 @@
   for (const fleet::Node& node : fleet.nodes)
     fleet.services.resize(1), fleet.services[0].used_by.push_back(node.name);
   fleet.services[0].name = "ledger";
-  fleet.services[0].most_out = {.by_count = true, .most = 2};
+  fleet.services[0].max_unavailable = {.by_count = true, .max = 2};
   router.fleet_changed(fleet, now);
   run(5 * kSecond);
   start(2);
@@ -640,11 +645,11 @@
   run(2 * kSecond);
   start(2);
   run(400 * kMs);
-  std::size_t out = state.outings().trips().size();
+  std::size_t out = state.outings().leases().size();
   EXPECT_GT(out, 0u);
   cut_off = true;
   run(10 * kSecond);
-  EXPECT_LE(state.outings().trips().size(), out);
+  EXPECT_LE(state.outings().leases().size(), out);
   EXPECT_TRUE(std::all_of(nodes.begin(), nodes.end(), [](const FakeNode& one) { return one.alive; }));
   cut_off = false;
   run(5 * kSecond);
@@ -656,13 +661,13 @@
   say("drain a");
   run(3 * kSecond);
   EXPECT_NE(said.find("as soon as the budgets allow"), std::string::npos) << said;
-  EXPECT_EQ(state.outings().trips().size(), 2u);
-  EXPECT_EQ(state.outings().trips().begin()->second.place, TripPlace::kEmpty);
+  EXPECT_EQ(state.outings().leases().size(), 2u);
+  EXPECT_EQ(state.outings().leases().begin()->second.place, MaintenancePhase::kEmpty);
   run(30 * kSecond);
-  EXPECT_EQ(state.outings().trips().size(), 2u) << "the permit is drawn out";
+  EXPECT_EQ(state.outings().leases().size(), 2u) << "the permit is drawn out";
   say("undrain a");
   run(3 * kSecond);
-  EXPECT_TRUE(state.outings().trips().empty());
+  EXPECT_TRUE(state.outings().leases().empty());
   say("drain nowhere");
   run(kSecond);
   EXPECT_EQ(said.rfind("refused", 0), 0u);
@@ -692,17 +697,17 @@
 TEST_F(FleetStory, ANodeThatWasCalledBackIsNotCountedInBeforeItSaysThatItStays) {
   run(2 * kSecond);
   start(2);
-  while (state.outings().trips().empty() ||
-         state.outings().trips().begin()->second.place != TripPlace::kOrdered)
+  while (state.outings().leases().empty() ||
+         state.outings().leases().begin()->second.place != MaintenancePhase::kOrdered)
     beat(), now += 100 * kMs;
-  // The beat in which nodes would have obeyed does not come: they are halted first.
+  // The beat in which servers would have obeyed does not come: they are halted first.
   deaf = true;
   say("release halt");
   run(kSecond);
-  EXPECT_FALSE(state.outings().trips().empty()) << "nobody knows whether it goes";
+  EXPECT_FALSE(state.outings().leases().empty()) << "nobody knows whether it goes";
   deaf = false;
   run(kSecond);
-  EXPECT_TRUE(state.outings().trips().empty());
+  EXPECT_TRUE(state.outings().leases().empty());
 }
 
 // The same state under another conductor, as after a leader's death at any moment.
@@ -711,12 +716,12 @@
   start(2);
   for (int moment = 0; moment < 30; ++moment) {
     run(700 * kMs);
-    conductor = Conductor([](const std::string&) {});
+    conductor = RolloutController([](const std::string&) {});
   }
   run(60 * kSecond);
   EXPECT_EQ(release().phase(), agreement::PHASE_DONE) << release().reason();
   EXPECT_EQ(release().id(), 1u);
-  EXPECT_EQ(most_out, 2u);
+  EXPECT_EQ(max_unavailable, 2u);
 }
 
 }  // namespace
--- a/tests/reporter_test.cpp
+++ b/tests/reporter_test.cpp
@@ -1,5 +1,5 @@
-// A node's reports on loopback: what control hears, and that a control service that is dead, slow or rude
-// costs the node nothing but a few kilobytes.
+// A server's reports on loopback: what control hears, and that a control service that is dead, slow or rude
+// costs the server nothing but a few kilobytes.
 #include "net/reporter.h"
 
 #include <arpa/inet.h>
@@ -46,14 +46,14 @@
     return got == 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
   }
   // The reports that have come by now.
-  std::vector<report::NodeReport> read() {
+  std::vector<report::LoadReport> read() {
     char buffer[4096];
     for (ssize_t got; (got = ::recv(peer_, buffer, sizeof buffer, 0)) > 0;)
       in_.append(buffer, std::size_t(got));
-    std::vector<report::NodeReport> out;
+    std::vector<report::LoadReport> out;
     report::Malformed malformed{};
     in_.erase(0, report::decode(
-                     in_, [&](report::NodeReport one) { out.push_back(std::move(one)); }, malformed));
+                     in_, [&](report::LoadReport one) { out.push_back(std::move(one)); }, malformed));
     EXPECT_EQ(malformed, report::Malformed::kNo);
     return out;
   }
@@ -94,8 +94,8 @@
 TEST(Reporter, TellsHowTheNodeFares) {
   Node node;
   node.reporter.report_to({.to = {node.control.address()}, .every = 5 * kMs});
-  std::vector<report::NodeReport> came;
-  auto next = [&](const std::function<bool(const report::NodeReport&)>& fits) {
+  std::vector<report::LoadReport> came;
+  auto next = [&](const std::function<bool(const report::LoadReport&)>& fits) {
     return node.run_until([&] {
       if (!node.control.accept()) return false;
       for (auto& one : node.control.read()) came.push_back(std::move(one));
@@ -108,13 +108,14 @@
   node.world.engine_up();
   node.world.read("a1");
   node.world.done("a1");
-  ASSERT_TRUE(next([](const auto& one) { return one.engine_up && one.groups.at(0).completed == 1; }));
-  EXPECT_EQ(came.back().groups[0].group, "read");
-  EXPECT_EQ(came.back().groups[0].read, 1u);
-  EXPECT_EQ(came.back().groups[0].in_time, 1u);
+  ASSERT_TRUE(
+      next([](const auto& one) { return one.engine_up && one.request_classes.at(0).completed == 1; }));
+  EXPECT_EQ(came.back().request_classes[0].request_class, "read");
+  EXPECT_EQ(came.back().request_classes[0].read, 1u);
+  EXPECT_EQ(came.back().request_classes[0].in_time, 1u);
   EXPECT_GT(came.back().window, 0u);
   node.world.service.leave();
-  ASSERT_TRUE(next([](const auto& one) { return one.leaving; }));
+  ASSERT_TRUE(next([](const auto& one) { return one.draining; }));
   for (std::size_t i = 1; i < came.size(); ++i) EXPECT_EQ(came[i].sequence, came[i - 1].sequence + 1);
 }
 
@@ -140,13 +141,13 @@
   node.reporter.report_to({.to = {node.control.address()}, .every = kMs});
   ASSERT_TRUE(node.run_until([&] { return node.control.accept(); }));
   // Far more reports than socket buffers and our own bound hold.
-  std::size_t most = 0;
+  std::size_t max = 0;
   Nanos until = node.loop.now() + 3 * kSecond;
   node.run_until([&] {
-    most = std::max(most, node.reporter.bytes_waiting());
-    return node.loop.now() > until || most > 64 * 1024;
+    max = std::max(max, node.reporter.bytes_waiting());
+    return node.loop.now() > until || max > 64 * 1024;
   });
-  EXPECT_LE(most, 32u * 1024);
+  EXPECT_LE(max, 32u * 1024);
   EXPECT_FALSE(node.control.closed()) << "it is slow, no more";
 }
 
--- a/tests/routing_change_test.cpp
+++ b/tests/routing_change_test.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "routing/repeats.h"
+#include "routing/retry_policy.h"
 #include "routing_fakes.h"
 
 namespace myrtlecroft::routing {
@@ -15,17 +15,17 @@
 // ---- From nothing
 
 // As places among the members.
-std::vector<int> winners_from_nothing(const std::vector<Member>& members, std::size_t shards) {
+std::vector<int> winners_from_nothing(const std::vector<ServerStatus>& servers, std::size_t shards) {
   std::vector<int> out(shards, kNobody);
   for (std::size_t shard = 0; shard < shards; ++shard) {
     double best = 0;
-    for (std::size_t place = 0; place < members.size(); ++place) {
-      const Member& one = members[place];
-      if (!one.in_service() || one.kept_in) continue;
+    for (std::size_t place = 0; place < servers.size(); ++place) {
+      const ServerStatus& one = servers[place];
+      if (!one.in_service() || one.kept_in_rotation) continue;
       std::uint64_t hash = XXH3_64bits_withSeed(one.node.name.data(), one.node.name.size(), shard);
       double score =
           one.node.capacity / -std::log((static_cast<double>(hash >> 11) + 0.5) / 9007199254740992.0);
-      int priority = out[shard] == kNobody ? 0 : members[static_cast<std::size_t>(out[shard])].node.priority;
+      int priority = out[shard] == kNobody ? 0 : servers[static_cast<std::size_t>(out[shard])].node.priority;
       bool wins = out[shard] == kNobody || one.node.priority < priority ||
                   (one.node.priority == priority && score > best);
       if (!wins) continue;
@@ -41,24 +41,24 @@
   return static_cast<std::uint32_t>(std::max(1.0, std::round(value)));
 }
 
-NodeRoute node_from_nothing(const Member& member, const Snapshot* before, int proxies) {
+NodeRoute node_from_nothing(const ServerStatus& server, const Snapshot* before, int proxies) {
   const NodeRoute* was = nullptr;
   if (before) {
-    for (const NodeRoute& one : before->nodes) was = one.name == member.node.name ? &one : was;
+    for (const NodeRoute& one : before->nodes) was = one.name == server.node.name ? &one : was;
   }
-  NodeRoute out{member.node.name, member.node.zone, member.node.host, member.node.port, member.node.priority};
+  NodeRoute out{server.node.name, server.node.zone, server.node.host, server.node.port, server.node.priority};
   out.in_flight = was ? was->in_flight : 0;
-  if (!member.in_service()) {
-    bool drains = member.called_out || member.state == State::kLeaving;
+  if (!server.in_service()) {
+    bool drains = server.called_out || server.state == ServerState::kDraining;
     out.health = drains ? Health::kDraining : Health::kOut;
     return out;
   }
   out.health = Health::kHealthy;
-  double whole = 100 * member.node.capacity;
-  double weight = 100 * member.share();
+  double whole = 100 * server.node.capacity;
+  double weight = 100 * server.share();
   out.weight = steady(weight, was && weight < whole ? was->weight : 0, 0.05);
-  double takes = 1.5 * (member.report.window + member.report.limit) / proxies;
-  if (member.heard_at > 0) out.in_flight = steady(std::max(4.0, takes), out.in_flight, 0.25);
+  double takes = 1.5 * (server.report.window + server.report.limit) / proxies;
+  if (server.heard_at > 0) out.in_flight = steady(std::max(4.0, takes), out.in_flight, 0.25);
   return out;
 }
 
@@ -70,22 +70,22 @@
                .expected_proxies = fleet.proxies,
                .closed_for = fleet.longest_window(),
                .nodes = {},
-               .groups = {},
-               .customers = {},
+               .request_classes = {},
+               .tenants = {},
                .shards = {}};
-  for (const Member& member : router.members().all())
-    out.nodes.push_back(node_from_nothing(member, before, fleet.proxies));
-  for (std::size_t i = 0; i < fleet.groups.size(); ++i) {
-    const fleet::Group& group = fleet.groups[i];
-    GroupRoute route{group.name,       group.path,          group.effect,
-                     group.key_header, group.async_timeout, repeat_rule(group, fleet.bounds)};
+  for (const ServerStatus& server : router.registry().all())
+    out.nodes.push_back(node_from_nothing(server, before, fleet.proxies));
+  for (std::size_t i = 0; i < fleet.request_classes.size(); ++i) {
+    const fleet::RequestClass& request_class = fleet.request_classes[i];
+    RequestClassRoute route{request_class.name,           request_class.path,
+                            request_class.idempotency,    request_class.key_header,
+                            request_class.client_timeout, retry_policy_for(request_class, fleet.bounds)};
     if (i < router.admission().admitted().size()) route.admitted = router.admission().admitted()[i];
-    route.stay_away = group.slo_time / 4;
-    out.groups.push_back(route);
+    route.retry_after = request_class.latency_objective / 4;
+    out.request_classes.push_back(route);
   }
-  for (const fleet::Customer& customer : fleet.customers)
-    out.customers.push_back(
-        {customer.name, static_cast<std::uint32_t>(std::lround(customer.share * 10'000))});
+  for (const fleet::Tenant& tenant : fleet.tenants)
+    out.tenants.push_back({tenant.name, static_cast<std::uint32_t>(std::lround(tenant.share * 10'000))});
   for (const Shard& shard : router.shards().all()) {
     int owner = kClosed;
     for (std::size_t place = 0; place < out.nodes.size(); ++place) {
@@ -106,8 +106,8 @@
     out.bounds.shard_digits = 1;
     out.bounds.dwell = 200 * kMs;
     out.bounds.ramp = 300 * kMs;
-    out.bounds.most_moving = 0.3;
-    out.groups[2].repeat_window = 500 * kMs;
+    out.bounds.max_migrating = 0.3;
+    out.request_classes[2].deduplication_window = 500 * kMs;
     return out;
   }
 
@@ -117,8 +117,8 @@
     if (any) before = world.router.published()->snapshot;
     std::size_t published = world.published.size();
     world.run(100 * kMs);
-    const std::vector<Member>& members = world.router.members().all();
-    std::vector<int> expected = winners_from_nothing(members, world.router.shards().all().size());
+    const std::vector<ServerStatus>& servers = world.router.registry().all();
+    std::vector<int> expected = winners_from_nothing(servers, world.router.shards().all().size());
     for (std::size_t shard = 0; shard < expected.size(); ++shard)
       RC_ASSERT(world.router.shards().winner(shard) == expected[shard]);
     Snapshot picture = picture_from_nothing(world.router, any ? &before : nullptr);
@@ -153,7 +153,7 @@
     world.reports[name].node = name;
     world.reports[name].address = added.address();
   }
-  void new_terms(const std::string& name) {
+  void new_options(const std::string& name) {
     if (!node(name)) return;
     node(name)->capacity = *rc::gen::inRange(1, 5);
     node(name)->priority = *rc::gen::inRange(0, 2);
@@ -171,13 +171,13 @@
       case 1:
         return toggle(world.hung, name);  // some of those are kept in
       case 2:
-        if (world.reports.contains(name)) world.reports[name].leaving = !world.reports[name].leaving;
+        if (world.reports.contains(name)) world.reports[name].draining = !world.reports[name].draining;
         return;
       case 3:
         if (called_out.erase(name) == 0) called_out.insert(name);
         return world.router.call_out(called_out);
       case 4:
-        if (world.reports.contains(name)) ++world.reports[name].life, world.reports[name].sequence = 0;
+        if (world.reports.contains(name)) ++world.reports[name].incarnation, world.reports[name].sequence = 0;
         return;
       case 5:
         world.denies[name] = 2 - std::min<std::uint64_t>(2, world.denies[name]);
@@ -189,7 +189,7 @@
         add_or_remove(name);
         break;
       case 8:
-        new_terms(name);
+        new_options(name);
         break;
       default:
         reorder();
@@ -212,33 +212,35 @@
 
 TEST(Admission, AfterAFleetFileWithItsGroupsInAnotherOrderTheSameGroupIsShed) {
   FleetWorld world;
-  for (auto& [name, report] : world.reports) report.groups = {{.group = "cheap"}, {.group = "read"}};
+  for (auto& [name, report] : world.reports)
+    report.request_classes = {{.request_class = "cheap"}, {.request_class = "read"}};
   world.run(3 * kSecond);
   for (const char* node : {"n1", "n2", "n3"}) world.denies[node] = 1;
   world.run(6 * kSecond);
-  ASSERT_LT(world.router.published()->snapshot.groups[0].admitted, 9000u);
-  std::reverse(world.fleet.groups.begin(), world.fleet.groups.end());
+  ASSERT_LT(world.router.published()->snapshot.request_classes[0].admitted, 9000u);
+  std::reverse(world.fleet.request_classes.begin(), world.fleet.request_classes.end());
   world.router.fleet_changed(world.fleet, world.now);
   world.run(kSecond);
-  const std::vector<GroupRoute>& groups = world.router.published()->snapshot.groups;
-  EXPECT_EQ(groups[3].name, "cheap");
-  EXPECT_LT(groups[3].admitted, 9000u);
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(groups[i].admitted, 10'000u) << groups[i].name;
+  const std::vector<RequestClassRoute>& request_classes = world.router.published()->snapshot.request_classes;
+  EXPECT_EQ(request_classes[3].name, "cheap");
+  EXPECT_LT(request_classes[3].admitted, 9000u);
+  for (std::size_t i = 0; i < 3; ++i)
+    EXPECT_EQ(request_classes[i].admitted, 10'000u) << request_classes[i].name;
 }
 
-TEST(Members, OneIsFoundByItsNameAndByWhereItListensAfterAnotherFleetFile) {
+TEST(ServerRegistry, OneIsFoundByItsNameAndByWhereItListensAfterAnotherFleetFile) {
   FleetWorld world;
   std::rotate(world.fleet.nodes.begin(), world.fleet.nodes.begin() + 1, world.fleet.nodes.end());
   world.fleet.nodes[0].port = 4999;  // n2
-  std::uint64_t layout = world.router.members().layout();
+  std::uint64_t layout = world.router.registry().layout();
   world.router.fleet_changed(world.fleet, world.now);
-  const Members& members = world.router.members();
-  EXPECT_NE(members.layout(), layout);
-  EXPECT_EQ(members.place_of("n1"), 2);
-  EXPECT_EQ(members.place_of("n9"), -1);
-  ASSERT_TRUE(members.member_at("127.0.0.1:4999"));
-  EXPECT_EQ(members.member_at("127.0.0.1:4999")->node.name, "n2");
-  EXPECT_EQ(members.member_at("127.0.0.1:4102"), nullptr);
+  const ServerRegistry& servers = world.router.registry();
+  EXPECT_NE(servers.layout(), layout);
+  EXPECT_EQ(servers.place_of("n1"), 2);
+  EXPECT_EQ(servers.place_of("n9"), -1);
+  ASSERT_TRUE(servers.server_at("127.0.0.1:4999"));
+  EXPECT_EQ(servers.server_at("127.0.0.1:4999")->node.name, "n2");
+  EXPECT_EQ(servers.server_at("127.0.0.1:4102"), nullptr);
 }
 
 }  // namespace
--- a/tests/routing_fakes.h
+++ b/tests/routing_fakes.h
@@ -1,4 +1,4 @@
-// A fleet without a machine: nodes that report as the story says, a clock that only the story moves.
+// A fleet without a machine: servers that report as the story says, a clock that only the story moves.
 #pragma once
 
 #include <map>
@@ -19,59 +19,66 @@
                          .host = "127.0.0.1",
                          .port = static_cast<std::uint16_t>(4100 + i)});
   }
-  out.groups = {
-      {.name = "cheap", .path = "/cheap", .benefit = 0.5, .slo_time = kSecond, .async_timeout = 2 * kSecond},
-      {.name = "read", .path = "/read", .slo_time = kSecond, .async_timeout = 2 * kSecond},
+  out.request_classes = {
+      {.name = "cheap",
+       .path = "/cheap",
+       .priority_weight = 0.5,
+       .latency_objective = kSecond,
+       .client_timeout = 2 * kSecond},
+      {.name = "read", .path = "/read", .latency_objective = kSecond, .client_timeout = 2 * kSecond},
       {.name = "write",
        .path = "/write",
-       .effect = Effect::kDeduplicated,
-       .benefit = 2,
-       .slo_time = kSecond,
-       .async_timeout = 2 * kSecond,
-       .repeat_window = 5 * kSecond,
+       .idempotency = Idempotency::kKeyed,
+       .priority_weight = 2,
+       .latency_objective = kSecond,
+       .client_timeout = 2 * kSecond,
+       .deduplication_window = 5 * kSecond,
        .key_header = "Replay-Key"},
       {.name = "set",
        .path = "/set",
-       .effect = Effect::kMutating,
-       .slo_time = kSecond,
-       .async_timeout = 2 * kSecond}};
+       .idempotency = Idempotency::kNone,
+       .latency_objective = kSecond,
+       .client_timeout = 2 * kSecond}};
   return out;
 }
 
 struct FleetWorld {
-  explicit FleetWorld(fleet::Fleet given = small_fleet(), std::optional<Memory> memory = std::nullopt,
+  explicit FleetWorld(fleet::Fleet given = small_fleet(), std::optional<PersistedState> memory = std::nullopt,
                       bool first_start = true)
       : fleet(std::move(given)),
         router(fleet, std::move(memory), first_start, now,
                [this](const std::string& line) { lines.push_back(line); }) {
     for (const fleet::Node& node : fleet.nodes) {
-      report::NodeReport& report = reports[node.name];
+      report::LoadReport& report = reports[node.name];
       report.node = node.name;
       report.address = node.address();
-      report.life = 100;
+      report.incarnation = 100;
       report.engine_up = true;
       report.window = 20;
       report.limit = 4;
-      report.groups = {{.group = "cheap"}, {.group = "read"}, {.group = "write"}, {.group = "set"}};
+      report.request_classes = {{.request_class = "cheap"},
+                                {.request_class = "read"},
+                                {.request_class = "write"},
+                                {.request_class = "set"}};
     }
   }
 
-  Members::Verdict report(const std::string& node) {
-    report::NodeReport& told = reports.at(node);
+  ServerRegistry::Verdict report(const std::string& node) {
+    report::LoadReport& told = reports.at(node);
     ++told.sequence;
     told.sent_unix = now;
     router.report_link(node, true, now);
     return router.reported(told, now, now);
   }
-  // Each node that speaks takes some exchanges and answers them, a tenth of a second after the other.
+  // Each server that speaks takes some requests and answers them, a tenth of a second after the other.
   void run(Nanos time) {
     for (Nanos end = now + time; now < end;) {
       now += 100 * kMs;
       for (auto& [name, told] : reports) {
         if (quiet.contains(name)) continue;
-        for (report::GroupCounts& counts : told.groups) {
+        for (report::RequestClassCounts& counts : told.request_classes) {
           counts.read += 2;
-          if (!hung.contains(name)) counts.denied += denies[name], counts.completed += 2 - denies[name];
+          if (!hung.contains(name)) counts.rejected += denies[name], counts.completed += 2 - denies[name];
         }
         report(name);
       }
@@ -79,8 +86,8 @@
       if (auto next = router.step(now)) published.push_back(next);
     }
   }
-  const Member& member(const std::string& name) const {
-    for (const Member& one : router.members().all()) {
+  const ServerStatus& server(const std::string& name) const {
+    for (const ServerStatus& one : router.registry().all()) {
       if (one.node.name == name) return one;
     }
     throw std::runtime_error("no member " + name);
@@ -106,7 +113,7 @@
   fleet::Fleet fleet;
   std::vector<std::string> lines;
   Router router;
-  std::map<std::string, report::NodeReport> reports;
+  std::map<std::string, report::LoadReport> reports;
   std::map<std::string, bool> quiet;  // sends no reports
   std::map<std::string, bool> hung;   // takes and answers nothing
   std::map<std::string, std::uint64_t> denies;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -4,18 +4,18 @@
 #include <random>
 #include <set>
 
-#include "routing/repeats.h"
+#include "routing/retry_policy.h"
 #include "routing_fakes.h"
 
 namespace myrtlecroft::routing {
 namespace {
 
-TEST(Members, OneThatFallsSilentIsOutInTheStatedTimeAndBackWhenItReports) {
+TEST(ServerRegistry, OneThatFallsSilentIsOutInTheStatedTimeAndBackWhenItReports) {
   FleetWorld world;
   world.run(3 * kSecond);
   EXPECT_EQ(world.route("n2").health, Health::kHealthy);
   world.quiet["n2"] = true;
-  world.run(world.fleet.bounds.silent_after + 300 * kMs);
+  world.run(world.fleet.bounds.lost_after + 300 * kMs);
   EXPECT_EQ(world.route("n2").health, Health::kOut);
   EXPECT_EQ(world.route("n1").health, Health::kHealthy);
   world.quiet.clear();
@@ -25,14 +25,14 @@
   EXPECT_EQ(world.route("n2").health, Health::kHealthy);
 }
 
-TEST(Members, OneThatHasLeftIsSilentAndNothingChangesAnyMore) {
+TEST(ServerRegistry, OneThatHasLeftIsSilentAndNothingChangesAnyMore) {
   FleetWorld world;
   world.run(3 * kSecond);
-  world.reports["n2"].leaving = true;
+  world.reports["n2"].draining = true;
   world.run(500 * kMs);
   world.quiet["n2"] = true;
   world.run(2 * kSecond);
-  ASSERT_EQ(world.member("n2").state, State::kSilent);
+  ASSERT_EQ(world.server("n2").state, ServerState::kLost);
   std::size_t published = world.published.size();
   std::size_t lines = world.lines.size();
   world.run(3 * kSecond);  // shorter than a window: owners do not move meanwhile
@@ -40,56 +40,57 @@
   EXPECT_EQ(world.lines.size(), lines);
 }
 
-TEST(Members, AllSilentAtOnceIsOurOwnIsolationAndNothingChanges) {
+TEST(ServerRegistry, AllSilentAtOnceIsOurOwnIsolationAndNothingChanges) {
   FleetWorld world;
   world.run(3 * kSecond);
   Snapshot before = world.router.published()->snapshot;
   world.quiet = {{"n1", true}, {"n2", true}, {"n3", true}};
   world.run(60 * kSecond);
-  EXPECT_EQ(world.router.members().view(), View::kIsolated);
+  EXPECT_EQ(world.router.registry().view(), View::kPartitioned);
   EXPECT_EQ(world.router.published()->snapshot, before);
   world.quiet.clear();
   world.run(5 * kSecond);
-  EXPECT_EQ(world.router.members().view(), View::kClear);
+  EXPECT_EQ(world.router.registry().view(), View::kClear);
   EXPECT_EQ(world.router.published()->snapshot, before);
 }
 
 // Reports that came meanwhile are read only after the step that follows: it took all of the fleet for silent.
-TEST(Members, APauseOfOurOwnIsNobodysSilence) {
+TEST(ServerRegistry, APauseOfOurOwnIsNobodysSilence) {
   FleetWorld world;
   world.run(5 * kSecond);
-  ASSERT_EQ(world.router.members().view(), View::kClear);
+  ASSERT_EQ(world.router.registry().view(), View::kClear);
   world.now += 3 * kSecond;
   world.router.step(world.now);
-  EXPECT_EQ(world.router.members().view(), View::kClear);
-  for (const Member& member : world.router.members().all()) EXPECT_EQ(member.state, State::kServing);
+  EXPECT_EQ(world.router.registry().view(), View::kClear);
+  for (const ServerStatus& server : world.router.registry().all())
+    EXPECT_EQ(server.state, ServerState::kServing);
   world.quiet["n1"] = true;
   world.run(1500 * kMs);
-  EXPECT_EQ(world.member("n1").state, State::kSilent) << "silence after it counts as ever";
+  EXPECT_EQ(world.server("n1").state, ServerState::kLost) << "silence after it counts as ever";
 }
 
-TEST(Members, IsolationLeavesTheWordOfThoseStillHeard) {
+TEST(ServerRegistry, IsolationLeavesTheWordOfThoseStillHeard) {
   FleetWorld world(small_fleet(5));
   world.run(3 * kSecond);
   world.quiet = {{"n1", true}, {"n2", true}, {"n3", true}};
   world.run(2 * kSecond);
-  ASSERT_EQ(world.router.members().view(), View::kIsolated);
-  world.reports["n5"].leaving = true;
+  ASSERT_EQ(world.router.registry().view(), View::kPartitioned);
+  world.reports["n5"].draining = true;
   world.run(500 * kMs);
   EXPECT_EQ(world.route("n5").health, Health::kDraining);
   EXPECT_EQ(world.route("n1").health, Health::kHealthy);
 }
 
-TEST(Members, OneThatTakesExchangesAndAnswersNoneIsOutThoughItReportsWell) {
+TEST(ServerRegistry, OneThatTakesExchangesAndAnswersNoneIsOutThoughItReportsWell) {
   FleetWorld world;
   world.run(3 * kSecond);
   world.hung["n3"] = true;
   world.run(2500 * kMs);
-  EXPECT_EQ(world.member("n3").state, State::kMute);
+  EXPECT_EQ(world.server("n3").state, ServerState::kUnresponsive);
   EXPECT_EQ(world.route("n3").health, Health::kOut);
 }
 
-TEST(Members, ProxiesThatGetNoAnswersCountMoreThanItsReports) {
+TEST(ServerRegistry, ProxiesThatGetNoAnswersCountMoreThanItsReports) {
   FleetWorld world;
   world.run(3 * kSecond);
   for (int i = 0; i < 30; ++i) {
@@ -97,11 +98,11 @@
     world.router.proxies_say({.node = "n1", .issued = 5, .succeeded = 5}, world.now);
     world.router.proxies_say({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
   }
-  EXPECT_EQ(world.member("n2").state, State::kMute);
-  EXPECT_EQ(world.member("n1").state, State::kServing);
+  EXPECT_EQ(world.server("n2").state, ServerState::kUnresponsive);
+  EXPECT_EQ(world.server("n1").state, ServerState::kServing);
 }
 
-TEST(Members, ProxiesThatSeeOnlyDenialsOfANodeThatSaysSoTakeNothingOut) {
+TEST(ServerRegistry, ProxiesThatSeeOnlyDenialsOfANodeThatSaysSoTakeNothingOut) {
   FleetWorld world;
   world.run(3 * kSecond);
   world.denies["n2"] = 2;
@@ -109,68 +110,68 @@
     world.run(100 * kMs);
     world.router.proxies_say({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
   }
-  EXPECT_EQ(world.member("n2").state, State::kServing);
+  EXPECT_EQ(world.server("n2").state, ServerState::kServing);
 }
 
-TEST(Members, NoMoreThanTheStatedShareIsOutByChoice) {
+TEST(ServerRegistry, NoMoreThanTheStatedShareIsOutByChoice) {
   FleetWorld world;
   world.run(3 * kSecond);
   world.hung = {{"n1", true}, {"n2", true}};
   world.run(20 * kSecond);
   int out = 0;
-  for (const Member& member : world.router.members().all()) out += !member.in_service();
+  for (const ServerStatus& server : world.router.registry().all()) out += !server.in_service();
   EXPECT_EQ(out, 1);
   EXPECT_TRUE(world.logged("is kept in"));
   world.hung = {{"n1", true}};
   world.run(30 * kSecond);
-  EXPECT_EQ(world.member("n2").state, State::kServing);
-  EXPECT_FALSE(world.member("n1").in_service() && !world.member("n1").kept_in &&
-               world.member("n1").state == State::kServing);
+  EXPECT_EQ(world.server("n2").state, ServerState::kServing);
+  EXPECT_FALSE(world.server("n1").in_service() && !world.server("n1").kept_in_rotation &&
+               world.server("n1").state == ServerState::kServing);
 }
 
-TEST(Members, OneThatFlapsStaysOutForLongerEachTime) {
+TEST(ServerRegistry, OneThatFlapsStaysOutForLongerEachTime) {
   FleetWorld world;
   world.run(3 * kSecond);
   std::vector<Nanos> outs;
   for (int round = 0; round < 4; ++round) {
     world.reports["n1"].mode = Mode::kStalled;
     world.run(500 * kMs);
-    ASSERT_EQ(world.member("n1").state, State::kSick);
+    ASSERT_EQ(world.server("n1").state, ServerState::kUnhealthy);
     world.reports["n1"].mode = Mode::kServing;
     Nanos began = world.now;
-    while (!world.member("n1").in_service() && world.now - began < 60 * kSecond) world.run(100 * kMs);
+    while (!world.server("n1").in_service() && world.now - began < 60 * kSecond) world.run(100 * kMs);
     outs.push_back(world.now - began);
   }
   EXPECT_GT(outs[2], outs[1]);
   EXPECT_GT(outs[3], outs[2]);
   world.run(120 * kSecond);
-  EXPECT_EQ(world.member("n1").flaps, 0) << "forgiven after a calm time";
+  EXPECT_EQ(world.server("n1").flaps, 0) << "forgiven after a calm time";
 }
 
-TEST(Members, AColdOneComesInByDegrees) {
+TEST(ServerRegistry, AColdOneComesInByDegrees) {
   FleetWorld world;
   world.run(3 * kSecond);
   world.quiet["n1"] = true;
   world.run(4 * kSecond);
   world.quiet.clear();
-  world.reports["n1"].life = 200;
-  world.reports["n1"].cold = true;
+  world.reports["n1"].incarnation = 200;
+  world.reports["n1"].warming_up = true;
   std::uint32_t last = 0;
   std::set<std::uint32_t> steps;
   for (int i = 0; i < 150; ++i) {
     world.run(100 * kMs);
-    if (i == 110) world.reports["n1"].cold = false;
+    if (i == 110) world.reports["n1"].warming_up = false;
     std::uint32_t weight = world.route("n1").weight;
     if (last > 0 && weight > 0) EXPECT_LE(weight, last + 10) << "no jump";
     last = weight;
     steps.insert(weight);
   }
   EXPECT_GT(steps.size(), 8u);
-  EXPECT_EQ(world.member("n1").state, State::kServing);
+  EXPECT_EQ(world.server("n1").state, ServerState::kServing);
   EXPECT_EQ(last, 100u);
 }
 
-TEST(Members, OneThatIsPressedHarderGetsLessAtABoundedSpeed) {
+TEST(ServerRegistry, OneThatIsPressedHarderGetsLessAtABoundedSpeed) {
   FleetWorld world;
   world.run(3 * kSecond);
   world.denies["n3"] = 1;
@@ -188,30 +189,31 @@
   EXPECT_EQ(world.route("n3").weight, 100u);
 }
 
-TEST(Members, ReportsThatMakeNoSenseAreNoSignOfLife) {
+TEST(ServerRegistry, ReportsThatMakeNoSenseAreNoSignOfLife) {
   FleetWorld world;
   world.run(3 * kSecond);
   world.quiet["n1"] = true;
   for (int i = 0; i < 30; ++i) {
     world.run(100 * kMs);
-    report::NodeReport told = world.reports["n1"];
+    report::LoadReport told = world.reports["n1"];
     told.sequence += 100 + static_cast<std::uint64_t>(i);
     told.sent_unix = world.now + kSecond * 3600;
-    EXPECT_EQ(world.router.reported(told, world.now, world.now), Members::Verdict::kFuture);
+    EXPECT_EQ(world.router.reported(told, world.now, world.now), ServerRegistry::Verdict::kFuture);
     told.sent_unix = world.now;
     told.address = "127.0.0.1:9999";
-    EXPECT_EQ(world.router.reported(told, world.now, world.now), Members::Verdict::kOtherAddress);
+    EXPECT_EQ(world.router.reported(told, world.now, world.now), ServerRegistry::Verdict::kOtherAddress);
     told.node = "stranger";
-    EXPECT_EQ(world.router.reported(told, world.now, world.now), Members::Verdict::kUnknownNode);
+    EXPECT_EQ(world.router.reported(told, world.now, world.now), ServerRegistry::Verdict::kUnknownNode);
   }
-  EXPECT_EQ(world.member("n1").state, State::kSilent);
-  report::NodeReport old = world.reports["n2"];
-  old.life -= 1;
-  EXPECT_EQ(world.router.reported(old, world.now, world.now), Members::Verdict::kStale);
-  EXPECT_EQ(world.router.reported(world.reports["n2"], world.now, world.now), Members::Verdict::kStale);
+  EXPECT_EQ(world.server("n1").state, ServerState::kLost);
+  report::LoadReport old = world.reports["n2"];
+  old.incarnation -= 1;
+  EXPECT_EQ(world.router.reported(old, world.now, world.now), ServerRegistry::Verdict::kStale);
+  EXPECT_EQ(world.router.reported(world.reports["n2"], world.now, world.now),
+            ServerRegistry::Verdict::kStale);
 }
 
-TEST(Members, OneThatIsNewToTheFileIsLetInOnceItReports) {
+TEST(ServerRegistry, OneThatIsNewToTheFileIsLetInOnceItReports) {
   FleetWorld world;
   world.run(3 * kSecond);
   fleet::Fleet more = small_fleet(4);
@@ -225,7 +227,7 @@
   EXPECT_EQ(world.route("n4").health, Health::kHealthy);
 }
 
-TEST(Members, TheSameNameAtAnotherAddressIsAnotherNode) {
+TEST(ServerRegistry, TheSameNameAtAnotherAddressIsAnotherNode) {
   FleetWorld world;
   world.run(3 * kSecond);
   fleet::Fleet moved = small_fleet();
@@ -241,9 +243,9 @@
 TEST(Router, WithNoReportsWhatWasServedIsServedOn) {
   FleetWorld first;
   first.run(3 * kSecond);
-  first.reports["n2"].leaving = true;
+  first.reports["n2"].draining = true;
   first.run(3 * kSecond);
-  Memory memory = first.router.memory();
+  PersistedState memory = first.router.memory();
   FleetWorld second(small_fleet(), memory, false);
   second.quiet = {{"n1", true}, {"n2", true}, {"n3", true}};
   second.run(60 * kSecond);
@@ -268,7 +270,7 @@
 TEST(Router, NothingIsEmptiedWhenAllNodesLeave) {
   FleetWorld world;
   world.run(3 * kSecond);
-  for (auto& [name, told] : world.reports) told.leaving = true;
+  for (auto& [name, told] : world.reports) told.draining = true;
   world.run(5 * kSecond);
   EXPECT_EQ(fault_of(world.router.published()->snapshot), "");
   EXPECT_TRUE(world.logged("not fit to be served"));
@@ -321,7 +323,7 @@
 TEST(Shards, AnOwnerThatComesBackAsAnotherLifeHasLostThem) {
   FleetWorld world;
   world.run(3 * kSecond);
-  world.reports["n1"].life = 200;  // restarted between two reports, and warm
+  world.reports["n1"].incarnation = 200;  // restarted between two reports, and warm
   world.run(300 * kMs);
   EXPECT_GT(world.router.shards().closed(), 40u);
   world.run(world.fleet.longest_window() - kSecond);
@@ -346,18 +348,18 @@
   world.reports["n4"] = world.reports["n1"];
   world.reports["n4"].node = "n4";
   world.reports["n4"].address = "127.0.0.1:4104";
-  std::size_t most = 0;
+  std::size_t max = 0;
   for (int i = 0; i < 1500; ++i) {
     world.run(100 * kMs);
-    most = std::max(most, world.router.shards().closed());
+    max = std::max(max, world.router.shards().closed());
   }
-  EXPECT_LE(most, 13u);
+  EXPECT_LE(max, 13u);
   int of_n4 = 0;
   for (std::size_t shard = 0; shard < 256; ++shard) of_n4 += world.owner(shard) == "n4";
   EXPECT_GT(of_n4, 40);
 }
 
-// The rule itself, under a random fleet: an exchange that ran at a node within its window runs nowhere else.
+// The rule itself, under a random fleet: an request that ran at a server within its window runs nowhere else.
 // Proxies apply what is published late, each in its own time.
 TEST(Shards, NoKeyRunsAtTwoLivesWithinItsWindow) {
   std::mt19937 random(11);
@@ -366,7 +368,7 @@
   std::vector<std::shared_ptr<const Published>> proxies(3);
   std::vector<Nanos> stuck_until(3);
   std::map<std::pair<std::size_t, int>, std::tuple<std::string, std::uint64_t, Nanos>> ran;  // of a key
-  std::uint64_t life = 1000;
+  std::uint64_t incarnation = 1000;
   int changes = 0;
   for (int step = 0; step < 9000; ++step) {
     world.run(100 * kMs);
@@ -385,14 +387,14 @@
           world.quiet[name] = true;
           break;
         case 1:
-          if (world.quiet.contains(name)) world.reports[name].life = ++life;
+          if (world.quiet.contains(name)) world.reports[name].incarnation = ++incarnation;
           world.quiet.erase(name);
           break;
         case 2:
           world.quiet.erase(name);
           break;
         case 3:
-          world.reports[name].leaving = !world.reports[name].leaving;
+          world.reports[name].draining = !world.reports[name].draining;
           break;
       }
       ++changes;
@@ -406,14 +408,15 @@
       std::string node = proxy->snapshot.nodes[static_cast<std::size_t>(owner)].name;
       auto key = std::make_pair(shard, static_cast<int>(random() % 2));
       auto before = ran.find(key);
-      std::uint64_t its_life = world.reports[node].life;
+      std::uint64_t its_incarnation = world.reports[node].incarnation;
       if (before != ran.end()) {
         auto [where, which, when] = before->second;
-        // A life that ends within the window is the node's own matter (the durable store), not routing's.
+        // A life that ends within the window is the server's own matter (the durable store), not routing's.
         if (world.now - when < 5 * kSecond) EXPECT_EQ(where, node) << "shard " << shard;
-        if (where == node && which == its_life && world.now - when < 5 * kSecond) continue;  // a repeat
+        if (where == node && which == its_incarnation && world.now - when < 5 * kSecond)
+          continue;  // a repeat
       }
-      ran[key] = {node, its_life, world.now};
+      ran[key] = {node, its_incarnation, world.now};
     }
   }
   EXPECT_GT(changes, 50);
@@ -423,13 +426,13 @@
 
 TEST(Repeats, WhatMayHaveRunIsRepeatedOnlyWhereThatIsHarmless) {
   fleet::Fleet fleet = small_fleet();
-  for (const fleet::Group& group : fleet.groups) {
-    RepeatRule rule = repeat_rule(group, fleet.bounds);
+  for (const fleet::RequestClass& request_class : fleet.request_classes) {
+    RetryPolicy rule = retry_policy_for(request_class, fleet.bounds);
     bool risky = false;
-    for (RepeatOn on : rule.on) risky = risky || on == RepeatOn::kReset || on == RepeatOn::kLate;
-    EXPECT_EQ(risky, group.effect == Effect::kRepeatable);
-    EXPECT_EQ(rule.same_node, group.effect == Effect::kDeduplicated);
-    EXPECT_LE(rule.per_try, group.async_timeout);
+    for (RetryOn on : rule.on) risky = risky || on == RetryOn::kReset || on == RetryOn::kLate;
+    EXPECT_EQ(risky, request_class.idempotency == Idempotency::kIdempotent);
+    EXPECT_EQ(rule.same_node, request_class.idempotency == Idempotency::kKeyed);
+    EXPECT_LE(rule.per_try, request_class.client_timeout);
   }
 }
 
@@ -438,17 +441,17 @@
   world.run(3 * kSecond);
   for (const char* node : {"n1", "n2", "n3"}) world.denies[node] = 1;
   world.run(6 * kSecond);
-  auto groups = [&] { return world.router.published()->snapshot.groups; };
-  EXPECT_LT(groups()[0].admitted, 9000u);
-  EXPECT_EQ(groups()[1].admitted, 10'000u);
+  auto request_classes = [&] { return world.router.published()->snapshot.request_classes; };
+  EXPECT_LT(request_classes()[0].admitted, 9000u);
+  EXPECT_EQ(request_classes()[1].admitted, 10'000u);
   world.run(20 * kSecond);
-  EXPECT_EQ(groups()[0].admitted, 500u) << "the least that is always let through";
-  EXPECT_LT(groups()[1].admitted, 10'000u);
-  EXPECT_EQ(world.router.published()->snapshot.groups[2].admitted, 10'000u);
+  EXPECT_EQ(request_classes()[0].admitted, 500u) << "the least that is always let through";
+  EXPECT_LT(request_classes()[1].admitted, 10'000u);
+  EXPECT_EQ(world.router.published()->snapshot.request_classes[2].admitted, 10'000u);
   world.denies.clear();
   world.run(30 * kSecond);
-  for (const GroupRoute& group : world.router.published()->snapshot.groups)
-    EXPECT_EQ(group.admitted, 10'000u);
+  for (const RequestClassRoute& request_class : world.router.published()->snapshot.request_classes)
+    EXPECT_EQ(request_class.admitted, 10'000u);
 }
 
 TEST(Router, SmallChangesOfAWindowAreNotTold) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -40,57 +40,57 @@
 TEST(Service, ARunThatTheEngineRefusesIsAnsweredAndItsRepeatMayRun) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kWriteGroup, "key");
+  Caller& caller = world.read("a", kWriteClass, "key");
   world.service.engine().not_carried_out("RUN", "a");
   EXPECT_EQ(caller.only(), "terminated");
-  world.read("b", kWriteGroup, "key");
+  world.read("b", kWriteClass, "key");
   EXPECT_EQ(world.count("run b"), 1);
 }
 
 // ---- Keys
 
 // Admits what begins with the letter it is told.
-struct LetterGate : service::KeyGate {
+struct LetterGate : service::ShardOwnership {
   bool admits(std::string_view key) const override { return key.starts_with(letter); }
   char letter = 'a';
 };
 
 TEST(Keys, AKeyThatIsAnotherNodesEndsAndIsNotDenied) {
   LetterGate gate;
-  FakeWorld world(two_core_terms(), 1000, nullptr, &gate);
-  EXPECT_EQ(world.read("1", kWriteGroup, "b1").only(), "terminated") << "nor before the engine is up";
+  FakeWorld world(two_core_config(), 1000, nullptr, &gate);
+  EXPECT_EQ(world.read("1", kWriteClass, "b1").only(), "terminated") << "nor before the engine is up";
   world.engine_up();
-  EXPECT_EQ(world.read("2", kWriteGroup, "b2").only(), "terminated");
+  EXPECT_EQ(world.read("2", kWriteClass, "b2").only(), "terminated");
   EXPECT_EQ(world.count("run 2"), 0);
-  world.read("3", kWriteGroup, "a3");
-  world.read("4", kReadGroup);
+  world.read("3", kWriteClass, "a3");
+  world.read("4", kReadClass);
   EXPECT_EQ(world.count("run 3") + world.count("run 4"), 2);
 }
 
 TEST(Keys, WhatRanHereIsAnsweredThoughItsShardHasMoved) {
   LetterGate gate;
-  FakeWorld world(two_core_terms(), 1000, nullptr, &gate);
+  FakeWorld world(two_core_config(), 1000, nullptr, &gate);
   world.engine_up();
-  world.read("1", kWriteGroup, "a1");
+  world.read("1", kWriteClass, "a1");
   world.done("1", Outcome::kOk, "once");
   gate.letter = 'b';
-  EXPECT_EQ(world.read("2", kWriteGroup, "a1").only(), "completed once");
+  EXPECT_EQ(world.read("2", kWriteClass, "a1").only(), "completed once");
 }
 
 TEST(Keys, ARepeatOfWhatRanGetsItsResult) {
   FakeWorld world;
   world.engine_up();
-  world.read("a", kWriteGroup, "key");
+  world.read("a", kWriteClass, "key");
   world.done("a", Outcome::kOk, "once");
-  EXPECT_EQ(world.read("b", kWriteGroup, "key").only(), "completed once");
+  EXPECT_EQ(world.read("b", kWriteClass, "key").only(), "completed once");
   EXPECT_EQ(world.count("run b"), 0);
 }
 
 TEST(Keys, TwoTriesThatComeTogetherRunOnce) {
   FakeWorld world;
   world.engine_up();
-  Caller& first = world.read("a", kWriteGroup, "key");
-  Caller& second = world.read("b", kWriteGroup, "key");
+  Caller& first = world.read("a", kWriteClass, "key");
+  Caller& second = world.read("b", kWriteClass, "key");
   EXPECT_EQ(second.only(), "0");
   world.done("a", Outcome::kOk, "once");
   EXPECT_EQ(first.only(), "completed once");
@@ -101,10 +101,10 @@
 TEST(Keys, ARunGivenUpOnStillServesItsRepeat) {
   FakeWorld world;
   world.engine_up();
-  Caller& first = world.read("a", kWriteGroup, "key", 300 * kMs);
+  Caller& first = world.read("a", kWriteClass, "key", 300 * kMs);
   world.pass(300 * kMs);
   EXPECT_EQ(first.only(), "terminated");
-  Caller& second = world.read("b", kWriteGroup, "key");
+  Caller& second = world.read("b", kWriteClass, "key");
   world.done("a", Outcome::kOk, "late");
   EXPECT_EQ(second.only(), "completed late");
 }
@@ -112,29 +112,29 @@
 TEST(Keys, WhatFailedIsNotRunAgainEither) {
   FakeWorld world;
   world.engine_up();
-  world.read("a", kWriteGroup, "key");
+  world.read("a", kWriteClass, "key");
   world.done("a", Outcome::kFailed, "");
-  EXPECT_EQ(world.read("b", kWriteGroup, "key").only(), "terminated");
+  EXPECT_EQ(world.read("b", kWriteClass, "key").only(), "terminated");
 }
 
 // A caller that sent another's key with a body of its own was given the other's result.
 TEST(Keys, AnotherBodyUnderAKnownKeyGetsAnErrorAndDisturbsNothing) {
   FakeWorld world;
   world.engine_up();
-  Caller& first = world.read("a", kWriteGroup, "key");
+  Caller& first = world.read("a", kWriteClass, "key");
   world.done("a", Outcome::kOk, "once");
   EXPECT_EQ(first.only(), "completed once");
-  Caller& other = world.read("b", kWriteGroup, "key", 2 * kSecond, "another body");
+  Caller& other = world.read("b", kWriteClass, "key", 2 * kSecond, "another body");
   EXPECT_EQ(other.only(), "terminated");
   EXPECT_TRUE(other.unfounded);
-  EXPECT_EQ(world.read("c", kWriteGroup, "key").only(), "completed once");
+  EXPECT_EQ(world.read("c", kWriteClass, "key").only(), "completed once");
 }
 
 TEST(Keys, AKeyTakenByWhatTheEngineDoesNotKnowBindsNoOther) {
   FakeWorld world;
   world.engine_up();
-  Caller& fake = world.read("a", kWriteGroup, "key", 2 * kSecond, "another body");
-  Caller& real = world.read("b", kWriteGroup, "key");
+  Caller& fake = world.read("a", kWriteClass, "key", 2 * kSecond, "another body");
+  Caller& real = world.read("b", kWriteClass, "key");
   world.service.engine().not_carried_out("RUN", "a");
   EXPECT_TRUE(fake.unfounded);
   world.done("b", Outcome::kOk, "once");
@@ -145,35 +145,35 @@
   FakeWorld world;
   world.engine_up();
   world.read("r1"), world.read("r2");  // the cores are taken
-  Caller& held = world.read("a", kWriteGroup, "key", kSecond);
-  Caller& waits = world.read("b", kWriteGroup, "key", 3 * kSecond);
-  world.service.caller_gone(*held.ex);
+  Caller& held = world.read("a", kWriteClass, "key", kSecond);
+  Caller& waits = world.read("b", kWriteClass, "key", 3 * kSecond);
+  world.service.caller_disconnected(*held.request);
   EXPECT_EQ(waits.only(), "terminated");  // what it waited for will not come
   world.done("r1"), world.done("r2");
-  world.read("c", kWriteGroup, "key");
+  world.read("c", kWriteClass, "key");
   EXPECT_EQ(world.count("run c"), 1);
 }
 
 TEST(Keys, TheWindowHoldsForTriesReadLateAndEndsAfterThat) {
   FakeWorld world;
   world.engine_up();
-  world.read("a", kWriteGroup, "key");
+  world.read("a", kWriteClass, "key");
   world.done("a", Outcome::kOk, "once");
   world.pass(10 * kSecond + 100 * kMs);
-  EXPECT_EQ(world.read("b", kWriteGroup, "key").only(), "completed once");
+  EXPECT_EQ(world.read("b", kWriteClass, "key").only(), "completed once");
   world.pass(2 * 5 * kSecond);
-  world.read("c", kWriteGroup, "key");
+  world.read("c", kWriteClass, "key");
   EXPECT_EQ(world.count("run c"), 1);
 }
 
 // A window far shorter than the deadline. It counts from the accept stamp of the try that ran; a repeat at
-// any time within it, also in the very turn in which the key runs out, never runs, and is never denied.
+// any time within it, also in the very turn in which the key runs out, never runs, and is never rejected.
 enum class First { kHeld, kRuns, kJustEnded, kFailed, kAbandoned };
 struct ShortWindow : testing::TestWithParam<First> {
-  static ServiceTerms terms() {
-    ServiceTerms terms = two_core_terms();
-    terms.groups[kWriteGroup].repeat_window = 300 * kMs;
-    return terms;
+  static ServiceConfig config() {
+    ServiceConfig config = two_core_config();
+    config.request_classes[kWriteClass].deduplication_window = 300 * kMs;
+    return config;
   }
   // Which of the tries so far were run.
   static long runs(const FakeWorld& world, int tries) {
@@ -184,21 +184,21 @@
 };
 
 TEST_P(ShortWindow, NoRepeatRunsWithinIt) {
-  FakeWorld world(terms());
+  FakeWorld world(config());
   world.engine_up();
   bool held = GetParam() == First::kHeld;
   if (held) world.read("x"), world.read("y");  // all cores
   Nanos stamp = world.time;
   Nanos patience = GetParam() == First::kAbandoned ? 150 * kMs : 2 * kSecond;
-  world.read("try0", kWriteGroup, "key", patience);
+  world.read("try0", kWriteClass, "key", patience);
   ASSERT_EQ(world.count("run try0"), held ? 0 : 1);
   if (GetParam() == First::kJustEnded) world.done("try0", Outcome::kOk, "first");
   if (GetParam() == First::kFailed) world.done("try0", Outcome::kFailed, "");
   int tries = 0;
-  Nanos last = stamp + terms().groups[kWriteGroup].repeat_window;
+  Nanos last = stamp + config().request_classes[kWriteClass].deduplication_window;
   for (Nanos at = stamp + 10 * kMs; at <= last; at += 10 * kMs) {
     world.pass(at - world.time);
-    Caller& repeat = world.read("try" + std::to_string(++tries), kWriteGroup, "key");
+    Caller& repeat = world.read("try" + std::to_string(++tries), kWriteClass, "key");
     for (const std::string& answer : repeat.answers) EXPECT_NE(answer, "denied");
     EXPECT_LE(runs(world, tries), 1);
   }
@@ -220,39 +220,39 @@
 
 // Where the first try runs on long past its window, a repeat does not run beside it.
 TEST(Keys, ARunOutlivesItsWindow) {
-  FakeWorld world(ShortWindow::terms());
+  FakeWorld world(ShortWindow::config());
   world.engine_up();
-  world.read("a", kWriteGroup, "key", 100 * kMs);
+  world.read("a", kWriteClass, "key", 100 * kMs);
   world.pass(10 * kSecond);
-  Caller& repeat = world.read("b", kWriteGroup, "key");
+  Caller& repeat = world.read("b", kWriteClass, "key");
   EXPECT_EQ(world.count("run b"), 0);
   world.done("a", Outcome::kOk, "late");
   EXPECT_EQ(repeat.only(), "completed late");
   world.pass(10 * kSecond);
-  world.read("c", kWriteGroup, "key");
+  world.read("c", kWriteClass, "key");
   EXPECT_EQ(world.count("run c"), 1);
 }
 
 TEST(Keys, AResultWithoutRoomIsNotKeptAndStillNothingRunsTwice) {
-  FakeWorld world(two_core_terms(), 10);
+  FakeWorld world(two_core_config(), 10);
   world.engine_up();
-  world.read("a", kWriteGroup, "key");
+  world.read("a", kWriteClass, "key");
   world.done("a", Outcome::kOk, "more than ten bytes");
-  EXPECT_EQ(world.read("b", kWriteGroup, "key").only(), "terminated");
+  EXPECT_EQ(world.read("b", kWriteClass, "key").only(), "terminated");
   EXPECT_EQ(world.count("run b"), 0);
 }
 
 TEST(Keys, ReadsOfOneSubjectShareAnAnswerWhileItIsFresh) {
-  ServiceTerms terms = two_core_terms();
-  terms.fresh_for = kSecond;
-  FakeWorld world(terms);
+  ServiceConfig config = two_core_config();
+  config.answer_sharing_window = kSecond;
+  FakeWorld world(config);
   world.engine_up();
-  world.read("a", kReadGroup, "subject");
-  Caller& second = world.read("b", kReadGroup, "subject");
+  world.read("a", kReadClass, "subject");
+  Caller& second = world.read("b", kReadClass, "subject");
   world.done("a", Outcome::kOk, "seen");
   EXPECT_EQ(second.only(), "completed seen");
   world.pass(1100 * kMs);
-  world.read("c", kReadGroup, "subject");
+  world.read("c", kReadClass, "subject");
   EXPECT_EQ(world.count("run c"), 1);
 }
 
@@ -274,7 +274,7 @@
 TEST(Link, ARunThatWasSeenToArriveIsNotSentAgain) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kWriteGroup, "key");
+  Caller& caller = world.read("a", kWriteClass, "key");
   world.pass(50 * kMs);
   world.answer_gauges();
   world.relink();
@@ -288,7 +288,7 @@
   FakeWorld world;
   world.engine_up();
   world.read("read");
-  world.read("write", kWriteGroup, "key");
+  world.read("write", kWriteClass, "key");
   world.relink();
   EXPECT_EQ(world.count("run read"), 2);
   EXPECT_EQ(world.count("run write"), 1);
@@ -297,13 +297,13 @@
 TEST(Link, ARunInDoubtThatNeverEndsIsAnsweredInTimeAndGivesItsCoreBack) {
   FakeWorld world;
   world.engine_up();
-  Caller& one = world.read("a", kWriteGroup, "key", 500 * kMs);
-  Caller& two = world.read("b", kWriteGroup, "other", 500 * kMs);
+  Caller& one = world.read("a", kWriteClass, "key", 500 * kMs);
+  Caller& two = world.read("b", kWriteClass, "other", 500 * kMs);
   world.relink();
   world.pass(500 * kMs);
   EXPECT_EQ(one.only(), "terminated");
   EXPECT_EQ(two.only(), "terminated");
-  EXPECT_EQ(world.read("c", kWriteGroup, "key").only(), "terminated");
+  EXPECT_EQ(world.read("c", kWriteClass, "key").only(), "terminated");
   world.pass(4 * kSecond);
   world.read("d");
   EXPECT_EQ(world.count("run d"), 1);
@@ -312,21 +312,21 @@
 TEST(Link, ARunInDoubtWhoseCallerLeftGivesItsCoreBack) {
   FakeWorld world;
   world.engine_up();
-  Caller& before = world.read("a", kWriteGroup, "key");
-  Caller& after = world.read("b", kWriteGroup, "other");
-  world.service.caller_gone(*before.ex);
+  Caller& before = world.read("a", kWriteClass, "key");
+  Caller& after = world.read("b", kWriteClass, "other");
+  world.service.caller_disconnected(*before.request);
   world.relink();
-  world.service.caller_gone(*after.ex);
+  world.service.caller_disconnected(*after.request);
   world.read("c"), world.read("d");
   EXPECT_EQ(world.count("run c"), 1);
   EXPECT_EQ(world.count("run d"), 1);
-  EXPECT_EQ(world.read("e", kWriteGroup, "key").only(), "terminated");
+  EXPECT_EQ(world.read("e", kWriteClass, "key").only(), "terminated");
 }
 
 TEST(Link, TheBacklogEndsRunsAndIsTakenOnce) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kWriteGroup, "key");
+  Caller& caller = world.read("a", kWriteClass, "key");
   world.service.engine().lost();
   world.service.engine().linked();
   world.service.engine().hello(false, 0);
@@ -341,9 +341,9 @@
 TEST(Link, AReplyInDoubtIsNotGivenToTheNextCall) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kCallerGroup, "key");
+  Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*caller.ex, Reply::kRows, "rows");
+  world.service.replied(*caller.request, Reply::kRows, "rows");
   EXPECT_EQ(world.count("feed a rows"), 1);
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 1);
@@ -357,17 +357,17 @@
   world.engine_up();
   for (int i = 0; i < 30; ++i) {
     std::string id = "before" + std::to_string(i);
-    Caller& caller = world.read(id, kCallerGroup, id);
+    Caller& caller = world.read(id, kCallerClass, id);
     world.need(id);
     world.pass(100 * kMs);
-    world.service.replied(*caller.ex, Reply::kRows, "rows");
+    world.service.replied(*caller.request, Reply::kRows, "rows");
     world.done(id);
   }
   world.pass(kSecond);
-  Caller& called = world.read("a", kCallerGroup, "key");
+  Caller& called = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*called.ex, Reply::kRows, "rows");
-  world.read("b", kCallerGroup, "other");
+  world.service.replied(*called.request, Reply::kRows, "rows");
+  world.read("b", kCallerClass, "other");
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 2);
   EXPECT_EQ(world.count("run b"), 2);
@@ -376,9 +376,9 @@
 TEST(Link, AReplyInDoubtBecomesASkipWhereTheCallMayBeLeftOut) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kSkipperGroup);
+  Caller& caller = world.read("a", kSkipperClass);
   world.need("a");
-  world.service.replied(*caller.ex, Reply::kRows, "rows");
+  world.service.replied(*caller.request, Reply::kRows, "rows");
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 1);
   EXPECT_EQ(world.count("skip a"), 1);
@@ -388,12 +388,12 @@
   FakeWorld world;
   world.engine_up();
   world.service.engine().lost();
-  Caller& caller = world.read("a", kWriteGroup, "key", 300 * kMs);
+  Caller& caller = world.read("a", kWriteClass, "key", 300 * kMs);
   world.pass(300 * kMs);
   EXPECT_EQ(caller.only(), "terminated");
   world.engine_up();
   EXPECT_EQ(world.count("run a"), 0);
-  world.read("b", kWriteGroup, "key");
+  world.read("b", kWriteClass, "key");
   EXPECT_EQ(world.count("run b"), 1);
 }
 
@@ -402,10 +402,10 @@
 TEST(Calls, AReplyIsFedAndTheRunGoesOn) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kCallerGroup, "key");
+  Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
   EXPECT_EQ(world.count("call a"), 1);
-  world.service.replied(*caller.ex, Reply::kRows, "rows");
+  world.service.replied(*caller.request, Reply::kRows, "rows");
   EXPECT_EQ(world.count("feed a rows"), 1);
   world.done("a");
   EXPECT_EQ(caller.only(), "completed result");
@@ -414,7 +414,7 @@
 TEST(Calls, OneThatNeverComesBackIsGivenUpAndTheAnswerIsInTime) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kCallerGroup, "key", kSecond);
+  Caller& caller = world.read("a", kCallerClass, "key", kSecond);
   world.need("a");
   world.pass(kSecond);
   EXPECT_GE(world.count("give up a"), 1);
@@ -424,9 +424,9 @@
 TEST(Calls, ALostCallOfWhatMustNotHappenTwiceIsNotMadeAgain) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kCallerGroup, "key");
+  Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*caller.ex, Reply::kBroken, "");
+  world.service.replied(*caller.request, Reply::kBroken, "");
   EXPECT_EQ(world.count("call a"), 1);
   EXPECT_EQ(caller.only(), "terminated");
 }
@@ -434,9 +434,9 @@
 TEST(Calls, OneTurnedAwayIsMadeAgainButNotInATightLoop) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kCallerGroup, "key");
+  Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*caller.ex, Reply::kFull, "");
+  world.service.replied(*caller.request, Reply::kFull, "");
   EXPECT_EQ(world.count("call a"), 1);
   world.pass(50 * kMs);
   EXPECT_EQ(world.count("call a"), 2);
@@ -445,7 +445,7 @@
 TEST(Calls, TheRunsEndGivesUpItsCall) {
   FakeWorld world;
   world.engine_up();
-  world.read("a", kCallerGroup, "key");
+  world.read("a", kCallerClass, "key");
   world.need("a");
   world.done("a", Outcome::kCanceled, "");
   EXPECT_EQ(world.count("give up a"), 1);
@@ -459,7 +459,7 @@
   world.service.engine().lost();
   std::vector<Caller*> callers;
   for (int i = 0; i < 6; ++i)
-    callers.push_back(&world.read("x" + std::to_string(i), kReadGroup, "", kSecond));
+    callers.push_back(&world.read("x" + std::to_string(i), kReadClass, "", kSecond));
   world.pass(kSecond);
   for (Caller* caller : callers) EXPECT_EQ(caller->answers.size(), 1u);
 }
@@ -469,7 +469,7 @@
   world.engine_up();
   world.read("a"), world.read("b");
   Caller& held = world.read("c");
-  world.service.caller_gone(*held.ex);
+  world.service.caller_disconnected(*held.request);
   world.done("a"), world.done("b");
   EXPECT_EQ(world.count("run c"), 0);
   EXPECT_EQ(held.only(), "0");
@@ -515,7 +515,7 @@
 TEST(Drain, AllIsAnsweredBeforeTheStopWhateverHangs) {
   FakeWorld world;
   world.engine_up();
-  Caller& caller = world.read("a", kReadGroup, "", 60 * kSecond);
+  Caller& caller = world.read("a", kReadClass, "", 60 * kSecond);
   world.service.leave();
   world.pass(2950 * kMs);
   EXPECT_EQ(caller.only(), "terminated");
--- a/tests/pacing_test.cpp
+++ b/tests/slow_client_policy_test.cpp
@@ -1,5 +1,5 @@
 // Who is waited for and who is not, with a clock that the story turns.
-#include "peers/pacing.h"
+#include "peers/slow_client_policy.h"
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 namespace {
 
 struct Peer final : PacedPeer {
-  Standing standing() const override { return now; }
+  ConnectionProgress standing() const override { return now; }
   void paced(Effect effect) override {
     effects.push_back(effect);
     if (effect == Effect::kPause) reading = false;
@@ -21,10 +21,10 @@
   bool dropped() const {
     return !effects.empty() && (effects.back() == Effect::kDropSlow || effects.back() == Effect::kDropUnread);
   }
-  Standing now;
+  ConnectionProgress now;
   std::vector<Effect> effects;
   bool reading = true;
-  Account account;
+  ConnectionAccount account;
 };
 
 struct PacingStory : testing::Test {
@@ -65,7 +65,7 @@
   }
 
   Nanos time = kSecond;
-  Pacing pacing{PacingTerms{}, PacingLimits{.bytes = 1'000'000, .peers = 100}};
+  SlowClientPolicy pacing{SlowClientOptions{}, SlowClientLimits{.bytes = 1'000'000, .peers = 100}};
   std::deque<Peer> peers;
 };
 
@@ -73,24 +73,24 @@
   Peer& peer = comes();
   EXPECT_EQ(pacing.next_look(), 0);
   pass(100 * kSecond);
-  EXPECT_EQ(peer.account.state(), State::kQuiet);
+  EXPECT_EQ(peer.account.state(), State::kIdle);
   EXPECT_TRUE(peer.effects.empty());
 }
 
 TEST_F(PacingStory, OneThatWritesSlowlyButSteadilyAboveTheRateIsServed) {
   Peer& peer = writes(50);
   pass(4 * kSecond, [&] { peer.now.in += 30; });  // 600 bytes a second
-  EXPECT_EQ(peer.account.state(), State::kMoving);
+  EXPECT_EQ(peer.account.state(), State::kActive);
   peer.now.awaited = 0;
   pass(200 * kMs);
-  EXPECT_EQ(peer.account.state(), State::kQuiet);
+  EXPECT_EQ(peer.account.state(), State::kIdle);
   EXPECT_TRUE(peer.effects.empty());
 }
 
 TEST_F(PacingStory, OneThatStopsAByteBeforeTheEndIsHurriedThenDropped) {
   Peer& peer = writes(400);
   pass(1100 * kMs);
-  EXPECT_EQ(peer.account.state(), State::kHurried);
+  EXPECT_EQ(peer.account.state(), State::kFinalWarning);
   EXPECT_TRUE(peer.effects.empty());
   pass(600 * kMs);
   EXPECT_EQ(peer.effects, std::vector{Effect::kDropSlow});
@@ -101,9 +101,9 @@
 TEST_F(PacingStory, AHurriedOneThatDoesBetterIsServed) {
   Peer& peer = writes(10);
   pass(1200 * kMs);
-  ASSERT_EQ(peer.account.state(), State::kHurried);
+  ASSERT_EQ(peer.account.state(), State::kFinalWarning);
   pass(2 * kSecond, [&] { peer.now.in += 100; });
-  EXPECT_EQ(peer.account.state(), State::kMoving);
+  EXPECT_EQ(peer.account.state(), State::kActive);
 }
 
 TEST_F(PacingStory, AByteJustInsideEveryTimeLimitDoesNotHelp) {
@@ -132,7 +132,7 @@
   EXPECT_EQ(peer.account.state(), State::kPaused);
   EXPECT_FALSE(peer.reading);
   pass(1 * kSecond);
-  EXPECT_EQ(peer.account.state(), State::kBlocked);
+  EXPECT_EQ(peer.account.state(), State::kWriteStalled);
   pass(600 * kMs);
   EXPECT_EQ(peer.effects.back(), Effect::kDropUnread);
 }
@@ -141,7 +141,7 @@
   Peer& peer = reads(100'000);
   peer.now.open = 3;
   pass(4 * kSecond);
-  EXPECT_EQ(peer.account.state(), State::kBlocked);
+  EXPECT_EQ(peer.account.state(), State::kWriteStalled);
   EXPECT_FALSE(peer.dropped());
   peer.now.open = 0;
   pass(200 * kMs);
@@ -156,7 +156,7 @@
   EXPECT_FALSE(peer.reading) << peer.now.unread;
   pass(500 * kMs, [&] { peer.now.out += 5'000, peer.now.unread -= 5'000; });
   EXPECT_TRUE(peer.reading) << peer.now.unread;
-  EXPECT_EQ(peer.account.state(), State::kMoving);
+  EXPECT_EQ(peer.account.state(), State::kActive);
 }
 
 TEST_F(PacingStory, AOneByteWindowIsBelowTheRate) {
@@ -189,7 +189,7 @@
   ASSERT_TRUE(peer.reading);
   // Its request gets its grace from here on.
   pass(500 * kMs, [&] { peer.now.out += 1'000; });
-  EXPECT_EQ(peer.account.state(), State::kMoving);
+  EXPECT_EQ(peer.account.state(), State::kActive);
 }
 
 TEST_F(PacingStory, AStopOfOurOwnProcessIsTakenForNobodysSlowness) {
@@ -197,11 +197,11 @@
   pass(500 * kMs);
   time += 20 * kSecond;  // stopped and continued
   pacing.look(time);
-  EXPECT_EQ(pacing.count(State::kMoving), 60u);
+  EXPECT_EQ(pacing.count(State::kActive), 60u);
   pass(300 * kMs, [&] {
     for (Peer& peer : peers) peer.now.in += 100, peer.now.out += 100;
   });
-  EXPECT_EQ(pacing.count(State::kMoving), 60u);
+  EXPECT_EQ(pacing.count(State::kActive), 60u);
   for (Peer& peer : peers) EXPECT_TRUE(peer.effects.empty());
 }
 
@@ -212,8 +212,8 @@
   time += 20 * kSecond;
   Peer& next = writes(100);
   pacing.look(time);
-  EXPECT_EQ(peer.account.state(), State::kMoving);
-  EXPECT_EQ(next.account.state(), State::kMoving);
+  EXPECT_EQ(peer.account.state(), State::kActive);
+  EXPECT_EQ(next.account.state(), State::kActive);
   pass(2 * kSecond);
   EXPECT_TRUE(peer.dropped());
 }
@@ -222,7 +222,7 @@
   Peer& peer = writes(500);
   EXPECT_EQ(pacing.strictness(), 1);
   pass(2 * kSecond, [&] { peer.now.in += 40; });
-  EXPECT_EQ(peer.account.state(), State::kMoving);
+  EXPECT_EQ(peer.account.state(), State::kActive);
   for (int i = 0; i < 99; ++i) writes(100);
   EXPECT_EQ(pacing.strictness(), 4);
   pass(400 * kMs, [&] { peer.now.in += 40; });
@@ -254,8 +254,8 @@
   pass(300 * kMs);
   EXPECT_EQ(pacing.worst(slow.account, time), &slow.account);
   // What a balancer beside others holds beyond its share is waited for less.
-  EXPECT_EQ(slow.account.state(), State::kHurried);
-  EXPECT_EQ(other.account.state(), State::kMoving);
+  EXPECT_EQ(slow.account.state(), State::kFinalWarning);
+  EXPECT_EQ(other.account.state(), State::kActive);
 }
 
 TEST_F(PacingStory, APeerThatTellsItsBalancersNumberTakesWhatItHoldsAlong) {
--- a/tests/slow_peers_test.cpp
+++ b/tests/slow_peers_test.cpp
@@ -4,14 +4,14 @@
 namespace myrtlecroft::net {
 namespace {
 
-peers::PacingTerms short_times() {
-  peers::PacingTerms terms;
-  terms.least_rate = 2'000;
-  terms.rate_over = 100 * kMs;
-  terms.grace = 200 * kMs;
-  terms.hurry = 100 * kMs;
-  terms.whole_within = 600 * kMs;
-  return terms;
+peers::SlowClientOptions short_times() {
+  peers::SlowClientOptions options;
+  options.min_rate = 2'000;
+  options.rate_over = 100 * kMs;
+  options.grace = 200 * kMs;
+  options.hurry = 100 * kMs;
+  options.whole_within = 600 * kMs;
+  return options;
 }
 
 struct SlowStory : FrontStory {
@@ -39,17 +39,17 @@
     world.done(id);
     return comes(peer, "Status: 200");
   }
-  // Sends deduplicated exchanges one after the other and completes them, reading nothing, until the peer is
+  // Sends deduplicated requests one after the other and completes them, reading nothing, until the peer is
   // no longer read. Their keys are their ids, from `base` on. How many were completed.
   int completes_unread(Plain& peer, int base) {
     using peers::State;
-    std::size_t held_back = front.pacing().count(State::kPaused) + front.pacing().count(State::kBlocked);
+    std::size_t held_back = front.pacing().count(State::kPaused) + front.pacing().count(State::kWriteStalled);
     for (int i = 0; i < 200; ++i) {
       std::string id = trace(base + i);
       peer.write(keyed(i % 32 + 1, id, id));
       bool read = until([&] {
         return world.count("run " + id) == 1 ||
-               front.pacing().count(State::kPaused) + front.pacing().count(State::kBlocked) > held_back;
+               front.pacing().count(State::kPaused) + front.pacing().count(State::kWriteStalled) > held_back;
       });
       EXPECT_TRUE(read);
       if (world.count("run " + id) == 0) return i;
@@ -58,8 +58,8 @@
     }
     return 200;
   }
-  std::uint64_t completed(Group group) const {
-    return world.service.counts()[static_cast<std::size_t>(group)].completed;
+  std::uint64_t completed(Group request_class) const {
+    return world.service.counts()[static_cast<std::size_t>(request_class)].completed;
   }
   const std::string large = std::string(4'000, 'r');
 };
@@ -147,7 +147,7 @@
     EXPECT_LT(each, 100);
     all += static_cast<std::uint64_t>(each);
   }
-  EXPECT_EQ(completed(kWriteGroup), all);
+  EXPECT_EQ(completed(kWriteClass), all);
   EXPECT_TRUE(until([&] { return front.ended(Reason::kUnread) == kPeers; }));
   EXPECT_LT(front.pacing().bytes(), 10'000u);
   // Each repeat gets the result from the record, and nothing runs again.
@@ -160,7 +160,7 @@
     turn(5 * kMs);
     again.read();
   }
-  EXPECT_EQ(completed(kWriteGroup), all + kPeers);
+  EXPECT_EQ(completed(kWriteClass), all + kPeers);
 }
 
 TEST_F(SlowStory, OneThatOpensItsWindowByAByteIsLetGo) {
@@ -173,20 +173,20 @@
   }));
 }
 
-// Exchanges at full speed from one that reads nothing: soon none of them is read any more.
+// Requests at full speed from one that reads nothing: soon none of them is read any more.
 TEST_F(SlowStory, OneThatFloodsAndReadsNothingIsHeldBack) {
   Plain flood = narrow();
   Plain good = connected();
   good.write(request(1, "/-/healthy", ""));
   EXPECT_TRUE(comes(good, "Status: 200"));
   EXPECT_GT(completes_unread(flood, 1), 20);
-  std::uint64_t read = world.service.counts()[kWriteGroup].read;
+  std::uint64_t read = world.service.counts()[kWriteClass].read;
   std::string pending;
   for (int n = 0; n < 1'000 && !logged("ended: unread"); ++n) {
     if (pending.empty()) pending = keyed(n % 32 + 1, trace(10'000 + n), trace(10'000 + n));
     pending.erase(0, flood.send_some(pending));
     turn(kMs);
-    EXPECT_EQ(world.service.counts()[kWriteGroup].read, read);
+    EXPECT_EQ(world.service.counts()[kWriteClass].read, read);
   }
   EXPECT_TRUE(logged("ended: unread"));
   good.write(request(1, "/-/healthy", ""));
@@ -296,7 +296,7 @@
 // An engine that reads nothing: what waits for it is bounded, and told anew on the next link.
 TEST_F(NetStory, AnEngineThatReadsNothingDoesNotFillTheMemory) {
   Plain listener;
-  EngineLink link(loop, *this, at_port(listener.listen(4'096)), 65'536);
+  EngineClient link(loop, *this, at_port(listener.listen(4'096)), 65'536);
   service::EngineSession session(link, world.service);
   link.begin(session);
   Plain engine = accepted_by(listener);
@@ -315,9 +315,9 @@
 // A database connection that takes no bytes costs the call that is on it.
 TEST_F(NetStory, ADatabaseConnectionThatTakesNothingIsChargedToItsCallAlone) {
   Plain listener;
-  Database database(loop, *this, at_port(listener.listen(4'096)), 2);
+  DatabaseClient database(loop, *this, at_port(listener.listen(4'096)), 2);
   database.begin(world.service);
-  service::ServerExchange stuck, good, more;
+  service::ServerRequest stuck, good, more;
   stuck.id = "00000000000000aa", good.id = "00000000000000bb", more.id = "00000000000000cc";
   database.call(stuck, std::string(2'000'000, 'x'), kSecond);
   Plain first = accepted_by(listener);
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -31,7 +31,7 @@
   routing::FleetWorld world(routing::small_fleet(5));
   world.run(5 * kSecond);
   AppliedSet::Endpoints before = served(world);
-  world.reports["n2"].leaving = true;
+  world.reports["n2"].draining = true;
   world.run(kSecond);
   AppliedSet::Endpoints after = served(world);
   ASSERT_EQ(after.endpoints_size(), 4);
--- a/tests/store_fakes.h
+++ b/tests/store_fakes.h
@@ -48,9 +48,9 @@
     return std::make_unique<Growing>(*this, content);
   }
   std::uint64_t size(const std::string& name) override { return at(name).now.size(); }
-  std::string read(const std::string& name, std::uint64_t offset, std::size_t most) override {
+  std::string read(const std::string& name, std::uint64_t offset, std::size_t max) override {
     const std::string& all = at(name).now;
-    return offset >= all.size() ? "" : all.substr(static_cast<std::size_t>(offset), most);
+    return offset >= all.size() ? "" : all.substr(static_cast<std::size_t>(offset), max);
   }
   void rename(const std::string& from, const std::string& to) override {
     step();
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -11,8 +11,8 @@
 #include <filesystem>
 #include <thread>
 
-#include "store/committer.h"
 #include "store/file_disk.h"
+#include "store/group_committer.h"
 #include "store_fakes.h"
 
 namespace myrtlecroft::store {
@@ -22,10 +22,13 @@
 
 // One life of a store on a fake disk. Time stands still unless it is turned.
 struct Life {
-  explicit Life(std::unique_ptr<FakeDisk> on = std::make_unique<FakeDisk>(), StoreTerms terms = small(),
+  explicit Life(std::unique_ptr<FakeDisk> on = std::make_unique<FakeDisk>(), StoreOptions options = small(),
                 Nanos begins = 0)
-      : time(begins), disk(std::move(on)), store(*disk, terms, [this] { return time; }, 7) {}
-  static StoreTerms small() { return {.segment_bytes = 1'000, .slice_bytes = 300, .most_small = 4}; }
+      : time(begins),
+        disk(std::move(on)),
+        store(
+            *disk, options, [this] { return time; }, 7) {}
+  static StoreOptions small() { return {.segment_bytes = 1'000, .slice_bytes = 300, .max_small = 4}; }
   void put(const std::string& key, const std::string& value, Nanos window = kWindow) {
     store.put(key, value, window);
     store.commit();
@@ -39,20 +42,21 @@
   Store store;
 };
 
-std::unique_ptr<Life> again(const Life& life) {
-  auto next = std::make_unique<Life>(life.disk->after_end());
+std::unique_ptr<Life> again(const Life& incarnation) {
+  auto next = std::make_unique<Life>(incarnation.disk->after_end());
   next->store.open();
   return next;
 }
 
 TEST(Store, WhatWasCommittedIsThereAfterARestart) {
-  Life life;
-  life.store.open();
-  for (int i = 0; i < 40; ++i) life.put("key" + std::to_string(i), std::string(50, 'v') + std::to_string(i));
-  life.put("key7", "newer");
-  life.store.drop("key8");
-  life.store.commit();
-  auto next = again(life);
+  Life incarnation;
+  incarnation.store.open();
+  for (int i = 0; i < 40; ++i)
+    incarnation.put("key" + std::to_string(i), std::string(50, 'v') + std::to_string(i));
+  incarnation.put("key7", "newer");
+  incarnation.store.drop("key8");
+  incarnation.store.commit();
+  auto next = again(incarnation);
   EXPECT_EQ(next->get("key7"), "newer");
   EXPECT_EQ(next->get("key8"), "none");
   EXPECT_EQ(next->get("key39"), std::string(50, 'v') + "39");
@@ -60,34 +64,35 @@
 }
 
 TEST(Store, FilesCutAtEveryByteKeepAllBeforeTheCutAndInventNothing) {
-  Life life;
-  life.store.open();
+  Life incarnation;
+  incarnation.store.open();
   std::vector<std::size_t> ends;
   for (int i = 0; i < 6; ++i) {
-    life.put("key" + std::to_string(i), "value" + std::to_string(i));
-    ends.push_back(life.disk->bytes(segment_name(1)).size());
+    incarnation.put("key" + std::to_string(i), "value" + std::to_string(i));
+    ends.push_back(incarnation.disk->bytes(segment_name(1)).size());
   }
   for (std::size_t cut = kSegmentHead; cut <= ends.back(); ++cut) {
-    Life next(life.disk->after_end());
+    Life next(incarnation.disk->after_end());
     next.disk->bytes(segment_name(1)).resize(cut);
     next.store.open();
     for (std::size_t i = 0; i < ends.size(); ++i) {
-      EXPECT_EQ(next.get("key" + std::to_string(i)), ends[i] <= cut ? "value" + std::to_string(i) : "none") << cut;
+      EXPECT_EQ(next.get("key" + std::to_string(i)), ends[i] <= cut ? "value" + std::to_string(i) : "none")
+          << cut;
     }
   }
 }
 
 TEST(Store, AFlippedByteCostsItsRecordAndNoOther) {
-  Life life;
-  life.store.open();
+  Life incarnation;
+  incarnation.store.open();
   std::vector<std::size_t> ends = {kSegmentHead};
   for (int i = 0; i < 5; ++i) {
-    life.put("key" + std::to_string(i), "value" + std::to_string(i));
-    ends.push_back(life.disk->bytes(segment_name(1)).size());
+    incarnation.put("key" + std::to_string(i), "value" + std::to_string(i));
+    ends.push_back(incarnation.disk->bytes(segment_name(1)).size());
   }
   for (std::size_t at = kSegmentHead; at < ends.back(); ++at) {
     for (int bit : {0x01, 0x80}) {
-      Life next(life.disk->after_end());
+      Life next(incarnation.disk->after_end());
       char& byte = next.disk->bytes(segment_name(1))[at];
       byte = static_cast<char>(byte ^ bit);
       Recovery found = next.store.open();
@@ -105,27 +110,28 @@
   Life other;
   other.store.open();
   other.put("forged", "yes");
-  Life life;
-  life.store.open();
+  Life incarnation;
+  incarnation.store.open();
   std::string record;
   append_record(record, {.sequence = 99, .window = kWindow, .key = "forged", .value = "yes"}, 0, 0);
-  life.put("a", other.disk->bytes(segment_name(1)) + record);
-  life.put("b", "after");
-  auto bytes = &life.disk->bytes(segment_name(1));
-  (*bytes)[kSegmentHead + 3] ^= 1;  // its own record is damaged, and what it holds is passed over byte by byte
-  auto next = again(life);
+  incarnation.put("a", other.disk->bytes(segment_name(1)) + record);
+  incarnation.put("b", "after");
+  auto bytes = &incarnation.disk->bytes(segment_name(1));
+  (*bytes)[kSegmentHead + 3] ^=
+      1;  // its own record is damaged, and what it holds is passed over byte by byte
+  auto next = again(incarnation);
   EXPECT_EQ(next->get("forged"), "none");
   EXPECT_EQ(next->get("b"), "after");
 }
 
 // What is known of every key: the values that it may have after a crash.
 struct Model {
-  std::map<std::string, std::string> known;    // acknowledged
+  std::map<std::string, std::string> known;                 // acknowledged
   std::map<std::string, std::vector<std::string>> perhaps;  // asked for and not acknowledged, in order
 };
 
 // Puts, drops and compaction over several segments, told to the model as they are acknowledged.
-void live(Life& life, Model& model, unsigned seed, int steps) {
+void live(Life& incarnation, Model& model, unsigned seed, int steps) {
   std::mt19937 random(seed);
   for (int i = 0; i < steps; ++i) {
     model.perhaps.clear();
@@ -133,15 +139,15 @@
       std::string key = "key" + std::to_string(random() % 12);
       std::string value = std::to_string(seed) + "." + std::to_string(i) + "." + std::to_string(j);
       if (random() % 5 == 0) {
-        life.store.drop(key);
+        incarnation.store.drop(key);
         value = "none";
       } else {
-        life.store.put(key, value + std::string(random() % 60, '.'), kWindow);
+        incarnation.store.put(key, value + std::string(random() % 60, '.'), kWindow);
       }
       model.perhaps[key].push_back(value);
     }
-    if (random() % 2) life.store.compact_slice();
-    life.store.commit();
+    if (random() % 2) incarnation.store.compact_slice();
+    incarnation.store.commit();
     for (auto& [key, values] : model.perhaps) model.known[key] = values.back();
     model.perhaps.clear();
   }
@@ -150,10 +156,10 @@
   while (!value.empty() && value.back() == '.') value.pop_back();
   return value;
 }
-void expect_known(Life& life, const Model& model, const std::string& where) {
+void expect_known(Life& incarnation, const Model& model, const std::string& where) {
   for (int i = 0; i < 12; ++i) {
     std::string key = "key" + std::to_string(i);
-    std::string got = without_dots(life.get(key));
+    std::string got = without_dots(incarnation.get(key));
     auto known = model.known.find(key);
     auto perhaps = model.perhaps.find(key);
     bool good = got == (known == model.known.end() ? "none" : known->second) ||
@@ -167,34 +173,35 @@
 TEST(Store, ACrashAtAnyStepLosesNothingThatWasAcknowledged) {
   int whole = 0;
   {
-    Life life;
+    Life incarnation;
     Model model;
-    life.store.open();
-    live(life, model, 3, 40);
-    whole = life.disk->done;
-    EXPECT_GT(life.store.totals().retired, 1u);
+    incarnation.store.open();
+    live(incarnation, model, 3, 40);
+    whole = incarnation.disk->done;
+    EXPECT_GT(incarnation.store.totals().retired, 1u);
   }
   ASSERT_GT(whole, 80);
   for (int step = 1; step <= whole; ++step) {
     for (unsigned losses = 0; losses < 6; ++losses) {
-      Life life;
+      Life incarnation;
       Model model;
-      life.disk->crash_at = step;
+      incarnation.disk->crash_at = step;
       try {
-        life.store.open();
-        live(life, model, 3, 40);
+        incarnation.store.open();
+        live(incarnation, model, 3, 40);
       } catch (const Crashed&) {
       }
       std::mt19937 random(losses);
       auto keep = [&] { return losses == 0 ? false : losses == 1 ? true : random() % 2 == 0; };
-      Life next(life.disk->after_crash(keep));
+      Life next(incarnation.disk->after_crash(keep));
       next.store.open();
       std::string where = "step " + std::to_string(step) + " losses " + std::to_string(losses);
       expect_known(next, model, where);
       // And it goes on, and once more.
       model.known.clear(), model.perhaps.clear();
       live(next, model, 4, 10);
-      for (int i = 0; i < 12; ++i) model.known.try_emplace("key" + std::to_string(i), without_dots(next.get("key" + std::to_string(i))));
+      for (int i = 0; i < 12; ++i)
+        model.known.try_emplace("key" + std::to_string(i), without_dots(next.get("key" + std::to_string(i))));
       auto third = again(next);
       expect_known(*third, model, where + " again");
     }
@@ -202,15 +209,16 @@
 }
 
 TEST(Store, EverySubsetOfTheBlocksOfAnUnsyncedCommitLeavesWhatWasBefore) {
-  Life life;
-  life.store.open();
-  life.put("first", "1");
-  life.disk->crash_at = life.disk->done + 2;  // at the sync
-  for (int i = 0; i < 4; ++i) life.store.put("next" + std::to_string(i), std::string(90, static_cast<char>('a' + i)), kWindow);
-  EXPECT_THROW(life.store.commit(), Crashed);
+  Life incarnation;
+  incarnation.store.open();
+  incarnation.put("first", "1");
+  incarnation.disk->crash_at = incarnation.disk->done + 2;  // at the sync
+  for (int i = 0; i < 4; ++i)
+    incarnation.store.put("next" + std::to_string(i), std::string(90, static_cast<char>('a' + i)), kWindow);
+  EXPECT_THROW(incarnation.store.commit(), Crashed);
   for (unsigned subset = 0; subset < 1u << 11; ++subset) {
     unsigned bits = subset;
-    Life next(life.disk->after_crash([&] { return std::exchange(bits, bits >> 1) & 1; }));
+    Life next(incarnation.disk->after_crash([&] { return std::exchange(bits, bits >> 1) & 1; }));
     next.store.open();
     EXPECT_EQ(next.get("first"), "1");
     for (int i = 0; i < 4; ++i) {
@@ -222,32 +230,32 @@
 
 // A second sync that goes well says nothing of what the first one lost.
 TEST(Store, AFailedSyncIsNeverTakenBack) {
-  Life life;
-  life.store.open();
-  life.put("a", "1");
-  life.disk->fail_at = life.disk->done + 2;
-  life.store.put("b", "2", kWindow);
-  EXPECT_THROW(life.store.commit(), DiskError);
-  EXPECT_EQ(life.get("b"), "none");
-  life.put("c", "3");
-  Life next(life.disk->after_crash([] { return false; }));
+  Life incarnation;
+  incarnation.store.open();
+  incarnation.put("a", "1");
+  incarnation.disk->fail_at = incarnation.disk->done + 2;
+  incarnation.store.put("b", "2", kWindow);
+  EXPECT_THROW(incarnation.store.commit(), DiskError);
+  EXPECT_EQ(incarnation.get("b"), "none");
+  incarnation.put("c", "3");
+  Life next(incarnation.disk->after_crash([] { return false; }));
   next.store.open();
   EXPECT_EQ(next.get("a"), "1");
   EXPECT_EQ(next.get("c"), "3");
 }
 
 TEST(Store, AFullDiskInTheMiddleOfARecordAndThenSpaceAgain) {
-  Life life;
-  life.store.open();
-  life.put("a", "1");
+  Life incarnation;
+  incarnation.store.open();
+  incarnation.put("a", "1");
   for (std::size_t space = 1; space < 200; space += 13) {
-    life.disk->space = space;
-    life.store.put("big", std::string(300, 'x'), kWindow);
-    EXPECT_THROW(life.store.commit(), DiskError);
-    life.disk->space = SIZE_MAX;
-    life.put("after" + std::to_string(space), "2");
+    incarnation.disk->space = space;
+    incarnation.store.put("big", std::string(300, 'x'), kWindow);
+    EXPECT_THROW(incarnation.store.commit(), DiskError);
+    incarnation.disk->space = SIZE_MAX;
+    incarnation.put("after" + std::to_string(space), "2");
   }
-  auto next = again(life);
+  auto next = again(incarnation);
   EXPECT_EQ(next->get("a"), "1");
   EXPECT_EQ(next->get("after1"), "2");
   EXPECT_EQ(next->get("after196"), "2");
@@ -256,21 +264,21 @@
 
 TEST(Store, FailuresAtAnyStepLoseNothingThatWasAcknowledged) {
   for (int step = 1; step < 120; ++step) {
-    Life life;
+    Life incarnation;
     Model model;
     std::mt19937 random(5);
-    life.disk->fail_at = step;
+    incarnation.disk->fail_at = step;
     bool open = false;
     for (int i = 0; i < 60; ++i) {
       model.perhaps.clear();
       try {
-        if (!open) life.store.open(), open = true;
+        if (!open) incarnation.store.open(), open = true;
         std::string key = "key" + std::to_string(random() % 12);
         std::string value = std::to_string(i);
-        life.store.put(key, value, kWindow);
+        incarnation.store.put(key, value, kWindow);
         model.perhaps[key] = {value};
-        life.store.compact_slice();
-        life.store.commit();
+        incarnation.store.compact_slice();
+        incarnation.store.commit();
         model.known[key] = value;
       } catch (const DiskError&) {
         if (!open) break;  // the start failed, and says so
@@ -278,8 +286,8 @@
       }
     }
     if (!open) continue;
-    expect_known(life, model, "here " + std::to_string(step));
-    Life next(life.disk->after_crash([] { return false; }));
+    expect_known(incarnation, model, "here " + std::to_string(step));
+    Life next(incarnation.disk->after_crash([] { return false; }));
     next.store.open();
     expect_known(next, model, "step " + std::to_string(step));
   }
@@ -287,14 +295,14 @@
 
 // The store has a time of its own, which stands still while nobody has it open.
 TEST(Store, NoWindowIsShorterForACrashOrAStepOfAnyClock) {
-  Life life(std::make_unique<FakeDisk>(), Life::small(), 1'000 * kSecond);
-  life.store.open();
-  life.put("a", "1");
-  life.time += 60 * kSecond;
-  life.put("b", "2");
-  EXPECT_EQ(life.get("a"), "1");
+  Life incarnation(std::make_unique<FakeDisk>(), Life::small(), 1'000 * kSecond);
+  incarnation.store.open();
+  incarnation.put("a", "1");
+  incarnation.time += 60 * kSecond;
+  incarnation.put("b", "2");
+  EXPECT_EQ(incarnation.get("a"), "1");
   for (Nanos begins : {Nanos{0}, 5 * kSecond, 1'000'000 * kSecond}) {
-    Life next(life.disk->after_end(), Life::small(), begins);
+    Life next(incarnation.disk->after_end(), Life::small(), begins);
     next.store.open();
     next.time += 39 * kSecond;
     EXPECT_EQ(next.get("a"), "1");
@@ -307,60 +315,60 @@
 }
 
 TEST(Store, WhatIsOverGoesWithItsSegmentAndIsNotCopied) {
-  Life life;
-  life.store.open();
-  for (int i = 0; i < 60; ++i) life.put("key" + std::to_string(i), std::string(50, 'v'));
-  std::size_t most = life.store.segments();
-  std::uint64_t written = life.store.totals().written;
-  life.time += kWindow;
-  for (int i = 0; i < 20; ++i) life.store.compact_slice();
-  EXPECT_LT(life.store.segments(), 3u);
-  EXPECT_GT(most, 5u);
-  EXPECT_EQ(life.store.size(), 0u);
-  EXPECT_LT(life.store.totals().written - written, 2'000u);  // manifests
+  Life incarnation;
+  incarnation.store.open();
+  for (int i = 0; i < 60; ++i) incarnation.put("key" + std::to_string(i), std::string(50, 'v'));
+  std::size_t max = incarnation.store.segments();
+  std::uint64_t written = incarnation.store.totals().written;
+  incarnation.time += kWindow;
+  for (int i = 0; i < 20; ++i) incarnation.store.compact_slice();
+  EXPECT_LT(incarnation.store.segments(), 3u);
+  EXPECT_GT(max, 5u);
+  EXPECT_EQ(incarnation.store.size(), 0u);
+  EXPECT_LT(incarnation.store.totals().written - written, 2'000u);  // manifests
   // What the disk still holds of them is over at the next start as well, whatever was written last.
-  auto next = again(life);
+  auto next = again(incarnation);
   EXPECT_EQ(next->store.size(), 0u);
 }
 
 TEST(Store, ADroppedKeyDoesNotComeBackFromAnOlderSegment) {
-  Life life;
-  life.store.open();
-  life.put("gone", std::string(300, 'x'));
-  for (int i = 0; i < 10; ++i) life.put("fill" + std::to_string(i), std::string(100, 'v'));
-  life.store.drop("gone");
-  life.store.commit();
+  Life incarnation;
+  incarnation.store.open();
+  incarnation.put("gone", std::string(300, 'x'));
+  for (int i = 0; i < 10; ++i) incarnation.put("fill" + std::to_string(i), std::string(100, 'v'));
+  incarnation.store.drop("gone");
+  incarnation.store.commit();
   for (int i = 0; i < 60; ++i) {
-    life.put("more" + std::to_string(i % 4), std::string(100, 'v'));
-    life.store.compact_slice();
-    EXPECT_EQ(again(life)->get("gone"), "none");
+    incarnation.put("more" + std::to_string(i % 4), std::string(100, 'v'));
+    incarnation.store.compact_slice();
+    EXPECT_EQ(again(incarnation)->get("gone"), "none");
   }
-  EXPECT_GT(life.store.totals().retired, 3u);
+  EXPECT_GT(incarnation.store.totals().retired, 3u);
 }
 
 TEST(Store, ManyRestartsDoNotLeaveManySegments) {
-  auto life = std::make_unique<Life>();
-  life->store.open();
+  auto incarnation = std::make_unique<Life>();
+  incarnation->store.open();
   for (int i = 0; i < 60; ++i) {
-    life->put("key" + std::to_string(i), "v");
-    for (int j = 0; j < 4; ++j) life->store.compact_slice(), life->store.commit();
-    life = again(*life);
+    incarnation->put("key" + std::to_string(i), "v");
+    for (int j = 0; j < 4; ++j) incarnation->store.compact_slice(), incarnation->store.commit();
+    incarnation = again(*incarnation);
   }
-  EXPECT_LT(life->store.segments(), 12u);
-  for (int i = 0; i < 60; ++i) EXPECT_EQ(life->get("key" + std::to_string(i)), "v");
+  EXPECT_LT(incarnation->store.segments(), 12u);
+  for (int i = 0; i < 60; ++i) EXPECT_EQ(incarnation->get("key" + std::to_string(i)), "v");
 }
 
 TEST(Store, ByHintsItKnowsTheSameAsByReadingAll) {
-  Life life;
-  life.store.open();
+  Life incarnation;
+  incarnation.store.open();
   Model model;
-  live(life, model, 9, 60);
-  Life by_hint(life.disk->after_end());
+  live(incarnation, model, 9, 60);
+  Life by_hint(incarnation.disk->after_end());
   Recovery hinted = by_hint.store.open();
   EXPECT_GT(hinted.by_hint, 0u);
   expect_known(by_hint, model, "hints");
   // Torn or of another segment, they are not heeded.
-  Life torn(life.disk->after_end());
+  Life torn(incarnation.disk->after_end());
   for (auto& [name, content] : torn.disk->names) {
     if (name.ends_with(".hint")) content->now.resize(content->now.size() / 2);
   }
@@ -371,10 +379,10 @@
 }
 
 TEST(Store, WhatANewerVersionWroteIsRefusedAndLeftAsItIs) {
-  Life life;
-  life.store.open();
-  life.put("a", "1");
-  Life next(life.disk->after_end());
+  Life incarnation;
+  incarnation.store.open();
+  incarnation.put("a", "1");
+  Life next(incarnation.disk->after_end());
   next.disk->bytes(segment_name(1))[8] = 2;
   auto before = next.disk->bytes(segment_name(1));
   EXPECT_THROW(next.store.open(), StoreError);
@@ -382,12 +390,12 @@
 }
 
 TEST(Store, TheManifestDamagedOrGoneCostsNothing) {
-  Life life;
-  life.store.open();
+  Life incarnation;
+  incarnation.store.open();
   Model model;
-  live(life, model, 11, 40);
+  live(incarnation, model, 11, 40);
   for (int how = 0; how < 2; ++how) {
-    Life next(life.disk->after_end());
+    Life next(incarnation.disk->after_end());
     if (how) {
       next.disk->names.erase("MANIFEST");
     } else {
@@ -399,8 +407,8 @@
 }
 
 RC_GTEST_PROP(StoreProperty, RandomHistoriesWithRestartsMatchAPlainMap, ()) {
-  auto life = std::make_unique<Life>();
-  life->store.open();
+  auto incarnation = std::make_unique<Life>();
+  incarnation->store.open();
   std::map<std::string, std::string> plain;
   auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
       rc::gen::pair(rc::gen::inRange(0, 10), rc::gen::inRange(0, 8)));
@@ -409,21 +417,21 @@
     std::string key = "key" + std::to_string(which);
     if (what < 6) {
       std::string value = std::to_string(++n) + std::string(static_cast<std::size_t>(which) * 20, 'v');
-      life->put(key, value);
+      incarnation->put(key, value);
       plain[key] = value;
     } else if (what == 6) {
-      life->store.drop(key);
-      life->store.commit();
+      incarnation->store.drop(key);
+      incarnation->store.commit();
       plain.erase(key);
     } else if (what < 9) {
-      life->store.compact_slice();
-      life->store.commit();
+      incarnation->store.compact_slice();
+      incarnation->store.commit();
     } else {
-      life = again(*life);
+      incarnation = again(*incarnation);
     }
     for (int i = 0; i < 8; ++i) {
       std::string each = "key" + std::to_string(i);
-      RC_ASSERT(life->get(each) == (plain.contains(each) ? plain[each] : "none"));
+      RC_ASSERT(incarnation->get(each) == (plain.contains(each) ? plain[each] : "none"));
     }
   }
 }
@@ -530,8 +538,9 @@
 
 struct CommitterStory : testing::Test {
   CommitterStory() : store(disk, {}, steady, 1) { store.open(); }
-  void begin(CommitterTerms terms = {.slow_after = 30 * kMs, .first_trial = 5 * kMs, .last_trial = 20 * kMs}) {
-    committer = std::make_unique<Committer>(store, terms, steady, [this] { ++wakes; });
+  void begin(CommitterOptions options = {
+                 .slow_after = 30 * kMs, .first_trial = 5 * kMs, .last_trial = 20 * kMs}) {
+    committer = std::make_unique<GroupCommitter>(store, options, steady, [this] { ++wakes; });
   }
   // Turns the loop until it holds, for five seconds at most.
   bool until(const std::function<bool()>& holds) {
@@ -550,7 +559,7 @@
   std::atomic<int> wakes = 0;
   int good = 0;
   int bad = 0;
-  std::unique_ptr<Committer> committer;
+  std::unique_ptr<GroupCommitter> committer;
 };
 
 TEST_F(CommitterStory, ManyRecordsShareOneSyncAndNobodyIsToldBeforeIt) {
@@ -600,7 +609,7 @@
   disk.in_sync = [&] {
     while (held) usleep(500);
   };
-  begin({.most_waiting = 20});
+  begin({.max_waiting = 20});
   for (int i = 0; i < 100; ++i) put("key" + std::to_string(i));
   committer->take_done();
   EXPECT_GE(bad, 60);
--- a/tests/subsets_test.cpp
+++ b/tests/subsets_test.cpp
@@ -108,19 +108,19 @@
     }
     double callers_mean = std::accumulate(callers.begin(), callers.end(), 0.0) / 300;
     double load_mean = kCallers / 300.0;
-    double callers_most = *std::max_element(callers.begin(), callers.end()) / callers_mean;
-    double load_most = *std::max_element(load.begin(), load.end()) / load_mean;
-    RecordProperty("callers_most_" + std::to_string(size), std::to_string(callers_most));
-    RecordProperty("load_most_" + std::to_string(size), std::to_string(load_most));
-    EXPECT_LT(callers_most, callers_bound) << size;
-    EXPECT_LT(load_most, load_bound) << size;
+    double callers_max = *std::max_element(callers.begin(), callers.end()) / callers_mean;
+    double load_max = *std::max_element(load.begin(), load.end()) / load_mean;
+    RecordProperty("callers_most_" + std::to_string(size), std::to_string(callers_max));
+    RecordProperty("load_most_" + std::to_string(size), std::to_string(load_max));
+    EXPECT_LT(callers_max, callers_bound) << size;
+    EXPECT_LT(load_max, load_bound) << size;
   }
 }
 
 // Each round loses or gains one pair; what moves beyond that is bounded.
 TEST(Subsets, AServerThatComesOrGoesMovesNextToNothingElse) {
   double moved = 0;
-  std::size_t most = 0;
+  std::size_t max = 0;
   constexpr int kTrials = 30;
   for (int trial = 0; trial < kTrials; ++trial) {
     std::vector<NodeRoute> before = servers(290);
@@ -128,12 +128,12 @@
     after.erase(after.begin() + trial * 9);
     std::size_t differ = moved_between(before, after, 20);
     moved += static_cast<double>(differ - kSubsetRounds);
-    most = std::max(most, differ - kSubsetRounds);
+    max = std::max(max, differ - kSubsetRounds);
     EXPECT_EQ(moved_between(after, before, 20), differ) << "the way back is the same";
   }
   RecordProperty("moved_mean", std::to_string(moved / kTrials));
   EXPECT_LT(moved / kTrials, 2 * kSubsetRounds) << "of 2320 pairs";
-  EXPECT_LT(most, 8 * kSubsetRounds);
+  EXPECT_LT(max, 8 * kSubsetRounds);
 }
 
 // One subset more: it takes its part from all others, and no more.
--- a/tests/subsetting_processes_test.cpp
+++ b/tests/subsetting_processes_test.cpp
@@ -11,7 +11,7 @@
 
 #include "../standin/ads_link.h"
 #include "../standin/control_fleet.h"
-#include "control/ask.h"
+#include "control/admin_client.h"
 #include "control_harness.h"
 
 namespace myrtlecroft {
@@ -103,12 +103,12 @@
  protected:
   SubsettingProcesses() {
     write_fleet(fleet_file("6", "\"zone z1\""));
-    standin::ControlFleetTerms terms{.folder = folder_.file(""),
-                                     .fleet = folder_.file("fleet.conf"),
-                                     .instances = kInstances,
-                                     .agreed = true,
-                                     .more = {}};
-    fleet_ = std::make_unique<standin::ControlFleet>(terms, taken_);
+    standin::ControlFleetOptions options{.folder = folder_.file(""),
+                                         .fleet = folder_.file("fleet.conf"),
+                                         .instances = kInstances,
+                                         .agreed = true,
+                                         .more = {}};
+    fleet_ = std::make_unique<standin::ControlFleet>(options, taken_);
     fleet_->start_all();
     for (const auto& place : fleet_->all()) {
       reporters_.push_back(std::make_unique<control::Reporters>(static_cast<std::uint16_t>(place.reports)));
@@ -186,8 +186,8 @@
   void quiet(int which, bool is_quiet) {
     for (auto& one : reporters_) one->quiet(server(which), is_quiet);
   }
-  void leaving(int which, bool is_leaving) {
-    for (auto& one : reporters_) one->set(server(which), [&](auto& report) { report.leaving = is_leaving; });
+  void draining(int which, bool is_leaving) {
+    for (auto& one : reporters_) one->set(server(which), [&](auto& report) { report.draining = is_leaving; });
   }
   // No caller is told of any of them, and each is told of some.
   bool gone_everywhere(const std::set<std::string>& gone) const {
@@ -207,18 +207,18 @@
     }
   }
   std::uint64_t published() const {
-    std::uint64_t most = 0;
-    for (int i = 0; i < kInstances; ++i) most = std::max<std::uint64_t>(most, ask(i).published());
-    return most;
+    std::uint64_t max = 0;
+    for (int i = 0; i < kInstances; ++i) max = std::max<std::uint64_t>(max, ask(i).published());
+    return max;
   }
   // One change after another, each published before the next.
   void burst(const std::function<void(int)>& between) {
     for (int i = 0; i < kBurst; ++i) {
       std::uint64_t before = published();
-      leaving(i, true);
+      draining(i, true);
       between(i);
       ASSERT_TRUE(await([&] { return published() > before; })) << "change " << i;
-      leaving(i, false);
+      draining(i, false);
     }
   }
   void expect_sound() const {
@@ -293,7 +293,7 @@
     if (i % 4 == 3) fleet_->start(i / 4);
   });
   EXPECT_TRUE(await([&] { return told_to_all() == before && at_rest(); })) << state();
-  leaving(3, true);
+  draining(3, true);
   EXPECT_TRUE(await([&] { return gone_everywhere({server(3)}); }));
   expect_sound();
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -18,7 +18,8 @@
 // Writes inputs down instead of deciding.
 class Controller::Core {
  public:
-  Core(const ServiceTerms& terms, Host& host, std::uint64_t seed) : terms(terms), host(host), seed(seed) {}
+  Core(const ServiceConfig& config, ControllerActions& host, std::uint64_t seed)
+      : config(config), host(host), seed(seed) {}
 
   template <class... Values>
   void note(const Values&... values) {
@@ -27,89 +28,95 @@
     host.log(line.str());
   }
 
-  const ServiceTerms& terms;
-  Host& host;
+  const ServiceConfig& config;
+  ControllerActions& host;
   std::uint64_t seed;
-  Exchange* newest = nullptr;
+  Request* newest = nullptr;
 };
 
-Controller::Controller(const ServiceTerms& terms, Host& host, std::uint64_t seed)
-    : core_(std::make_unique<Core>(terms, host, seed)) {}
+Controller::Controller(const ServiceConfig& config, ControllerActions& host, std::uint64_t seed)
+    : core_(std::make_unique<Core>(config, host, seed)) {}
 Controller::~Controller() = default;
 
 void Controller::start(Nanos now) {
-  const ServiceTerms& terms = core_->terms;
+  const ServiceConfig& config = core_->config;
   core_->note("start at ", now, " seed ", core_->seed);
-  for (const EndpointGroup& group : terms.groups) {
-    core_->note("class ", group.name, " effect ", static_cast<int>(group.effect), " gain ", group.benefit,
-                " late ", group.late_benefit, " skip ", group.skip_benefit, " calls ", group.makes_calls,
-                " goal ", group.slo_time, " limit ", group.async_timeout, " window ", group.repeat_window);
+  for (const RequestClass& request_class : config.request_classes) {
+    core_->note("class ", request_class.name, " effect ", static_cast<int>(request_class.idempotency),
+                " gain ", request_class.priority_weight, " late ", request_class.late_weight_share, " skip ",
+                request_class.degraded_weight_share, " calls ", request_class.makes_calls, " goal ",
+                request_class.latency_objective, " limit ", request_class.client_timeout, " window ",
+                request_class.deduplication_window);
   }
-  for (const Customer& customer : terms.customers) {
-    core_->note("tenant ", customer.name, " quota ", customer.quota_per_s);
+  for (const Tenant& tenant : config.tenants) {
+    core_->note("tenant ", tenant.name, " quota ", tenant.quota_per_s);
   }
-  core_->note("servers ", terms.servers, " callers ", terms.callers, " cores ", terms.cores, " memory ",
-              terms.memory_kb, " blowup ", terms.run_factor, " key ", terms.key_kb);
-  core_->note("over share ", terms.over_share_benefit, " by work ", terms.benefit_by_work, " cold ",
-              terms.cold, " from ", terms.cold_from, " warm in ", terms.warm_within);
-  core_->note("crowd ", terms.crowd_factor, " over ", terms.crowd_window, " below ", terms.has_dependency,
-              " share ", terms.calls_share, " over ", terms.calls_window, " stays ", terms.call_lingers);
-  core_->note("fresh ", terms.fresh_for, " grace ", terms.drain_grace, " slack ", terms.answer_slack,
-              " tick ", terms.tick, " idle ", terms.longest_idle, " pause ", terms.longest_pause,
-              " stop mode ", static_cast<int>(terms.stop_mode), " advert ",
-              static_cast<int>(terms.free_value));
+  core_->note("servers ", config.servers, " callers ", config.callers, " cores ", config.cores, " memory ",
+              config.memory_kb, " blowup ", config.running_memory_factor, " key ", config.key_kb);
+  core_->note("over share ", config.over_quota_weight, " by work ", config.weight_by_work, " cold ",
+              config.warming_up, " from ", config.warm_up_initial_speed, " warm in ", config.warm_up_time);
+  core_->note("crowd ", config.max_running_per_core, " over ", config.contention_window, " below ",
+              config.has_dependency, " share ", config.dependency_share, " over ", config.dependency_window,
+              " stays ", config.abandoned_call_lifetime);
+  core_->note("fresh ", config.answer_sharing_window, " grace ", config.drain_grace, " slack ",
+              config.answer_slack, " tick ", config.tick, " idle ", config.max_idle_time, " pause ",
+              config.max_retry_after, " stop mode ", static_cast<int>(config.stop_mode), " advert ",
+              static_cast<int>(config.advertised_capacity));
 }
 
-void Controller::read(Exchange& ex, Nanos now) {
-  core_->newest = &ex;
-  core_->note("read at ", now, " class ", ex.group->name, " tenant ",
-              ex.customer ? ex.customer->name : "none", " key ", ex.has_subject, " writes ", ex.writes,
-              " arrived ", ex.arrived, " due ", ex.gives_up_at, " work ", ex.work_hint, " kb ", ex.held_kb,
-              " repeats ", ex.repeats, " prior of kb ", ex.prior ? ex.prior->held_kb : 0);
+void Controller::request_received(Request& request, Nanos now) {
+  core_->newest = &request;
+  core_->note("read at ", now, " class ", request.request_class->name, " tenant ",
+              request.tenant ? request.tenant->name : "none", " key ", request.has_subject, " writes ",
+              request.writes, " arrived ", request.arrived, " due ", request.client_deadline, " work ",
+              request.work_hint, " kb ", request.queued_kb, " repeats ", request.is_retry, " prior of kb ",
+              request.original ? request.original->queued_kb : 0);
 }
 
-void Controller::reached_call(Exchange& ex, Nanos now) {
-  core_->note("at call at ", now, " kb ", ex.held_kb);
+void Controller::call_needed(Request& request, Nanos now) {
+  core_->note("at call at ", now, " kb ", request.queued_kb);
 }
 
-void Controller::call_ended(Exchange& ex, Outcome outcome, Nanos took, Nanos now) {
-  core_->note("call done at ", now, " kb ", ex.held_kb, " outcome ", static_cast<int>(outcome), " took ",
-              took);
+void Controller::call_ended(Request& request, Outcome outcome, Nanos took, Nanos now) {
+  core_->note("call done at ", now, " kb ", request.queued_kb, " outcome ", static_cast<int>(outcome),
+              " took ", took);
 }
 
-void Controller::settled(Exchange& ex, Outcome outcome, Nanos now) {
-  core_->note("settled at ", now, " kb ", ex.held_kb, " outcome ", static_cast<int>(outcome));
-  core_->host.release(ex);
+void Controller::run_completed(Request& request, Outcome outcome, Nanos now) {
+  core_->note("settled at ", now, " kb ", request.queued_kb, " outcome ", static_cast<int>(outcome));
+  core_->host.release(request);
 }
 
-void Controller::caller_gone(Exchange& ex, Nanos now) { core_->note("gone at ", now, " kb ", ex.held_kb); }
+void Controller::caller_disconnected(Request& request, Nanos now) {
+  core_->note("gone at ", now, " kb ", request.queued_kb);
+}
 
-void Controller::rang(std::uint64_t token, const Gauges& gauges, Nanos now) {
+void Controller::timer_expired(std::uint64_t token, const Gauges& gauges, Nanos now) {
   core_->note("rang at ", now, " token ", token, " core use ", gauges.core_use.value_or(-1), " on cores ",
               gauges.on_cores.value_or(-1), " links ", gauges.connections.value_or(-1));
 }
 
-void Controller::leave_by(Nanos stop_at, Nanos now) {
+void Controller::begin_drain(Nanos stop_at, Nanos now) {
   core_->note("leave at ", now, " by ", stop_at);
   if (!core_->newest) return;
-  Host& host = core_->host;
-  Exchange& ex = *core_->newest;
-  host.run(ex);
-  host.stop_work(ex);
-  host.deny(ex, true, 7);
-  host.deny(ex, false, 0);
-  host.terminate(ex);
-  host.call(ex, 8);
-  EXPECT_FALSE(host.give_up_call(ex));
-  host.skip_call(ex);
-  host.keep_key(ex, 9);
-  host.drop_key(ex);
-  host.attach(ex);
+  ControllerActions& host = core_->host;
+  Request& request = *core_->newest;
+  host.run(request);
+  host.stop_work(request);
+  host.reject(request, true, 7);
+  host.reject(request, false, 0);
+  host.fail(request);
+  host.call(request, 8);
+  EXPECT_FALSE(host.abandon_call(request));
+  host.skip_call(request);
+  host.retain_key(request, 9);
+  host.forget_key(request);
+  host.coalesce(request);
   host.report_health(true);
   host.report_health(false);
   host.advertise(0.5);
   host.close_idle(10);
-  host.ring_in(11, 12);
+  host.schedule_timer(11, 12);
   host.log("a \"quoted\" \\ line\n");
 }
 
@@ -261,9 +268,9 @@
 
 TEST(Wire, SettledEndsTheRequestAndLaterEventsOfItAreIgnored) {
   std::string first = provision(1) + call(5, 8);
-  std::string settled = R"({"m":"Settled","server":1,"requestId":5,"reason":"Ok","rttNs":44})"
-                        "\n";
-  std::string replies = served(batch(1, first) + batch(2, settled) + batch(3, settled));
+  std::string run_completed = R"({"m":"Settled","server":1,"requestId":5,"reason":"Ok","rttNs":44})"
+                              "\n";
+  std::string replies = served(batch(1, first) + batch(2, run_completed) + batch(3, run_completed));
   EXPECT_TRUE(replies.ends_with(logged("settled at 2000 kb 8 outcome 0") + end_of_reply(2) + end_of_reply(3)))
       << replies;
 }
--- a/tests/xds_cost_test.cpp
+++ b/tests/xds_cost_test.cpp
@@ -13,14 +13,14 @@
 constexpr int kFewServices = 10;
 constexpr int kCallers = 20;
 constexpr int kPublications = 20;
-constexpr double kMostTimes = 30;
+constexpr double kMaxTimes = 30;
 
 routing::Snapshot with_services(int services) {
   routing::Snapshot out = picture();
   out.service_listeners = true;
   for (int i = 0; i < services; ++i) {
     std::string name = "service-" + std::to_string(i);
-    out.groups.push_back({.name = name, .path = "/" + name, .timeout = kSecond});
+    out.request_classes.push_back({.name = name, .path = "/" + name, .timeout = kSecond});
   }
   return out;
 }
@@ -41,12 +41,12 @@
   }
   double used = 0;
   for (int i = 0; i < kPublications; ++i) {
-    snapshot.groups[4].admitted = static_cast<std::uint32_t>(5000 + i);  // service-1
+    snapshot.request_classes[4].admitted = static_cast<std::uint32_t>(5000 + i);  // service-1
     sets.push_back(wires.publish(snapshot));
     double begun = thread_cpu_seconds();
     for (Wires::Link& caller : callers) wires.write(caller);
     used += thread_cpu_seconds() - begun;
-    snapshot.groups[5].admitted = static_cast<std::uint32_t>(5000 + i);  // another one
+    snapshot.request_classes[5].admitted = static_cast<std::uint32_t>(5000 + i);  // another one
     sets.push_back(wires.publish(snapshot));
     begun = thread_cpu_seconds();
     for (Wires::Link& caller : callers) wires.settle(caller);
@@ -60,7 +60,7 @@
 // times the services. What remains is a search in larger maps, 6 to 11 times.
 TEST(CostOfPublications, ACallerOfOneServiceDoesNotGoThroughAllOthers) {
   double few = cpu_of_callers(kFewServices);
-  EXPECT_LT(cpu_of_callers(kManyServices), kMostTimes * few);
+  EXPECT_LT(cpu_of_callers(kManyServices), kMaxTimes * few);
 }
 
 }  // namespace
--- a/tests/xds_gate_test.cpp
+++ b/tests/xds_gate_test.cpp
@@ -19,7 +19,7 @@
                      .port = 4101,
                      .health = routing::Health::kHealthy,
                      .weight = 100}};
-  snapshot.groups = {{.name = "read", .path = "/read", .timeout = kSecond}};
+  snapshot.request_classes = {{.name = "read", .path = "/read", .timeout = kSecond}};
   snapshot.shards.assign(16, owner);
   return make_resources(out, nullptr);
 }
--- a/tests/xds_sets_test.cpp
+++ b/tests/xds_sets_test.cpp
@@ -76,24 +76,26 @@
   }
 }
 
-void change_group(routing::Snapshot& snapshot, const Change& change) {
-  routing::GroupRoute& group = snapshot.groups[change.where % snapshot.groups.size()];
-  bool owners = group.effect == Effect::kDeduplicated;
+void change_request_class(routing::Snapshot& snapshot, const Change& change) {
+  routing::RequestClassRoute& request_class =
+      snapshot.request_classes[change.where % snapshot.request_classes.size()];
+  bool owners = request_class.idempotency == Idempotency::kKeyed;
   switch (change.what) {
     case 5:
-      group.admitted = 100 * (change.value % 101);
+      request_class.admitted = 100 * (change.value % 101);
       break;
     case 6:
-      if (!owners) group.subset_size = change.value % 12;
+      if (!owners) request_class.subset_size = change.value % 12;
       break;
     case 7:
-      if (!owners) group.servers = change.value % 2 ? placed_on({1, 2, 5, 7, 8}) : fleet::ServerList{};
+      if (!owners)
+        request_class.servers = change.value % 2 ? placed_on({1, 2, 5, 7, 8}) : fleet::ServerList{};
       break;
     case 8:
-      group.stay_away = change.value * kMs;
+      request_class.retry_after = change.value * kMs;
       break;
     default:
-      group.key_header = owners || change.value % 2 ? "Some-Key" : "";
+      request_class.key_header = owners || change.value % 2 ? "Some-Key" : "";
   }
 }
 
@@ -120,16 +122,16 @@
       snapshot.retry_budget = change.value / 1000.0;
       break;
     case 15:
-      std::swap(snapshot.groups.front(), snapshot.groups.back());
+      std::swap(snapshot.request_classes.front(), snapshot.request_classes.back());
       break;
     default:
-      snapshot.customers.assign(1, {"c", change.value});
+      snapshot.tenants.assign(1, {"c", change.value});
   }
 }
 
 void make_change(routing::Snapshot& snapshot, const Change& change) {
   if (change.what < 5) return change_node(snapshot, change);
-  if (change.what < 10) return change_group(snapshot, change);
+  if (change.what < 10) return change_request_class(snapshot, change);
   change_rest(snapshot, change);
 }
 
--- a/tests/xds_subsets_test.cpp
+++ b/tests/xds_subsets_test.cpp
@@ -99,7 +99,7 @@
     routing::Snapshot snapshot = subsetted(20 + static_cast<int>(random() % 30));
     for (auto& node : snapshot.nodes) node.health = random() % 4 ? Health::kHealthy : Health::kOut;
     snapshot.nodes[0].health = Health::kHealthy;
-    if (random() % 4 == 0) snapshot.groups[2].subset_size = 0;
+    if (random() % 4 == 0) snapshot.request_classes[2].subset_size = 0;
     return snapshot;
   };
   wires.publish(drawn());
--- a/tests/xds_wires.h
+++ b/tests/xds_wires.h
@@ -31,13 +31,14 @@
                          .weight = 100,
                          .in_flight = 10});
   }
-  out.groups = {{.name = "read", .path = "/read", .timeout = kSecond},
-                {.name = "write",
-                 .path = "/write",
-                 .effect = Effect::kDeduplicated,
-                 .key_header = "Replay-Key",
-                 .timeout = kSecond},
-                {.name = "set", .path = "/set", .effect = Effect::kMutating, .timeout = kSecond}};
+  out.request_classes = {
+      {.name = "read", .path = "/read", .timeout = kSecond},
+      {.name = "write",
+       .path = "/write",
+       .idempotency = Idempotency::kKeyed,
+       .key_header = "Replay-Key",
+       .timeout = kSecond},
+      {.name = "set", .path = "/set", .idempotency = Idempotency::kNone, .timeout = kSecond}};
   for (int i = 0; i < 16; ++i) out.shards.push_back(i % nodes);
   return out;
 }
@@ -126,9 +127,9 @@
   routing::Snapshot out = picture(nodes);
   for (std::size_t i = 0; i < out.nodes.size(); ++i) out.nodes[i].zone = i % 2 ? "a" : "b";
   out.service_listeners = true;
-  out.groups[0].subset_size = 10;
-  out.groups[2].subset_size = 10;
-  out.groups.push_back(
+  out.request_classes[0].subset_size = 10;
+  out.request_classes[2].subset_size = 10;
+  out.request_classes.push_back(
       {.name = "near", .path = "/near", .timeout = kSecond, .servers = placed_on({0, 1, 2, 3, 4, 5})});
   return out;
 }
