--- a/measure/agreement_rig.cpp
+++ b/measure/agreement_rig.cpp
@@ -24,7 +24,7 @@
 #include "control/admin_client.h"
 #include "net/address.h"
 #include "operator.h"
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 
 namespace myrtlecroft::rehearsal {
 namespace {
@@ -577,7 +577,7 @@
       going_->seen.wanted = wanted;
       going_->begun = now;
       going_->id = operator_->status().release().id() + 1;
-      operator_->say(wanted.by, releases::start_command(plan_of(wanted)));
+      operator_->say(wanted.by, releases::release_start_command(plan_of(wanted)));
       add_note("release to " + std::to_string(wanted.to) + ", " + name_of(wanted.bad));
       return;
     }
--- a/measure/agreement_world.cpp
+++ b/measure/agreement_world.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 
 namespace myrtlecroft::rehearsal {
 namespace {
@@ -100,7 +100,7 @@
   int place = 0;
   std::unique_ptr<Disk> disk;
   std::unique_ptr<Line> line;
-  std::unique_ptr<releases::RolloutController> conductor;
+  std::unique_ptr<releases::RolloutController> rollout_controller;
   std::unique_ptr<ControlReplica> instance;  // none: it is dead
   Nanos paused_until = 0;
   Nanos ahead = 0;  // of its clock
@@ -267,8 +267,8 @@
   control.instance = std::make_unique<ControlReplica>(
       options, *control.disk, *control.line, fleet(), true, [this, &control] { return now_ + control.ahead; },
       random_(), [](const std::string&) {});
-  control.conductor = std::make_unique<releases::RolloutController>([](const std::string&) {});
-  control.instance->set_chapter(control.conductor.get());
+  control.rollout_controller = std::make_unique<releases::RolloutController>([](const std::string&) {});
+  control.instance->set_chapter(control.rollout_controller.get());
   control.instance->start();
   control.up_since = now_;
   int incarnation = ++control.incarnation;
@@ -442,7 +442,7 @@
   plan.set_alarm(900);
   plan.set_alarm_for_ns(3 * kSecond);
   if (chance() < 0.3) bad_.insert(plan.version());
-  one.instance->command(releases::start_command(plan));
+  one.instance->command(releases::release_start_command(plan));
 }
 
 // ---- Servers and proxies
--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "releases/disruption_budget.h"
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 
 namespace myrtlecroft::control {
 namespace {
@@ -44,8 +44,8 @@
 }
 
 void AdminCommands::finish(Waiting& one, const std::string& said) {
-  bool refused = said.starts_with(releases::kRefused);
-  refused ? one.answer.set_error(said.substr(releases::kRefused.size())) : one.answer.set_done(said);
+  bool refused = said.starts_with(releases::kCommandRejected);
+  refused ? one.answer.set_error(said.substr(releases::kCommandRejected.size())) : one.answer.set_done(said);
   write_answer(*one.connection, one.answer);
 }
 
@@ -57,11 +57,12 @@
               .answer = std::move(answer)};
   agreement::ControlReplica& instance = agreed_.instance();
   if (!instance.has_quorum())
-    return finish(
-        one, releases::kRefused + "this instance is out of touch with a majority, and nothing is permitted");
+    return finish(one, releases::kCommandRejected +
+                           "this instance is out of touch with a majority, and nothing is permitted");
   for (const auto& [other, known] : instance.agreed().instances()) {
     if (known.format < agreement::kOutingsFormat)
-      return finish(one, releases::kRefused + "instance " + std::to_string(other) + " knows no releases yet");
+      return finish(
+          one, releases::kCommandRejected + "instance " + std::to_string(other) + " knows no releases yet");
   }
   one.command = instance.command(command);
   waiting_[id] = std::move(one);
@@ -86,7 +87,7 @@
     if (!result) agreed_.instance().forget_command(one->second.command);
     finish(one->second,
            result ? result->said()
-                  : releases::kRefused +
+                  : releases::kCommandRejected +
                         "not agreed in time; it may still come to be: see 'release status' and 'outings'");
     one = waiting_.erase(one);
   }
@@ -109,8 +110,8 @@
   }
   for (const std::string& node : outings.drains()) answer.add_drains(node);
   const routing::Router& router = instance.router();
-  for (const releases::DisruptionBudget::Row& one :
-       releases::DisruptionBudget(router.fleet(), router.registry().all(), chosen).rows()) {
+  for (const releases::DisruptionBudget::Usage& one :
+       releases::DisruptionBudget(router.fleet(), router.registry().all(), chosen).usage()) {
     BudgetRow& row = *answer.add_budgets();
     row.set_name(one.name);
     row.set_most(one.max);
@@ -126,7 +127,7 @@
   row.set_version(release.plan().version());
   row.set_phase(agreement::name_of(release.phase()));
   row.set_wave(release.wave() + 1);
-  row.set_waves(releases::waves_of(release.plan()));
+  row.set_waves(releases::wave_count(release.plan()));
   row.set_reason(release.reason());
   row.set_age_s(seconds(state.time() - release.started_ns()));
   row.set_in_phase_s(seconds(state.time() - release.since_ns()));
@@ -143,7 +144,7 @@
   for (const agreement::UpdatedServer& one : release.taken()) {
     if (!one.failed().empty()) row.add_failed(one.node() + ": " + one.failed());
   }
-  row.set_outlook(outings.under_way() ? agreed_.conductor().outlook() : "");
+  row.set_outlook(outings.under_way() ? agreed_.rollout_controller().status_detail() : "");
   row.set_left_s(outings.under_way() ? left_s(row, release.phase() == agreement::PHASE_BACK) : -1);
 }
 
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -16,7 +16,7 @@
 #include "control/release_watch.h"
 #include "control/tables.h"
 #include "net/descriptors.h"
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 #include "settings/document.h"
 
 namespace {
@@ -251,7 +251,7 @@
     if (release_check->parsed()) {
       agreement::Plan read = releases::read_plan(plan);
       std::printf("%s: good: '%s' to version %u in %u waves\n", plan.c_str(), read.name().c_str(),
-                  read.version(), releases::waves_of(read));
+                  read.version(), releases::wave_count(read));
       return 0;
     }
     if (watch) {
@@ -260,7 +260,7 @@
     }
     std::string question = app.get_subcommands().front()->get_name();
     if (releasing->parsed()) question += " " + releasing->get_subcommands().front()->get_name();
-    if (release_start->parsed()) question = releases::start_command(releases::read_plan(plan));
+    if (release_start->parsed()) question = releases::release_start_command(releases::read_plan(plan));
     for (const std::string& word : words) question += " " + word;
     return show(admin, question, rows.text(), as_json);
   } catch (const settings::DocumentError& error) {
--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -42,7 +42,7 @@
       disk_(loop.base(), [this] { storage_->take_done(); }),
       storage_(std::make_unique<consensus::StoreRaftStorage>(
           options.folder, [&loop] { return loop.now(); }, [this] { disk_.fire(); })),
-      conductor_([&log](const std::string& line) { log.line(line); }),
+      rollout_controller_([&log](const std::string& line) { log.line(line); }),
       again_(loop.base(), [this] { beat(); }) {
   if (storage_->owner() != 0 && storage_->owner() != options.id) {
     throw std::runtime_error(
@@ -79,7 +79,7 @@
   instance_ = std::make_unique<agreement::ControlReplica>(
       replica_options, *storage_, *links_, std::move(fleet), first_start, [&loop] { return loop.now(); },
       std::random_device()(), [&log](const std::string& line) { log.line(line); });
-  instance_->set_chapter(&conductor_);
+  instance_->set_chapter(&rollout_controller_);
   instance_->start();
   again_.set(kBeat);
 }
--- a/src/control/replicated_control.h
+++ b/src/control/replicated_control.h
@@ -42,7 +42,7 @@
   agreement::ControlReplica& instance() { return *instance_; }
   const agreement::ControlReplica& instance() const { return *instance_; }
   const PeerLinks& links() const { return *links_; }
-  const releases::RolloutController& conductor() const { return conductor_; }
+  const releases::RolloutController& rollout_controller() const { return rollout_controller_; }
   // Before a stop: leadership goes to another, so that nobody waits for an election.
   void transfer_leadership(std::function<void()> then);
 
@@ -54,7 +54,7 @@
   net::CrossThreadWakeup disk_;
   std::unique_ptr<consensus::StoreRaftStorage> storage_;
   std::unique_ptr<PeerLinks> links_;
-  releases::RolloutController conductor_;
+  releases::RolloutController rollout_controller_;
   std::unique_ptr<agreement::ControlReplica> instance_;
   net::Timer again_;
 };
--- a/src/releases/disruption_budget.cpp
+++ b/src/releases/disruption_budget.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <utility>
 
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 
 namespace myrtlecroft::releases {
 namespace {
@@ -89,20 +89,21 @@
                        std::set<std::string> nodes) { add(name, max, std::move(nodes)); });
   for (Part& part : parts_) {
     for (const std::string& node : part.nodes) {
-      if (chosen.contains(node)) part.row.chosen += counts(part, node);
+      if (chosen.contains(node)) part.usage.chosen += counts(part, node);
     }
   }
 }
 
 void DisruptionBudget::add(const std::string& name, const fleet::MaxUnavailable& max,
                            std::set<std::string> nodes) {
-  Part part{.row = {.name = name}, .by_count = max.by_count, .nodes = std::move(nodes)};
+  Part part{.usage = {.name = name}, .by_count = max.by_count, .nodes = std::move(nodes)};
   for (const std::string& node : part.nodes) {
-    part.row.all += counts(part, node);
-    if (out_.contains(node)) part.row.out += counts(part, node);
+    part.usage.all += counts(part, node);
+    if (out_.contains(node)) part.usage.out += counts(part, node);
   }
   // To the same thousandth as what is agreed.
-  part.row.max = max.by_count ? max.max : std::round(max.max * part.row.all * kThousandths) / kThousandths;
+  part.usage.max =
+      max.by_count ? max.max : std::round(max.max * part.usage.all * kThousandths) / kThousandths;
   parts_.push_back(std::move(part));
 }
 
@@ -117,10 +118,10 @@
   for (const Part& part : parts_) {
     if (!part.nodes.contains(node)) continue;
     double more = already ? 0 : counts(part, node);
-    bool fits = stuck_.contains(node) || part.row.out + more <= part.row.max + kNothing;
-    if (part.row.max > kNothing && fits) continue;
-    std::snprintf(line, sizeof line, "%s: %.2f of %.2f that may be out is out", part.row.name.c_str(),
-                  part.row.out, part.row.max);
+    bool fits = stuck_.contains(node) || part.usage.out + more <= part.usage.max + kNothing;
+    if (part.usage.max > kNothing && fits) continue;
+    std::snprintf(line, sizeof line, "%s: %.2f of %.2f that may be out is out", part.usage.name.c_str(),
+                  part.usage.out, part.usage.max);
     return line;
   }
   // Reserve at the load of the moment: a fleet that is full already must not lose more. Could hold a release
@@ -140,14 +141,14 @@
   whole_ -= limits_[node];
   for (Part& part : parts_) {
     if (!part.nodes.contains(node)) continue;
-    part.row.out += counts(part, node);
-    part.row.chosen += counts(part, node);
+    part.usage.out += counts(part, node);
+    part.usage.chosen += counts(part, node);
   }
 }
 
-std::vector<DisruptionBudget::Row> DisruptionBudget::rows() const {
-  std::vector<Row> out;
-  for (const Part& part : parts_) out.push_back(part.row);
+std::vector<DisruptionBudget::Usage> DisruptionBudget::usage() const {
+  std::vector<Usage> out;
+  for (const Part& part : parts_) out.push_back(part.usage);
   return out;
 }
 
--- a/src/releases/disruption_budget.h
+++ b/src/releases/disruption_budget.h
@@ -31,18 +31,18 @@
   // It goes: others are looked at as if it had gone already.
   void take(const std::string& node);
 
-  struct Row {
+  struct Usage {
     std::string name;
     double max = 0;  // of capacity, or servers
     double out = 0;
     double chosen = 0;  // of that
     double all = 0;
   };
-  std::vector<Row> rows() const;
+  std::vector<Usage> usage() const;
 
  private:
   struct Part {
-    Row row;
+    Usage usage;
     bool by_count = false;
     std::set<std::string> nodes;
   };
--- a/src/releases/rollout_controller.cpp
+++ b/src/releases/rollout_controller.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "agreement/replicated_state.h"
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 
 namespace myrtlecroft::releases {
 namespace {
@@ -265,11 +265,11 @@
   } else if (fresh.empty()) {
     finding_ = {};
   } else {
-    unsigned phases = 2 * waves_of(context.plan);
+    unsigned phases = 2 * wave_count(context.plan);
     finding_ = judge_.look(context.plan, context.view.router.registry().all(), fresh, others, kLooks * phases,
                            context.view.now);
   }
-  if (!finding_.why.empty()) outlook_ = finding_.why;
+  if (!finding_.why.empty()) status_detail_ = finding_.why;
   return finding_;
 }
 
@@ -302,7 +302,7 @@
 }
 
 std::optional<std::string> RolloutController::good_and_last(const RolloutContext& context) {
-  if (context.release.wave() + 1 < waves_of(context.plan) || !good(context)) return std::nullopt;
+  if (context.release.wave() + 1 < wave_count(context.plan) || !good(context)) return std::nullopt;
   std::vector<std::string> left;
   for (const auto& [node, server] : context.servers) {
     if (!context.has_version(*server)) left.push_back(node);
@@ -440,7 +440,7 @@
     std::string rest;
     words >> what >> name;
     std::getline(words >> std::ws, rest);
-    std::string said = kRefused + "unknown command";
+    std::string said = kCommandRejected + "unknown command";
     if (what == "drain" || what == "undrain") said = drain(context, name, what == "drain", out);
     if (what == "release") said = release(context, name, rest, out);
     agreement::CommandResult& result = *out.add_results();
@@ -455,7 +455,7 @@
                                      Decision& out) {
   const fleet::Fleet& fleet = context.view.router.fleet();
   std::vector<std::string> nodes = nodes_called(fleet, name);
-  if (nodes.empty()) return kRefused + ("no node, zone or service is named '" + name + "'");
+  if (nodes.empty()) return kCommandRejected + ("no node, zone or service is named '" + name + "'");
   int changed = 0;
   for (const std::string& node : nodes) {
     if (context.outings.drains().contains(node) == wanted) continue;
@@ -481,14 +481,15 @@
   agreement::ReleaseStep& step = *out.mutable_release();
   auto refused = [&](const std::string& why) {
     out.clear_release();
-    return kRefused + why;
+    return kCommandRejected + why;
   };
   std::string name = "release " + std::to_string(now.id()) + " '" + now.plan().name() + "'";
   if (word == "start") {
     if (MaintenanceState::is_under_way(now.phase())) {
       return refused(name + " is " + agreement::name_of(now.phase()) + ": end it or take it back first");
     }
-    if (!read_told(rest, *step.mutable_plan())) return refused("the plan makes no sense to this version");
+    if (!parse_release_plan(rest, *step.mutable_plan()))
+      return refused("the plan makes no sense to this version");
     step.set_input(agreement::RELEASE_START);
     std::size_t deaf = 0;
     for (const auto& [node, server] : context.servers) deaf += server->heard_at > 0 && !server->report.obeys;
@@ -551,14 +552,14 @@
   if (followed_id_ != 0 || release.phase() != agreement::PHASE_NONE) {
     log_("release " + std::to_string(release.id()) + " '" + release.plan().name() + "' " +
          agreement::name_of(followed_phase_) + " -> " + agreement::name_of(release.phase()) + ", wave " +
-         std::to_string(release.wave() + 1) + " of " + std::to_string(waves_of(release.plan())) +
+         std::to_string(release.wave() + 1) + " of " + std::to_string(wave_count(release.plan())) +
          (release.reason().empty() ? "" : "; " + release.reason()));
   }
   followed_id_ = release.id();
   followed_phase_ = release.phase();
   followed_wave_ = release.wave();
   gap_ = 0;
-  outlook_.clear();
+  status_detail_.clear();
   finding_ = {};
   found_at_ = view.now;
   for (auto& [name, below] : below_) below.above_since = 0;
@@ -608,7 +609,7 @@
   if (out.has_release() || commanded) return;
   draft_trips(context, out);
   if (same) draft_grants(context, out);
-  if (!refusal_.empty()) outlook_ = refusal_;
+  if (!refusal_.empty()) status_detail_ = refusal_;
 }
 
 }  // namespace myrtlecroft::releases
--- a/src/releases/rollout_controller.h
+++ b/src/releases/rollout_controller.h
@@ -19,7 +19,7 @@
 namespace myrtlecroft::releases {
 
 // What the result of a command that came to nothing begins with.
-const std::string kRefused = "refused: ";
+const std::string kCommandRejected = "refused: ";
 
 class RolloutController final : public agreement::DecisionSection {
  public:
@@ -30,7 +30,7 @@
   void draft(const View& view, agreement::Decision& out) override;
 
   // What a release waits for, or how its wave looks, as this instance sees it; one line.
-  const std::string& outlook() const { return outlook_; }
+  const std::string& status_detail() const { return status_detail_; }
 
  private:
   // One look at all of it, from which a decision is drawn.
@@ -110,7 +110,7 @@
   Nanos found_at_ = 0;
   Nanos last_grant_ = 0;
   std::string refusal_;  // of whoever would go next
-  std::string outlook_;
+  std::string status_detail_;
 };
 
 }  // namespace myrtlecroft::releases
--- a/src/releases/plan.cpp
+++ b/src/releases/rollout_plan.cpp
@@ -1,4 +1,4 @@
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -60,14 +60,14 @@
 
 }  // namespace
 
-std::string start_command(const agreement::Plan& plan) {
+std::string release_start_command(const agreement::Plan& plan) {
   std::string told;
   // Fails for no message that is made of numbers and valid text.
   if (!google::protobuf::util::MessageToJsonString(plan, &told).ok()) told.clear();
   return "release start " + told;
 }
 
-bool read_told(const std::string& told, agreement::Plan& out) {
+bool parse_release_plan(const std::string& told, agreement::Plan& out) {
   return google::protobuf::util::JsonStringToMessage(told, &out).ok();
 }
 
--- a/src/releases/plan.h
+++ b/src/releases/rollout_plan.h
@@ -14,8 +14,8 @@
 
 // The command that starts it, and the plan of such a command's last word. False where it makes no sense to
 // this version.
-std::string start_command(const agreement::Plan& plan);
-bool read_told(const std::string& told, agreement::Plan& out);
+std::string release_start_command(const agreement::Plan& plan);
+bool parse_release_plan(const std::string& told, agreement::Plan& out);
 
 // As shares are agreed on.
 inline std::uint32_t thousandths(double value) {
@@ -23,7 +23,7 @@
 }
 
 // Waves, the first few servers counted as one.
-inline std::uint32_t waves_of(const agreement::Plan& plan) {
+inline std::uint32_t wave_count(const agreement::Plan& plan) {
   return 1 + static_cast<std::uint32_t>(plan.waves_size());
 }
 
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <random>
 
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 #include "releases/rollout_controller.h"
 #include "settings/document.h"
 
@@ -441,7 +441,7 @@
   write("version = 1; name = \"winter\"; wanted = 7;");
   agreement::Plan plan = read_plan(path);
   EXPECT_EQ(plan.version(), 7u);
-  EXPECT_EQ(waves_of(plan), 5u);
+  EXPECT_EQ(wave_count(plan), 5u);
   EXPECT_EQ(plan.longest_soak_ns(), 10 * plan.soak_ns());
 }
 
@@ -473,7 +473,7 @@
   explicit FleetStory(fleet::Fleet of = fleet_of(10))
       : router(of, std::nullopt, true, kSecond, [](const std::string&) {}),
         nodes(of.nodes.size()),
-        conductor([this](const std::string& line) { log.push_back(line); }) {}
+        rollout_controller([this](const std::string& line) { log.push_back(line); }) {}
 
   // Decides, agrees, obeys and reports ten times a second.
   void run(Nanos how_long) {
@@ -506,8 +506,8 @@
     decision.set_applied(applied);
     agreement::DecisionSection::View view{
         state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
-    conductor.watch(view);
-    if (!cut_off) conductor.draft(view, decision);
+    rollout_controller.watch(view);
+    if (!cut_off) rollout_controller.draft(view, decision);
     ASSERT_EQ(state.apply(decision), Verdict::kTaken);
     std::erase_if(commands, [&](const auto& one) {
       const agreement::CommandResult* result = state.outings().result(one.first);
@@ -552,7 +552,7 @@
   void say(const std::string& text) { commands[++last_command] = text; }
   void start(std::uint32_t version, agreement::Plan plan = plan_of(0)) {
     plan.set_version(version);
-    say(start_command(plan));
+    say(release_start_command(plan));
   }
   const agreement::Release& release() const { return state.outings().release(); }
   int with(std::uint32_t version) const {
@@ -565,7 +565,7 @@
   ReplicatedState state;
   std::vector<FakeNode> nodes;
   std::vector<std::string> log;
-  RolloutController conductor;
+  RolloutController rollout_controller;
   std::map<std::uint64_t, std::string> commands;
   std::uint64_t last_command = 0;
   std::string said;
@@ -580,7 +580,7 @@
   run(2 * kSecond);
   start(2);
   run(60 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_DONE) << release().reason() << conductor.outlook();
+  EXPECT_EQ(release().phase(), agreement::PHASE_DONE) << release().reason() << rollout_controller.status_detail();
   EXPECT_EQ(with(2), 10);
   EXPECT_EQ(max_unavailable, 2u);
 }
@@ -596,7 +596,7 @@
   run(2 * kSecond);
   start(2, plan);
   run(40 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_TAKEN_BACK) << release().reason() << conductor.outlook();
+  EXPECT_EQ(release().phase(), agreement::PHASE_TAKEN_BACK) << release().reason() << rollout_controller.status_detail();
   EXPECT_EQ(with(1), 60);
   EXPECT_EQ(release().taken_size(), 4);
 }
@@ -716,7 +716,7 @@
   start(2);
   for (int moment = 0; moment < 30; ++moment) {
     run(700 * kMs);
-    conductor = RolloutController([](const std::string&) {});
+    rollout_controller = RolloutController([](const std::string&) {});
   }
   run(60 * kSecond);
   EXPECT_EQ(release().phase(), agreement::PHASE_DONE) << release().reason();
