--- /dev/null
+++ b/src/overload/concurrency_limit.cpp
@@ -0,0 +1,59 @@
+#include "overload/concurrency_limit.h"
+
+#include <algorithm>
+
+#include "overload/units.h"
+
+namespace myrtlecroft::overload {
+namespace {
+
+constexpr double kStep = 0.25;  // requests, for each timer
+constexpr double kMeasurableIdle =
+    1.2;                            // threads for each core: up to here core use tells whether cores idle
+constexpr double kContended = 1.5;  // threads for each core: from here the limit falls
+constexpr double kSurvivableShare = 0.7;  // of the concurrency that the server survives
+constexpr Nanos kContentionRecent = 250 * kMs;
+
+}  // namespace
+
+ConcurrencyLimit::ConcurrencyLimit(const ServiceConfig& config)
+    : config_(config), limit_(config.cores), contention_(kContentionRecent) {}
+
+void ConcurrencyLimit::begin_running(Request& request, Nanos now) {
+  request.on_core = true;
+  request.since = now;
+  ++running_;
+}
+
+void ConcurrencyLimit::end_running(Request& request, Nanos now) {
+  if (!request.on_core) return;
+  request.on_core = false;
+  request.core_time += now - request.since;
+  --running_;
+}
+
+double ConcurrencyLimit::warm_up_progress(Nanos now) const {
+  if (!config_.warming_up || config_.warm_up_time <= 0) return 1;
+  double part = seconds(now - started_) / seconds(config_.warm_up_time);
+  return std::min(1.0, config_.warm_up_initial_speed + (1 - config_.warm_up_initial_speed) * part);
+}
+
+double ConcurrencyLimit::contention(Nanos now) const { return contention_.mean(config_.cores, now); }
+
+double ConcurrencyLimit::max_concurrency(Nanos now) const {
+  double per_core = 1 + (config_.max_running_per_core - 1) * warm_up_progress(now);
+  return std::max(1.0, kSurvivableShare * config_.cores * per_core);
+}
+
+void ConcurrencyLimit::follow(const Gauges& gauges, bool work_is_queued, Nanos now) {
+  if (gauges.on_cores) contention_.add(*gauges.on_cores, now);
+  double threads = contention(now);
+  bool idle = gauges.core_use ? *gauges.core_use < kBusyCores && threads < kMeasurableIdle * config_.cores
+                              : threads < config_.cores;
+  if (work_is_queued && running_ + 1 > limit_ && idle) limit_ += kStep;
+  if (threads > kContended * config_.cores) limit_ -= kStep;
+  double min_limit = static_cast<double>(config_.cores);
+  limit_ = std::clamp(limit_, min_limit, std::max(max_concurrency(now), min_limit));
+}
+
+}  // namespace myrtlecroft::overload
