--- a/measure/agreement_rig.cpp
+++ b/measure/agreement_rig.cpp
@@ -517,7 +517,7 @@
     std::set<std::string> trips;
     if (operator_) {
       control::AdminAnswer status = operator_->status();
-      for (const control::TripRow& row : status.trips()) trips.insert(row.node());
+      for (const control::MaintenanceLeaseRow& row : status.trips()) trips.insert(row.node());
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       NodePlace& node = nodes_[i];
@@ -878,8 +878,9 @@
           continue;  // it refuses to start, which is right: an operator lets a new one in
         control::AdminAnswer answer;
         try {
-          answer = control::ask(
-              net::loopback(static_cast<std::uint16_t>((*control_)[static_cast<int>(i)].admin)), "instances");
+          answer = control::AdminClient(
+                       net::loopback(static_cast<std::uint16_t>((*control_)[static_cast<int>(i)].admin)))
+                       .call("instances");
         } catch (const std::exception& error) {
           if (round == 0) ++result_.not_back, note("instance " + std::to_string(i + 1) + ": " + error.what());
           continue;
--- a/measure/capacity/real_rig.cpp
+++ b/measure/capacity/real_rig.cpp
@@ -217,7 +217,7 @@
   std::int64_t begun = steady_ns();
   try {
     control::AdminAnswer answer =
-        control::ask(net::loopback(static_cast<std::uint16_t>(control_[0].admin)), question);
+        control::AdminClient(net::loopback(static_cast<std::uint16_t>(control_[0].admin))).call(question);
     out.bytes = answer.ByteSizeLong();
     out.rows = answer.rows();
     out.rows_left_out = answer.rows_left_out();
--- a/measure/capacity/server_relay.cpp
+++ b/measure/capacity/server_relay.cpp
@@ -109,7 +109,7 @@
 
 Responder::Responder(net::Loop& loop)
     : door_(loop, log_, net::loopback(0), "responder", kMaxConnections,
-            {.came = [](control::FrameServer::Id, net::Connection& connection, std::string_view bytes) {
+            {.received = [](control::FrameServer::Id, net::Connection& connection, std::string_view bytes) {
               return came(connection, bytes);
             }}) {}
 
--- a/measure/measure_xds.cpp
+++ b/measure/measure_xds.cpp
@@ -194,7 +194,7 @@
                "127.0.0." + std::to_string(2 + i / 250) + ":" + std::to_string(20'000 + i));
   }
   auto admin = [&](const char* question) {
-    return control::ask(control::loopback(static_cast<std::uint16_t>(fleet[0].admin)), question);
+    return control::AdminClient(control::loopback(static_cast<std::uint16_t>(fleet[0].admin))).call(question);
   };
   control::await(
       [&] {
--- a/measure/operator.cpp
+++ b/measure/operator.cpp
@@ -38,7 +38,8 @@
 bool Operator::try_to_say(int instance, const std::string& command) const {
   try {
     int port = admins_[static_cast<std::size_t>(instance) % admins_.size()];
-    std::string error = control::ask(net::loopback(static_cast<std::uint16_t>(port)), command).error();
+    std::string error =
+        control::AdminClient(net::loopback(static_cast<std::uint16_t>(port))).call(command).error();
     return error.find("out of touch") == std::string::npos && error.find("not agreed") == std::string::npos;
   } catch (const std::exception&) {
     return false;
@@ -65,7 +66,7 @@
     try {
       int port = admins_[static_cast<std::size_t>(turn) % admins_.size()];
       control::AdminAnswer seen =
-          control::ask(net::loopback(static_cast<std::uint16_t>(port)), "release status");
+          control::AdminClient(net::loopback(static_cast<std::uint16_t>(port))).call("release status");
       std::lock_guard lock(mutex_);
       if (seen.epoch() >= status_.epoch()) status_ = seen;
     } catch (const std::exception&) {
--- a/src/control/admin_client.cpp
+++ b/src/control/admin_client.cpp
@@ -3,52 +3,78 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include <stdexcept>
+#include <optional>
 
 namespace myrtlecroft::control {
 namespace {
 
-constexpr std::size_t kLargestAnswer = std::size_t{8} << 20;
-constexpr int kAnswerWait = 5;  // seconds
+constexpr std::size_t kMaxAnswerBytes = std::size_t{8} << 20;
+constexpr std::size_t kLengthBytes = 4;  // before the answer, big-endian
+constexpr std::size_t kReadBytes = 65'536;
+constexpr int kTimeoutSeconds = 5;
 
 class Socket {
  public:
-  Socket() : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {}
+  Socket() : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    timeval timeout{.tv_sec = kTimeoutSeconds, .tv_usec = 0};
+    setsockopt(socket_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+    setsockopt(socket_, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
+  }
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
   ~Socket() { ::close(socket_); }
-  int get() const { return socket_; }
+
+  bool connect(const sockaddr_in& server) const {
+    return ::connect(socket_, reinterpret_cast<const sockaddr*>(&server), sizeof server) == 0;
+  }
+  bool send(const std::string& bytes) const {
+    return ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
+  }
+  // Until the peer closes, the timeout ends a read, or the answer is larger than any may be.
+  std::string receive_all() const {
+    std::string out;
+    std::string chunk(kReadBytes, '\0');
+    while (out.size() < kMaxAnswerBytes) {
+      ssize_t received = ::recv(socket_, chunk.data(), chunk.size(), 0);
+      if (received <= 0) break;
+      out.append(chunk, 0, static_cast<std::size_t>(received));
+    }
+    return out;
+  }
 
  private:
   int socket_;
 };
 
+std::optional<AdminAnswer> decode_answer(const std::string& bytes) {
+  if (bytes.size() < kLengthBytes) return std::nullopt;
+  std::size_t size = 0;
+  for (std::size_t i = 0; i < kLengthBytes; ++i) size = size << 8 | static_cast<std::uint8_t>(bytes[i]);
+  if (bytes.size() - kLengthBytes < size) return std::nullopt;
+  AdminAnswer answer;
+  if (!answer.ParseFromArray(bytes.data() + kLengthBytes, static_cast<int>(size))) return std::nullopt;
+  return answer;
+}
+
+std::string message_of(AdminClientError::Kind kind, std::uint16_t port) {
+  std::string at = " at port " + std::to_string(port);
+  return kind == AdminClientError::Kind::kUnreachable ? "no control service answers" + at
+                                                      : "incomplete answer from the control service" + at;
+}
+
 }  // namespace
 
-AdminAnswer ask(const sockaddr_in& admin, const std::string& question) {
+AdminClientError::AdminClientError(Kind kind, std::uint16_t port)
+    : std::runtime_error(message_of(kind, port)), kind_(kind), port_(port) {}
+
+AdminAnswer AdminClient::call(const std::string& line) const {
   Socket socket;
-  timeval wait{.tv_sec = kAnswerWait, .tv_usec = 0};
-  setsockopt(socket.get(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
-  setsockopt(socket.get(), SOL_SOCKET, SO_SNDTIMEO, &wait, sizeof wait);
-  std::string line = question + "\n";
-  if (::connect(socket.get(), reinterpret_cast<const sockaddr*>(&admin), sizeof admin) != 0 ||
-      ::send(socket.get(), line.data(), line.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(line.size())) {
-    throw std::runtime_error("no control service answers at port " + std::to_string(ntohs(admin.sin_port)));
-  }
-  std::string in;
-  char buffer[65'536];
-  while (in.size() < kLargestAnswer) {
-    ssize_t got = ::recv(socket.get(), buffer, sizeof buffer, 0);
-    if (got <= 0) break;
-    in.append(buffer, static_cast<std::size_t>(got));
-  }
-  std::size_t size = 0;
-  for (std::size_t i = 0; i < 4 && i < in.size(); ++i) size = size << 8 | static_cast<std::uint8_t>(in[i]);
-  AdminAnswer out;
-  if (in.size() < 4 || in.size() - 4 < size || !out.ParseFromArray(in.data() + 4, static_cast<int>(size))) {
-    throw std::runtime_error("no whole answer from the control service");
+  if (!socket.connect(server_) || !socket.send(line + "\n")) {
+    throw AdminClientError(AdminClientError::Kind::kUnreachable, ntohs(server_.sin_port));
   }
-  return out;
+  std::optional<AdminAnswer> answer = decode_answer(socket.receive_all());
+  if (!answer) throw AdminClientError(AdminClientError::Kind::kIncompleteAnswer, ntohs(server_.sin_port));
+  return *std::move(answer);
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -55,7 +55,7 @@
               .command = 0,
               .until = loop_.now() + kLongestCommand,
               .answer = std::move(answer)};
-  agreement::ControlReplica& instance = agreed_.instance();
+  agreement::ControlReplica& instance = agreed_.replica();
   if (!instance.has_quorum())
     return finish(
         one, releases::kRefused + "this instance is out of touch with a majority, and nothing is permitted");
@@ -70,20 +70,19 @@
 void AdminCommands::gone(FrameServer::Id id) {
   auto found = waiting_.find(id);
   if (found == waiting_.end()) return;
-  agreed_.instance().forget_command(found->second.command);
+  agreed_.replica().forget_command(found->second.command);
   waiting_.erase(found);
 }
 
 void AdminCommands::tick() {
   for (auto one = waiting_.begin(); one != waiting_.end();) {
-    const agreement::CommandResult* result =
-        agreed_.instance().agreed().outings().result(one->second.command);
+    const agreement::CommandResult* result = agreed_.replica().agreed().outings().result(one->second.command);
     if (!result && loop_.now() < one->second.until) {
       ++one;
       continue;
     }
     // It may be with a leader that is still to have it agreed, or never will.
-    if (!result) agreed_.instance().forget_command(one->second.command);
+    if (!result) agreed_.replica().forget_command(one->second.command);
     finish(one->second,
            result ? result->said()
                   : releases::kRefused +
@@ -93,13 +92,13 @@
 }
 
 void AdminCommands::fill(AdminAnswer& answer) const {
-  const agreement::ControlReplica& instance = agreed_.instance();
+  const agreement::ControlReplica& instance = agreed_.replica();
   const agreement::ReplicatedState& state = instance.agreed();
   const agreement::MaintenanceState& outings = state.outings();
   std::set<std::string> chosen;
   for (const auto& [node, trip] : outings.leases()) {
     chosen.insert(node);
-    TripRow& row = *answer.add_trips();
+    MaintenanceLeaseRow& row = *answer.add_trips();
     row.set_node(node);
     row.set_why(name_of(trip.why));
     row.set_place(agreement::name_of(trip.place));
@@ -143,7 +142,7 @@
   for (const agreement::UpdatedServer& one : release.taken()) {
     if (!one.failed().empty()) row.add_failed(one.node() + ": " + one.failed());
   }
-  row.set_outlook(outings.under_way() ? agreed_.conductor().outlook() : "");
+  row.set_outlook(outings.under_way() ? agreed_.rollout().outlook() : "");
   row.set_left_s(outings.under_way() ? left_s(row, release.phase() == agreement::PHASE_BACK) : -1);
 }
 
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -21,8 +21,8 @@
          (question.state.empty() || question.state == state) && name.starts_with(question.name);
 }
 
-NodeRow row_of(const routing::ServerStatus& replica, std::uint32_t shards, Nanos now) {
-  NodeRow row;
+ServerRow row_of(const routing::ServerStatus& replica, std::uint32_t shards, Nanos now) {
+  ServerRow row;
   row.set_name(replica.node.name);
   row.set_zone(replica.node.zone);
   row.set_address(replica.node.address());
@@ -152,7 +152,7 @@
   for (std::size_t place = 0; place < members.size(); ++place) {
     const routing::ServerStatus& replica = members[place];
     if (!matches(question, replica.node.zone, routing::name_of(replica.state), replica.node.name)) continue;
-    NodeRow row = row_of(replica, shards[place], loop_.now());
+    ServerRow row = row_of(replica, shards[place], loop_.now());
     if (pager.next(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
   }
 }
@@ -186,13 +186,14 @@
   operators_->fill(answer);
   auto named = [&](const std::string& name) { return name.starts_with(question.name); };
   keep_page(*answer.mutable_budgets(), pager, [&](const BudgetRow& row) { return named(row.name()); });
-  keep_page(*answer.mutable_trips(), pager, [&](const TripRow& row) { return named(row.node()); });
+  keep_page(*answer.mutable_trips(), pager,
+            [&](const MaintenanceLeaseRow& row) { return named(row.node()); });
   keep_page(*answer.mutable_drains(), pager, named);
   if (answer.has_release()) keep_page(*answer.mutable_release()->mutable_failed(), pager, named);
 }
 
 void AdminQueries::fill_instances(AdminAnswer& answer) const {
-  const agreement::ControlReplica& instance = agreed_->instance();
+  const agreement::ControlReplica& instance = agreed_->replica();
   const consensus::RaftNode& replica = instance.raft_node();
   answer.set_instance(replica.id());
   answer.set_role(consensus::name_of(replica.role()));
@@ -233,11 +234,11 @@
   std::uint64_t id = 0;
   std::string address;
   words >> word >> id >> address;
-  if (word == "let-in" && id > 0 && !address.empty()) return agreed_->instance().let_in(id, address);
-  if (word == "let-out" && id > 0) return agreed_->instance().let_out(id);
+  if (word == "let-in" && id > 0 && !address.empty()) return agreed_->replica().let_in(id, address);
+  if (word == "let-out" && id > 0) return agreed_->replica().let_out(id);
   if (word != "hand-on")
     return "unknown question; there are nodes, proxies, snapshot, instances, outings and release status";
-  if (!agreed_->instance().raft_node().leads()) return "this instance does not lead";
+  if (!agreed_->replica().raft_node().leads()) return "this instance does not lead";
   agreed_->transfer_leadership([] {});
   return "";
 }
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-Control::Control(net::Loop& loop, service::Logger& log, Options options)
+Control::Control(net::Loop& loop, service::Logger& log, ControlOptions options)
     : loop_(loop),
       log_(log),
       options_(std::move(options)),
@@ -73,19 +73,22 @@
       agreed_(options_.agreement.id == 0
                   ? nullptr
                   : std::make_unique<ReplicatedControl>(
-                        loop, log, options_.agreement, fleet::read_fleet(options_.fleet_path),
-                        options_.first_start, hash_of(options_.fleet_path), [this] { serve_agreed(); })),
+                        loop, log, options_.agreement,
+                        ReplicatedControl::Start{.fleet = fleet::read_fleet(options_.fleet_path),
+                                                 .first_start = options_.first_start,
+                                                 .settings_hash = hash_of(options_.fleet_path)},
+                        [this] { serve_agreed(); })),
       operators_(agreed_ ? std::make_unique<AdminCommands>(loop, *agreed_) : nullptr),
-      router_(alone_ ? *alone_ : agreed_->instance().router()),
+      router_(alone_ ? *alone_ : agreed_->replica().router()),
       reports_(loop, log, options_.addresses.reports, "reporter",
                2 * router_.fleet().nodes.size() + kSpareReporters,
-               {.came = [this](FrameServer::Id id, net::Connection& connection,
-                               std::string_view bytes) { return reports_came(id, connection, bytes); },
-                .ended = [this](FrameServer::Id id) { reporter_gone(id); }}),
+               {.received = [this](FrameServer::Id id, net::Connection& connection,
+                                   std::string_view bytes) { return reports_came(id, connection, bytes); },
+                .closed = [this](FrameServer::Id id) { reporter_gone(id); }}),
       admin_(loop, log, options_.addresses.admin, "admin", kMaxAdmins,
-             {.came = [this](FrameServer::Id id, net::Connection& connection,
-                             std::string_view bytes) { return asked(id, connection, bytes); },
-              .ended =
+             {.received = [this](FrameServer::Id id, net::Connection& connection,
+                                 std::string_view bytes) { return asked(id, connection, bytes); },
+              .closed =
                   [this](FrameServer::Id id) {
                     if (operators_) operators_->gone(id);
                   }}),
@@ -145,7 +148,7 @@
     fleet::Fleet next = fleet::read_fleet(options_.fleet_path);
     std::size_t nodes = next.nodes.size();
     if (agreed_) {
-      agreed_->instance().fleet_changed(std::move(next), hash_of(options_.fleet_path));
+      agreed_->replica().fleet_changed(std::move(next), hash_of(options_.fleet_path));
     } else {
       router_.fleet_changed(std::move(next), loop_.now());
     }
@@ -178,7 +181,7 @@
     // A change of what a server says of itself is not left to wait for the beat.
     std::string word = std::string(name_of(report.mode)) + (report.draining ? " leaving" : "");
     if (std::exchange(words_[report.node], word) != word) {
-      if (agreed_) agreed_->instance().soon();
+      if (agreed_) agreed_->replica().soon();
       again_.set(0);
     }
     if (agreed_ && report.obeys) order(connection, report);
@@ -215,11 +218,11 @@
   // All are looked at only where one of them has said something; before they are, so that nothing is missed.
   std::uint64_t changes = discovery_.changes();
   if (std::exchange(heard_changes_, changes) == changes) {
-    agreed_->instance().proxies_unchanged();
+    agreed_->replica().proxies_unchanged();
   } else {
-    agreed_->instance().proxies(proxy_words());
+    agreed_->replica().proxies(proxy_words());
   }
-  applied_ = agreed_->instance().applied_by_all();
+  applied_ = agreed_->replica().applied_by_all();
 }
 
 google::protobuf::RepeatedPtrField<consensus::ProxyStatus> Control::proxy_words() {
@@ -237,17 +240,17 @@
 
 // To a server that acts on an older order, or on none.
 void Control::order(net::Connection& connection, const report::LoadReport& report) {
-  fencing::ShardAssignment order = agreed_->instance().order_for(report.node);
+  fencing::ShardAssignment order = agreed_->replica().order_for(report.node);
   if (order.epoch.number == 0 || order.incarnation != report.incarnation || report.epoch >= order.epoch)
     return;
   // Nobody goes out on the word of an instance that does not know whether it still holds.
-  if (order.restart_as && !agreed_->instance().has_quorum()) return;
+  if (order.restart_as && !agreed_->replica().has_quorum()) return;
   order.answers = report.sequence;
   connection.write(report::encode(order));
 }
 
 void Control::serve_agreed() {
-  agreement::ControlReplica& instance = agreed_->instance();
+  agreement::ControlReplica& instance = agreed_->replica();
   operators_->tick();
   auto published = instance.published();
   if (published && (!served_ || served_->number != published->number)) publish(*published);
@@ -263,7 +266,7 @@
 
 // Who may be served is told again only where it was agreed on anew.
 void Control::gate(Nanos fresh_until) {
-  const agreement::ReplicatedState& agreed = agreed_->instance().agreed();
+  const agreement::ReplicatedState& agreed = agreed_->replica().agreed();
   if (std::exchange(gated_at_, agreed.proxies_epoch()) == agreed.proxies_epoch()) {
     discovery_.gate_stays(fresh_until, closed_);
     return;
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -26,24 +26,24 @@
 
 namespace myrtlecroft::control {
 
-struct Addresses {
+struct ListenAddresses {
   std::string discovery;  // "127.0.0.1:18000", for proxies
   sockaddr_in reports{};  // for servers
   sockaddr_in admin{};
 };
 
-struct Options {
+struct ControlOptions {
   std::string fleet_path;
   std::string state_folder;  // empty: nothing is kept
   bool first_start = false;
-  Addresses addresses;
+  ListenAddresses addresses;
   AgreementOptions agreement;
 };
 
 class Control {
  public:
   // Throws settings::DocumentError for the fleet file and std::runtime_error for all else.
-  Control(net::Loop& loop, service::Logger& log, Options options);
+  Control(net::Loop& loop, service::Logger& log, ControlOptions options);
   ~Control();
 
   // Reads the fleet file again. One that makes no sense changes nothing.
@@ -76,7 +76,7 @@
 
   net::Loop& loop_;
   service::Logger& log_;
-  Options options_;
+  ControlOptions options_;
   DiscoveryService discovery_;
   LoadService loads_;
   std::unique_ptr<StateStore> state_;
--- a/src/control/frame_server.cpp
+++ b/src/control/frame_server.cpp
@@ -10,7 +10,7 @@
 namespace myrtlecroft::control {
 namespace {
 
-constexpr Nanos kAcceptPause = 100 * kMs;  // after the descriptors ran out
+constexpr Nanos kAcceptBackoff = 100 * kMs;  // after an accept failed, as with no descriptor left
 constexpr int kBacklog = 1024;
 
 }  // namespace
@@ -21,12 +21,12 @@
       : frame_server_(frame_server),
         id_(id),
         connection_(frame_server.loop_.base(), socket, *this, frame_server.log_,
-                    frame_server.what_ + " " + std::to_string(id)) {}
+                    frame_server.peer_kind_ + " " + std::to_string(id)) {}
   std::size_t came(net::Connection& connection, std::string_view bytes) override {
-    return frame_server_.events_.came(id_, connection, bytes);
+    return frame_server_.handlers_.received(id_, connection, bytes);
   }
   void ended(net::Connection&, net::Reason) override {
-    frame_server_.events_.ended(id_);
+    frame_server_.handlers_.closed(id_);
     frame_server_.sessions_.erase(id_);
   }
   net::Connection& connection() { return connection_; }
@@ -37,20 +37,20 @@
   net::Connection connection_;
 };
 
-FrameServer::FrameServer(net::Loop& loop, service::Logger& log, const sockaddr_in& listen, std::string what,
-                         std::size_t max, Events events)
+FrameServer::FrameServer(net::Loop& loop, service::Logger& log, const sockaddr_in& address,
+                         std::string peer_kind, std::size_t max_connections, Handlers handlers)
     : loop_(loop),
       log_(log),
-      what_(std::move(what)),
-      max_(max),
-      events_(std::move(events)),
-      listener_(evconnlistener_new_bind(loop.base(), accepted, this,
-                                        LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-                                        kBacklog, reinterpret_cast<const sockaddr*>(&listen), sizeof listen)),
-      accept_again_(loop.base(), [this] { evconnlistener_enable(listener_.get()); }) {
+      peer_kind_(std::move(peer_kind)),
+      max_connections_(max_connections),
+      handlers_(std::move(handlers)),
+      listener_(evconnlistener_new_bind(
+          loop.base(), accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
+          kBacklog, reinterpret_cast<const sockaddr*>(&address), sizeof address)),
+      resume_accepting_(loop.base(), [this] { evconnlistener_enable(listener_.get()); }) {
   if (!listener_) {
-    throw std::runtime_error("can't listen for " + what_ + " on port " +
-                             std::to_string(ntohs(listen.sin_port)) + ": " +
+    throw std::runtime_error("can't listen for " + peer_kind_ + " on port " +
+                             std::to_string(ntohs(address.sin_port)) + ": " +
                              std::strerror(EVUTIL_SOCKET_ERROR()));
   }
   evconnlistener_set_error_cb(listener_.get(), accept_failed);
@@ -66,20 +66,20 @@
 }
 
 void FrameServer::accepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
-  static_cast<FrameServer*>(self)->add(socket);
+  static_cast<FrameServer*>(self)->add_session(socket);
 }
 
 void FrameServer::accept_failed(evconnlistener*, void* given) {
   auto* self = static_cast<FrameServer*>(given);
-  self->log_.frequent("accept failed for " + self->what_ + ": " + std::strerror(EVUTIL_SOCKET_ERROR()));
+  self->log_.frequent("accept failed for " + self->peer_kind_ + ": " + std::strerror(EVUTIL_SOCKET_ERROR()));
   evconnlistener_disable(self->listener_.get());
-  self->accept_again_.set(kAcceptPause);
+  self->resume_accepting_.set(kAcceptBackoff);
 }
 
-void FrameServer::add(evutil_socket_t socket) {
-  Id id = ++last_;
+void FrameServer::add_session(evutil_socket_t socket) {
+  Id id = ++last_id_;
   auto& session = sessions_[id] = std::make_unique<Session>(*this, id, socket);
-  if (sessions_.size() > max_) session->connection().end(net::Reason::kCrowded);
+  if (sessions_.size() > max_connections_) session->connection().end(net::Reason::kCrowded);
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -52,7 +52,7 @@
   }
 }
 
-void serve(control::Options options) {
+void serve(control::ControlOptions options) {
   std::signal(SIGPIPE, SIG_IGN);
   mallopt(M_ARENA_MAX, 2);                    // threads that each keep memory of their own keep it for good
   google::protobuf::SetLogHandler(nullptr);   // what peers send that makes no sense is told in our own log
@@ -79,7 +79,7 @@
 int reset(const std::string& folder, const std::string& list) {
   consensus::StoreRaftStorage storage(
       folder, [] { return net::Loop::unix_now(); }, [] {});
-  consensus::RaftNode::force_new_cluster(storage, control::instances_of(list));
+  consensus::RaftNode::force_new_cluster(storage, control::parse_instances(list));
   std::printf(
       "%s goes on with: %s\nWhat only those who are gone had agreed on is lost. Start it without --begin.\n",
       folder.c_str(), list.c_str());
@@ -116,7 +116,7 @@
 }
 
 int show(const std::string& admin, const std::string& question, const std::string& rows, bool as_json) {
-  control::AdminAnswer answer = control::ask(address_of(admin), question + rows);
+  control::AdminAnswer answer = control::AdminClient(address_of(admin)).call(question + rows);
   if (!answer.error().empty()) throw std::runtime_error(answer.error());
   if (!as_json) {
     if (!answer.done().empty()) std::puts(answer.done().c_str());
@@ -169,7 +169,7 @@
                       "Others, where they are reached from here by another address than all know");
   serving->add_flag("--join", agreement.join, "First start of one that is to be let in by 'let-in'");
   serving
-      ->add_option("--hold-format", agreement.format,
+      ->add_option("--hold-format", agreement.max_entry_format,
                    "Take and write no newer form of agreed entries, for an upgrade that may be taken back")
       ->check(CLI::Range(1u, agreement::kFormat));
   serving
@@ -239,8 +239,8 @@
           (agreement.id == 0 || agreement.address.empty() || agreement.folder.empty() || !state.empty())) {
         throw std::runtime_error("--instance, --peer and --log go together, and without --state");
       }
-      agreement.begin = control::instances_of(begin);
-      agreement.reach = control::instances_of(reach);
+      agreement.bootstrap = control::parse_instances(begin);
+      agreement.address_overrides = control::parse_instances(reach);
       serve({.fleet_path = fleet,
              .state_folder = state,
              .first_start = first_start,
@@ -255,7 +255,7 @@
       return 0;
     }
     if (watch) {
-      control::watch_release([&] { return control::ask(address_of(admin), "release status"); });
+      control::watch_release([&] { return control::AdminClient(address_of(admin)).call("release status"); });
       return 0;
     }
     std::string question = app.get_subcommands().front()->get_name();
--- a/src/control/release_watch.cpp
+++ b/src/control/release_watch.cpp
@@ -59,7 +59,7 @@
     screen.line(at++, amount(budget.out()) + " of " + amount(budget.most()) + " out of " + budget.name());
   }
   ++at;
-  for (const TripRow& trip : answer.trips()) {
+  for (const MaintenanceLeaseRow& trip : answer.trips()) {
     if (at >= LINES - 1) break;
     screen.line(at++, trip.node() + ": " + trip.why() + ", " + trip.place() + " for " +
                           std::to_string(static_cast<int>(trip.in_place_s())) + " s");
--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -1,104 +1,136 @@
 #include "control/replicated_control.h"
 
+#include <algorithm>
 #include <charconv>
+#include <map>
+#include <optional>
 #include <random>
-#include <stdexcept>
 
 #include "settings/document.h"
 
 namespace myrtlecroft::control {
 namespace {
 
-constexpr Nanos kBeat = 25 * kMs;
+constexpr Nanos kTickInterval = 25 * kMs;
+
+// "1=127.0.0.1:7401"
+std::optional<consensus::Server> parse_instance(const std::string& text) {
+  std::size_t equals = text.find('=');
+  if (equals == std::string::npos) return std::nullopt;
+  std::uint64_t id = 0;
+  const char* id_end = text.data() + equals;
+  if (std::from_chars(text.data(), id_end, id).ptr != id_end || id == 0) return std::nullopt;
+  std::string address = text.substr(equals + 1);
+  std::string host;
+  std::uint16_t port = 0;
+  if (!settings::split_address(address, host, port)) return std::nullopt;
+  consensus::Server server;
+  server.set_id(id);
+  server.set_address(address);
+  server.set_role(RAFT_VOTER);
+  return server;
+}
+
+agreement::ReplicaOptions replica_options(const AgreementOptions& options,
+                                          const ReplicatedControl::Start& start) {
+  agreement::ReplicaOptions out;
+  out.id = options.id;
+  out.address = options.address;
+  out.log.fleet = start.fleet.listener;
+  out.log.snapshot_after = options.snapshot_after;
+  out.log.snapshot_trailing = std::min(out.log.snapshot_trailing, options.snapshot_after / 4);
+  out.format = options.max_entry_format;
+  out.settings = start.settings_hash;
+  return out;
+}
 
 }  // namespace
 
-std::vector<consensus::Server> instances_of(const std::string& list) {
+std::vector<consensus::Server> parse_instances(const std::string& list) {
   std::vector<consensus::Server> out;
-  for (std::size_t at = 0; at < list.size();) {
-    std::size_t end = std::min(list.find(',', at), list.size());
-    std::string one = list.substr(at, end - at);
-    std::size_t equals = one.find('=');
-    std::uint64_t id = 0;
-    std::string host;
-    std::uint16_t port = 0;
-    const char* past = one.data() + std::min(equals, one.size());
-    bool good = equals != std::string::npos && std::from_chars(one.data(), past, id).ptr == past && id > 0 &&
-                settings::split_address(one.substr(equals + 1), host, port);
-    if (!good) throw std::runtime_error("not an instance like 1=127.0.0.1:7401: '" + one + "'");
-    out.emplace_back();
-    out.back().set_id(id);
-    out.back().set_address(one.substr(equals + 1));
-    out.back().set_role(RAFT_VOTER);
-    at = end + 1;
+  for (std::size_t begin = 0; begin < list.size();) {
+    std::size_t end = std::min(list.find(',', begin), list.size());
+    std::string part = list.substr(begin, end - begin);
+    std::optional<consensus::Server> server = parse_instance(part);
+    if (!server) throw InstanceListError(part);
+    out.push_back(*std::move(server));
+    begin = end + 1;
   }
   return out;
 }
 
 ReplicatedControl::ReplicatedControl(net::Loop& loop, service::Logger& log, const AgreementOptions& options,
-                                     fleet::Fleet fleet, bool first_start, std::uint64_t settings, News news)
+                                     Start start, StateChanged state_changed)
     : log_(log),
-      news_(std::move(news)),
-      disk_(loop.base(), [this] { storage_->take_done(); }),
+      state_changed_(std::move(state_changed)),
+      disk_wakeup_(loop.base(), [this] { storage_->take_done(); }),
       storage_(std::make_unique<consensus::StoreRaftStorage>(
-          options.folder, [&loop] { return loop.now(); }, [this] { disk_.fire(); })),
-      conductor_([&log](const std::string& line) { log.line(line); }),
-      again_(loop.base(), [this] { beat(); }) {
+          options.folder, [&loop] { return loop.now(); }, [this] { disk_wakeup_.fire(); })),
+      rollout_([&log](const std::string& line) { log.line(line); }),
+      tick_timer_(loop.base(), [this] { tick(); }) {
+  open_log(options);
+  connect(loop, options);
+  replica_ = std::make_unique<agreement::ControlReplica>(
+      replica_options(options, start), *storage_, *links_, std::move(start.fleet), start.first_start,
+      [&loop] { return loop.now(); }, std::random_device()(),
+      [&log](const std::string& line) { log.line(line); });
+  replica_->set_chapter(&rollout_);
+  replica_->start();
+  tick_timer_.set(kTickInterval);
+}
+
+ReplicatedControl::~ReplicatedControl() {
+  links_.reset();
+  replica_.reset();
+}
+
+void ReplicatedControl::open_log(const AgreementOptions& options) {
+  using Kind = LogFolderError::Kind;
   if (storage_->owner() != 0 && storage_->owner() != options.id) {
-    throw std::runtime_error(
+    throw LogFolderError(
+        Kind::kOfAnotherInstance,
         options.folder + " is the log of instance " + std::to_string(storage_->owner()) +
-        "; two must never use one: a replaced instance gets a new id and an empty folder");
+            "; two must never use one: a replaced instance gets a new id and an empty folder");
   }
   bool empty = storage_->load().term == 0;
-  if (empty && options.begin.empty() && !options.join) {
-    throw std::runtime_error(options.folder +
-                             " holds no log: --begin for a new fleet, --join for a new instance of one");
-  }
-  if (!empty && !options.begin.empty()) {
-    throw std::runtime_error(options.folder + " holds a log already: --begin is for the first start only");
+  if (empty && options.bootstrap.empty() && !options.join) {
+    throw LogFolderError(Kind::kEmpty, options.folder +
+                                           " holds no log: --begin for a new fleet, --join for a new "
+                                           "instance of one");
   }
-  if (empty) {
-    storage_->belong_to(options.id);
-    if (!options.begin.empty()) consensus::RaftNode::bootstrap(*storage_, options.begin);
+  if (!empty && !options.bootstrap.empty()) {
+    throw LogFolderError(Kind::kHasALog,
+                         options.folder + " holds a log already: --begin is for the first start only");
   }
-  agreement::ReplicaOptions replica_options;
-  replica_options.id = options.id;
-  replica_options.address = options.address;
-  replica_options.log.fleet = fleet.listener;
-  replica_options.log.snapshot_after = options.snapshot_after;
-  replica_options.log.snapshot_trailing =
-      std::min(replica_options.log.snapshot_trailing, options.snapshot_after / 4);
-  replica_options.format = options.format;
-  replica_options.settings = settings;
-  std::map<consensus::InstanceId, std::string> reach;
-  for (const consensus::Server& other : options.reach) reach[other.id()] = other.address();
-  links_ = std::make_unique<PeerLinks>(loop, options.address, std::move(reach),
-                                       [this](const consensus::PeerMessage& message) {
-                                         if (instance_ && instance_->received(message)) news_();
-                                       });
-  instance_ = std::make_unique<agreement::ControlReplica>(
-      replica_options, *storage_, *links_, std::move(fleet), first_start, [&loop] { return loop.now(); },
-      std::random_device()(), [&log](const std::string& line) { log.line(line); });
-  instance_->set_chapter(&conductor_);
-  instance_->start();
-  again_.set(kBeat);
+  if (!empty) return;
+  storage_->belong_to(options.id);
+  if (!options.bootstrap.empty()) consensus::RaftNode::bootstrap(*storage_, options.bootstrap);
 }
 
-ReplicatedControl::~ReplicatedControl() {
-  links_.reset();
-  instance_.reset();
+void ReplicatedControl::connect(net::Loop& loop, const AgreementOptions& options) {
+  std::map<consensus::InstanceId, std::string> address_overrides;
+  for (const consensus::Server& other : options.address_overrides)
+    address_overrides[other.id()] = other.address();
+  links_ = std::make_unique<PeerLinks>(loop, options.address, std::move(address_overrides),
+                                       [this](const consensus::PeerMessage& message) {
+                                         if (replica_ && replica_->received(message)) state_changed_();
+                                       });
 }
 
-void ReplicatedControl::beat() {
-  again_.set(kBeat);
+void ReplicatedControl::tick() {
+  tick_timer_.set(kTickInterval);
   storage_->take_done();
-  if (instance_->tick()) news_();
+  if (replica_->tick()) state_changed_();
 }
 
-void ReplicatedControl::transfer_leadership(std::function<void()> then) {
-  if (!instance_->raft_node().leads() || instance_->raft_node().voters() < 2) return then();
-  log_.line("handing on before the stop");
-  instance_->raft_node().transfer_leadership([then = std::move(then)](bool) { then(); });
+void ReplicatedControl::transfer_leadership(std::function<void()> done) {
+  consensus::RaftNode& raft = replica_->raft_node();
+  if (!raft.leads() || raft.voters() < 2) {
+    done();
+    return;
+  }
+  log_.line("transferring leadership before shutdown");
+  raft.transfer_leadership([done = std::move(done)](bool) { done(); });
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/tables.cpp
+++ b/src/control/tables.cpp
@@ -26,7 +26,7 @@
   }
   if (answer.trips_size() > 0)
     std::printf("%-16s %-9s %-10s %7s %8s %9s\n", "node", "why", "place", "version", "for s", "permit s");
-  for (const TripRow& row : answer.trips()) {
+  for (const MaintenanceLeaseRow& row : answer.trips()) {
     std::printf("%-16s %-9s %-10s %7u %8.1f %9.1f\n", row.node().c_str(), row.why().c_str(),
                 row.place().c_str(), row.version(), row.in_place_s(), row.permit_s());
   }
@@ -90,7 +90,7 @@
     std::printf("%-16s %-8s %-21s %-9s %8s %8s %-8s %4s %6s %6s %5s %6s %5s %6s\n", "node", "zone", "address",
                 "state", "for s", "heard s", "mode", "cold", "window", "limit", "held", "weight", "ramp",
                 "shards");
-    for (const NodeRow& row : answer.nodes()) {
+    for (const ServerRow& row : answer.nodes()) {
       std::printf("%-16s %-8s %-21s %-9s %8.1f %8.1f %-8s %4s %6u %6.1f %5u %6.2f %5.2f %6u%s\n",
                   row.name().c_str(), row.zone().c_str(), row.address().c_str(), row.state().c_str(),
                   row.in_state_s(), row.heard_s_ago(), row.mode().c_str(), row.cold() ? "yes" : "no",
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -24,13 +24,13 @@
       cores_(cores),
       seen_(std::move(seen)),
       door_(loop, log, net::loopback(0), "engine", kConnections,
-            {.came =
+            {.received =
                  [this](control::FrameServer::Id id, net::Connection& connection, std::string_view bytes) {
                    link_id_ = id;
                    return came(connection, bytes);
                  },
              // A new link replaces the one before it, whose end may be seen later.
-             .ended =
+             .closed =
                  [this](control::FrameServer::Id id) {
                    if (id == link_id_) link_ = nullptr;
                  }}),
@@ -152,9 +152,8 @@
 
 Database::Database(net::Loop& loop, service::Logger& log)
     : door_(loop, log, net::loopback(0), "database", 4 * kConnections,
-            {.came = [this](control::FrameServer::Id, net::Connection& connection, std::string_view bytes) {
-              return came(connection, bytes);
-            }}) {}
+            {.received = [this](control::FrameServer::Id, net::Connection& connection,
+                                std::string_view bytes) { return came(connection, bytes); }}) {}
 
 std::size_t Database::came(net::Connection& connection, std::string_view bytes) {
   std::size_t taken = 0;
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -73,7 +73,7 @@
 // A control service in a thread of its own.
 class RunningControl {
  public:
-  explicit RunningControl(Options options) : thread_([this, options = std::move(options)] { run(options); }) {
+  explicit RunningControl(ControlOptions options) : thread_([this, options = std::move(options)] { run(options); }) {
     ready_.get_future().get();
   }
   ~RunningControl() {
@@ -104,7 +104,7 @@
   const QuietLog& log() const { return log_; }
 
  private:
-  void run(const Options& options) {
+  void run(const ControlOptions& options) {
     net::Loop loop;
     control_ = std::make_unique<Control>(loop, log_, options);
     discovery_port_ = control_->discovery_port();
--- a/tests/control_size_test.cpp
+++ b/tests/control_size_test.cpp
@@ -77,21 +77,21 @@
   explicit LargeControl(const std::string& fleet) {
     std::ofstream(folder.file("fleet.conf")) << fleet;
     std::filesystem::create_directory(folder.file("log"));
-    Options options{.fleet_path = folder.file("fleet.conf"),
+    ControlOptions options{.fleet_path = folder.file("fleet.conf"),
                     .state_folder = "",
                     .first_start = true,
                     .addresses = {"127.0.0.1:0", loopback(0), loopback(0)}};
     options.agreement.id = 1;
     options.agreement.address = "127.0.0.1:" + std::to_string(any_port());
     options.agreement.folder = folder.file("log");
-    options.agreement.begin = instances_of("1=" + options.agreement.address);
+    options.agreement.bootstrap = parse_instances("1=" + options.agreement.address);
     control = std::make_unique<RunningControl>(options);
-    published = await([&] { return ask(admin(), "instances").published() > 0; });
+    published = await([&] { return AdminClient(admin()).call("instances").published() > 0; });
   }
   sockaddr_in admin() const { return loopback(control->admin_port()); }
   AdminAnswer answer(const std::string& question) const {
     auto begin = std::chrono::steady_clock::now();
-    AdminAnswer out = ask(admin(), question);
+    AdminAnswer out = AdminClient(admin()).call(question);
     std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
     EXPECT_LT(took.count(), kMaxSeconds) << question;
     return out;
@@ -120,7 +120,7 @@
   for (std::uint32_t page = 1; page <= pages; ++page) {
     AdminAnswer answer = large.answer("nodes page=" + std::to_string(page));
     EXPECT_EQ(answer.first_row(), nodes.size() + 1);
-    for (const NodeRow& row : answer.nodes()) EXPECT_TRUE(nodes.insert(row.name()).second) << row.name();
+    for (const ServerRow& row : answer.nodes()) EXPECT_TRUE(nodes.insert(row.name()).second) << row.name();
     EXPECT_EQ(answer.rows_left_out(), static_cast<unsigned>(kServers - answer.nodes_size()));
   }
   EXPECT_EQ(nodes.size(), static_cast<std::size_t>(kServers));
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -35,7 +35,7 @@
 struct Site {
   explicit Site(int nodes = 3, const std::string& bounds = "") { write(fleet_text(nodes, bounds)); }
   void write(const std::string& text) const { std::ofstream(folder.file("fleet.conf")) << text; }
-  Options options() const {
+  ControlOptions options() const {
     return {.fleet_path = folder.file("fleet.conf"),
             .state_folder = folder.file("state"),
             .first_start = true,
@@ -100,7 +100,7 @@
   reporters.set("n3", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(await([&] { return control.log().has("served on until the disk is well"); }));
   EXPECT_TRUE(has_nodes(link, 3));
-  EXPECT_TRUE(ask(loopback(control.admin_port()), "nodes").disk_fails());
+  EXPECT_TRUE(AdminClient(loopback(control.admin_port())).call("nodes").disk_fails());
   full.reset();
   ASSERT_TRUE(await([&] { return has_nodes(link, 2); }));
   EXPECT_TRUE(control.log().has("kept on disk again"));
@@ -272,7 +272,7 @@
   ASSERT_TRUE(await([&] { return others_have(18); }));
   for (auto& link : links) EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
   EXPECT_TRUE(await([&] {
-    AdminAnswer answer = ask(loopback(control.admin_port()), "proxies");
+    AdminAnswer answer = AdminClient(loopback(control.admin_port())).call("proxies");
     bool shown = false;
     for (const ProxyRow& row : answer.proxies()) shown = shown || row.refused_size() > 0;
     return answer.proxies_size() >= 100 && shown;
--- a/tests/grpc_client_test.cpp
+++ b/tests/grpc_client_test.cpp
@@ -101,7 +101,7 @@
         << "most_out = " << max_unavailable << "; weight_step = 10.0; shed_step = 2.0; };\n";
   }
   void start() {
-    control = std::make_unique<RunningControl>(Options{
+    control = std::make_unique<RunningControl>(ControlOptions{
         .fleet_path = folder.file("fleet.conf"),
         .state_folder = folder.file("state"),
         .first_start = true,
--- a/tests/instances_test.cpp
+++ b/tests/instances_test.cpp
@@ -211,7 +211,8 @@
   ~ControlStory() override { fleet.reset(); }
   control::AdminAnswer ask(int at, const std::string& question = "instances") {
     try {
-      return control::ask(net::loopback(static_cast<std::uint16_t>((*fleet)[at].admin)), question);
+      return control::AdminClient(net::loopback(static_cast<std::uint16_t>((*fleet)[at].admin)))
+          .call(question);
     } catch (const std::exception&) {
       return {};
     }
--- a/tests/subsetting_processes_test.cpp
+++ b/tests/subsetting_processes_test.cpp
@@ -201,7 +201,8 @@
   }
   control::AdminAnswer ask(int at, const std::string& question = "instances") const {
     try {
-      return control::ask(net::loopback(static_cast<std::uint16_t>((*fleet_)[at].admin)), question);
+      return control::AdminClient(net::loopback(static_cast<std::uint16_t>((*fleet_)[at].admin)))
+          .call(question);
     } catch (const std::exception&) {
       return {};
     }
