--- a/measure/measure_store.cpp
+++ b/measure/measure_store.cpp
@@ -72,7 +72,7 @@
   store.open();
   std::vector<double> took;
   std::uint64_t done = 0;
-  Totals before = store.totals();
+  StoreStats before = store.stats();
   {
     std::atomic<bool> woken = false;
     GroupCommitter committer(store, {}, steady, [&] { woken = true; });
@@ -90,15 +90,15 @@
     for (int slot = 0; slot < width; ++slot) put(slot);
     while (steady() - begun < how_long + 200 * kMs) {
       if (woken.exchange(false)) {
-        committer.take_done();
+        committer.deliver_completions();
       } else {
         std::this_thread::sleep_for(std::chrono::microseconds(50));
       }
     }
-    committer.take_done();
+    committer.deliver_completions();
   }
   Load out;
-  const Totals& totals = store.totals();
+  const StoreStats& totals = store.stats();
   out.per_second = static_cast<double>(done) / (static_cast<double>(how_long) / 1e9);
   out.p99_ms = quantile(took, 0.99);
   out.sync_per_append = static_cast<double>(totals.syncs - before.syncs) /
@@ -129,8 +129,8 @@
       Nanos begun = steady();
       FileDisk disk(folder);
       Store store(disk, {}, steady, 3);
-      Recovery found = store.open();
-      double took = found.kept == 1'000'000 ? seconds_since(begun) : -1;
+      RecoveryStats found = store.open();
+      double took = found.live_records == 1'000'000 ? seconds_since(begun) : -1;
       if (::write(ends[1], &took, sizeof took) < 0) ::_exit(1);
       ::_exit(0);
     }
@@ -210,7 +210,7 @@
   Store store(disk, {.segment_bytes = 200'000}, steady, seed);
   store.open();
   RunRecords records;
-  store.each([&](const Record& record) { records.recovered(record.key, record.value, record.window); });
+  store.for_each([&](const Record& record) { records.recovered(record.key, record.value, record.window); });
   auto tell = [&](char what, const std::string& key) {
     std::string line = what + key + "\n";
     if (::write(out, line.data(), line.size()) < 0) ::_exit(1);
@@ -244,7 +244,7 @@
   for (;;) {
     for (int i = 0; i < 20; ++i) want("k" + std::to_string(random() % static_cast<unsigned>(keys)));
     std::this_thread::sleep_for(std::chrono::microseconds(200));
-    if (woken.exchange(false)) committer.take_done();
+    if (woken.exchange(false)) committer.deliver_completions();
   }
 }
 
--- a/src/consensus/store_raft_storage.cpp
+++ b/src/consensus/store_raft_storage.cpp
@@ -49,7 +49,7 @@
 
 void StoreRaftStorage::recover() {
   std::map<std::uint64_t, LogEntry> entries;
-  store_.each([&](const store::Record& record) {
+  store_.for_each([&](const store::Record& record) {
     if (record.key == kOwnerKey && record.value.size() >= 8)
       owner_ = store::get_number<std::uint64_t>(record.value);
     if (record.key == kVoteKey) {
@@ -110,7 +110,7 @@
   put(key, value, [told](bool durable) { *told = durable; });
   auto until = std::chrono::steady_clock::now() + kLongestWait;
   for (;;) {
-    committer_->take_done();
+    committer_->deliver_completions();
     if (*told) return **told;
     if (std::chrono::steady_clock::now() > until) return false;
     std::this_thread::sleep_for(kLook);
@@ -129,13 +129,13 @@
   return kept_;
 }
 
-bool StoreRaftStorage::well() const { return committer_->health() != store::Health::kSick; }
+bool StoreRaftStorage::well() const { return committer_->health() != store::DiskHealth::kFailed; }
 
 void StoreRaftStorage::put(const std::string& key, const std::string& value, std::function<void(bool)> done) {
   committer_->put(key, value, 0, std::move(done));
 }
 
-void StoreRaftStorage::drop_entry(std::uint64_t index) { committer_->drop(key_of(index)); }
+void StoreRaftStorage::drop_entry(std::uint64_t index) { committer_->erase(key_of(index)); }
 
 // Never out of the call that asked, nor out of one that waits for a vote: what is done is told by
 // take_done().
@@ -149,7 +149,7 @@
 }
 
 void StoreRaftStorage::take_done() {
-  committer_->take_done();
+  committer_->deliver_completions();
   while (!finished_.empty()) {
     Finished one = std::move(finished_.front());
     finished_.pop_front();
--- a/src/control/state_store.cpp
+++ b/src/control/state_store.cpp
@@ -30,7 +30,7 @@
       store_(
           disk_, {}, [&loop] { return loop.now(); }, std::random_device()()),
       told_(std::move(told)),
-      wake_(loop.base(), [this] { committer_->take_done(); }) {
+      wake_(loop.base(), [this] { committer_->deliver_completions(); }) {
   store_.open();
   if (auto record = store_.get(kStateKey)) found_ = std::move(record->value);
   committer_ = std::make_unique<store::GroupCommitter>(
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -128,7 +128,7 @@
   });
   leave = [&] {
     if (!service.draining()) last_moment.set(stop_after - stop_after / 100);
-    service.leave();
+    service.begin_drain();
   };
   reporter.on_order(handle);
   reporter.report_to(own_settings.reports);
@@ -154,7 +154,7 @@
   });
   net::Timer reload_asked(loop.base(), SIGHUP, [&] { reload.ask(); });
   mask_signals(SIG_UNBLOCK);
-  loop.on_wake([&] { service.woke(); });
+  loop.on_wake([&] { service.timer_expired(); });
   front.serve(service, [&] { loop.stop(); });
   database.begin(service);
   engine.begin(service.engine());
--- a/src/net/database_client.cpp
+++ b/src/net/database_client.cpp
@@ -34,7 +34,7 @@
   }
 
   // Closing gives up what is on it. Where other calls are, they end first.
-  void give_up(service::ServerRequest& request) {
+  void abandon_call(service::ServerRequest& request) {
     if (!out_.erase(request.id)) return;
     if (!out_.empty()) connection_.write(give_up_line(request.id));
     retire(Reason::kSpent);
@@ -62,7 +62,7 @@
       service::ServerRequest& request = *place->second;
       out_.erase(place);
       if (out_.empty()) retire(Reason::kDone);
-      database_.service_->replied(request, reply.reply, std::string(reply.body));
+      database_.service_->call_completed(request, reply.reply, std::string(reply.body));
     }
     if (state == LineState::kMalformed) connection_.end(Reason::kMalformed);
     if (connection_.closing()) return bytes.size();
@@ -78,7 +78,8 @@
   // of it may give up the call of another that is here too: that one is not told any more, as its reply would
   // be taken for that of its next call.
   void ended(Connection& connection, Reason) override {
-    service::Reply reply = connection.was_open() ? service::Reply::kBroken : service::Reply::kUnreachable;
+    service::CallResult reply =
+        connection.was_open() ? service::CallResult::kConnectionLost : service::CallResult::kUnreachable;
     auto place = std::find_if(database_.channels_.begin(), database_.channels_.end(),
                               [this](auto& each) { return each.get() == this; });
     std::unique_ptr<Channel> own = std::move(*place);
@@ -87,7 +88,7 @@
     while (!out_.empty()) {
       service::ServerRequest& request = *out_.begin()->second;
       out_.erase(out_.begin());
-      database_.service_->replied(request, reply, "");
+      database_.service_->call_completed(request, reply, "");
     }
     database_.ending_ = nullptr;
   }
@@ -134,15 +135,15 @@
   tell_.set(0);
 }
 
-void DatabaseClient::give_up(service::ServerRequest& request) {
+void DatabaseClient::abandon_call(service::ServerRequest& request) {
   std::erase(unreachable_, &request);
-  if (ending_) ending_->give_up(request);
-  for (auto& channel : channels_) channel->give_up(request);
+  if (ending_) ending_->abandon_call(request);
+  for (auto& channel : channels_) channel->abandon_call(request);
 }
 
 void DatabaseClient::tell_unreachable() {
   for (service::ServerRequest* request : std::exchange(unreachable_, {})) {
-    service_->replied(*request, service::Reply::kUnreachable, "");
+    service_->call_completed(*request, service::CallResult::kUnreachable, "");
   }
 }
 
--- a/src/net/database_client.h
+++ b/src/net/database_client.h
@@ -23,7 +23,7 @@
   void move(const sockaddr_in& database);
 
   void call(service::ServerRequest& request, std::string_view body, Nanos longest) override;
-  void give_up(service::ServerRequest& request) override;
+  void abandon_call(service::ServerRequest& request) override;
 
  private:
   class Channel;
--- a/src/net/database_codec.cpp
+++ b/src/net/database_codec.cpp
@@ -31,11 +31,11 @@
   std::string_view word = next_word(line);
   if (out.id.empty()) return LineState::kMalformed;
   if (word != "ROWS") {
-    using service::Reply;
-    constexpr std::pair<std::string_view, Reply> known[] = {{"FULL", Reply::kFull},
-                                                            {"FAIL", Reply::kFailed},
-                                                            {"TIMEOUT", Reply::kTimedOut},
-                                                            {"NONE", Reply::kNoRun}};
+    using service::CallResult;
+    constexpr std::pair<std::string_view, CallResult> known[] = {{"FULL", CallResult::kAtCapacity},
+                                                                 {"FAIL", CallResult::kFailed},
+                                                                 {"TIMEOUT", CallResult::kTimedOut},
+                                                                 {"NONE", CallResult::kNotExecuted}};
     for (const auto& [name, reply] : known) {
       if (name != word) continue;
       out.reply = reply;
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -30,7 +30,7 @@
 constexpr std::string_view kHealthPath = "/-/healthy";
 constexpr std::size_t kIdDigits = 16;
 constexpr Nanos kFirstGrace = 100 * kMs;  // between a connect and its first request, when there is a crowd
-constexpr int kMaxUnfounded = 3;          // of one connection, none completed between; it is ended then
+constexpr int kMaxUnrecognized = 3;       // of one connection, none completed between; it is ended then
 constexpr std::size_t kLongestKey = 64;
 constexpr double kMaxReserve = 2'000;  // KB
 constexpr int kBacklog = 1024;         // connections that wait to be accepted
@@ -184,7 +184,7 @@
     if (open.server_request) {
       front_.service_->caller_disconnected(*open.server_request);
     } else {
-      front_.service_->check_gone(open);
+      front_.service_->health_check_disconnected(open);
     }
   }
   peers::ConnectionProgress standing() const override {
@@ -247,8 +247,8 @@
     connection_.write(answer_records(open.id, output_of(answer), ProtocolStatus::kComplete));
     bool keep = open.keep;
     open_.erase(open.id);
-    if (answer.kind == service::Answer::kCompleted) unfounded_ = 0;
-    if (answer.unfounded && ++unfounded_ >= kMaxUnfounded) ignore(Reason::kMalformed);
+    if (answer.kind == service::Answer::kCompleted) unrecognized_ = 0;
+    if (answer.unrecognized && ++unrecognized_ >= kMaxUnrecognized) ignore(Reason::kMalformed);
     keep ? close_if_settled() : close(Reason::kDone);
     front_.place(*this);
   }
@@ -306,7 +306,7 @@
   std::optional<Reason> closing_;
   Nanos rest_until_ = 0;  // closing, for the rest of what is not whole
   Nanos owed_until_ = 0;  // by the latest caller that was answered
-  int unfounded_ = 0;     // requests since the last completed one that made no sense, to us or to the engine
+  int unrecognized_ = 0;  // requests since the last completed one that made no sense, to us or to the engine
 };
 
 void FastCgiServer::OpenRequest::answer(const service::FinalAnswer& answer) { peer.answered(*this, answer); }
@@ -317,7 +317,7 @@
   std::string_view script = request.field("SCRIPT_NAME");
   if (script == kHealthPath) {
     std::string query = "&" + std::string(request.field("QUERY_STRING")) + "&";
-    front_.service_->check(open, query.find("&probe=1&") != std::string::npos);
+    front_.service_->health_check(open, query.find("&probe=1&") != std::string::npos);
     return;
   }
   std::int64_t client = -1;  // not told
@@ -325,13 +325,13 @@
   if (!server_request) {
     front_.log_.frequent("exchange malformed: path '" + std::string(script.substr(0, 60)) + "', id '" +
                          std::string(request.field("HTTP_TRACE_ID").substr(0, 20)) + "'");
-    answered(open, {.unfounded = true});
+    answered(open, {.unrecognized = true});
     return;
   }
   if (client >= 0) front_.pacing_.belongs_to(account, {.address = address_, .number = client});
   server_request->sink = &open;
   open.server_request = server_request.get();
-  front_.service_->read(std::move(server_request));
+  front_.service_->request_received(std::move(server_request));
 }
 
 // Null when a field that decisions need is missing or makes no sense. It was not run, and is answered so.
--- a/src/recovery/durable_runs.cpp
+++ b/src/recovery/durable_runs.cpp
@@ -29,18 +29,18 @@
         store_(
             disk_, {}, [this] { return loop_.now(); }, std::random_device()()),
         look_(loop.base(), [this] { look(); }),
-        wake_(loop.base(), [this] { committer_->take_done(); }) {
+        wake_(loop.base(), [this] { committer_->deliver_completions(); }) {
     Nanos begun = loop.now();
-    store::Recovery found = store_.open();
-    log.line("store open in " + std::to_string((loop.now() - begun) / kMs) +
-             " ms: " + std::to_string(found.kept) + " records known, " + std::to_string(found.segments) +
-             " segments, " + std::to_string(found.by_hint) + " by hints, " + std::to_string(found.bytes) +
-             " bytes, " + std::to_string(found.skipped) + " passed over");
+    store::RecoveryStats found = store_.open();
+    log.line("store open in " + std::to_string((loop.now() - begun) / kMs) + " ms: " +
+             std::to_string(found.live_records) + " records known, " + std::to_string(found.segments) +
+             " segments, " + std::to_string(found.segments_from_hints) + " by hints, " +
+             std::to_string(found.bytes) + " bytes, " + std::to_string(found.skipped_bytes) + " passed over");
   }
 
   void serve(service::Service& service) override {
     service_ = &service;
-    store_.each([&](const store::Record& record) {
+    store_.for_each([&](const store::Record& record) {
       if (record.key == kOrderKey) order_ = record.value;
       std::size_t cut = record.key.find(kBetween);
       if (cut == std::string::npos) return;
@@ -65,9 +65,11 @@
   std::string order() override { return order_; }
   void keep_order(const std::string& order) override { committer_->put(kOrderKey, order, 0, {}); }
 
-  bool takes() const override { return committer_ && committer_->health() != store::Health::kSick; }
+  bool accepts_writes() const override {
+    return committer_ && committer_->health() != store::DiskHealth::kFailed;
+  }
 
-  void intend(const service::ServerRequest& request, Nanos window) override {
+  void record_intent(const service::ServerRequest& request, Nanos window) override {
     std::string name = name_of_run(request.request_class->name, request.key);
     std::string id = request.id;
     // The key table has no entry of it: what is left here is of a run that was rejected.
@@ -84,10 +86,10 @@
       open_.erase(open);
       Idempotency idempotency = records_.take(name, durable ? Input::kDurable : Input::kLost);
       if (idempotency == Idempotency::kRun || idempotency == Idempotency::kReject)
-        service_->recorded(id, durable);
+        service_->intent_recorded(id, durable);
     });
   }
-  void ended(const service::ServerRequest& request, bool good, std::string_view result) override {
+  void record_outcome(const service::ServerRequest& request, bool good, std::string_view result) override {
     std::string name = name_of_run(request.request_class->name, request.key);
     const RunRecords::Entry* entry = records_.find(name);
     Nanos window = entry ? entry->window : 0;
@@ -96,10 +98,10 @@
     committer_->put(name, records_.record_of(name), window, {});
     records_.forget_result(name);
   }
-  void never_ran(const service::ServerRequest& request) override {
+  void erase_intent(const service::ServerRequest& request) override {
     std::string name = name_of_run(request.request_class->name, request.key);
     open_.erase(name);
-    if (records_.take(name, Input::kNeverRan) == Idempotency::kTakeBack) committer_->drop(name);
+    if (records_.take(name, Input::kNeverRan) == Idempotency::kTakeBack) committer_->erase(name);
   }
 
  private:
@@ -109,7 +111,7 @@
       records_.take(over_.begin()->second, Input::kOver);
       over_.erase(over_.begin());
     }
-    store::Health health = committer_->health();
+    store::DiskHealth health = committer_->health();
     if (health == health_) return;
     store::GroupCommitter::Counts counts = committer_->counts();
     log_.line(std::string("store: ") + store::name_of(health_) + " -> " + store::name_of(health) +
@@ -131,7 +133,7 @@
   std::string order_;
   net::Timer look_;
   net::CrossThreadWakeup wake_;
-  store::Health health_ = store::Health::kWell;
+  store::DiskHealth health_ = store::DiskHealth::kHealthy;
   std::unique_ptr<store::GroupCommitter> committer_;  // last: its thread goes first
 };
 
--- a/src/service/engine_session.cpp
+++ b/src/service/engine_session.cpp
@@ -48,7 +48,7 @@
   if (by_id_.erase(request.id)) std::erase(runs_, &request);
 }
 
-void EngineSession::ask_gauges() {
+void EngineSession::request_gauges() {
   if (settled_) link_.stat(++sent_);
 }
 
@@ -101,7 +101,7 @@
 void EngineSession::stats(std::uint64_t token, const std::vector<double>& values) {
   if (token > confirmed_ && token <= sent_) confirmed_ = token;
   if (fence_ != 0 && token == fence_) settle();
-  events_.gauges_came(values);
+  events_.gauges_received(values);
 }
 
 void EngineSession::tested(std::uint64_t token, bool good) {
--- a/src/service/engine_session.h
+++ b/src/service/engine_session.h
@@ -36,7 +36,7 @@
   virtual void engine_up(bool booting, Nanos age) = 0;  // the first HELLO
   virtual void run_needs_call(ServerRequest& request) = 0;
   virtual void run_ended(ServerRequest& request, Outcome outcome, std::string_view result) = 0;
-  virtual void gauges_came(const std::vector<double>& values) = 0;
+  virtual void gauges_received(const std::vector<double>& values) = 0;
   virtual void tested(bool good) = 0;
 };
 
@@ -48,7 +48,7 @@
   void feed(ServerRequest& request, std::string reply);
   void skip(ServerRequest& request);
   void forget(ServerRequest& request);
-  void ask_gauges();
+  void request_gauges();
   bool test();  // false: the link is down, nothing was asked
 
   // From the link.
--- a/src/service/ports.h
+++ b/src/service/ports.h
@@ -12,8 +12,9 @@
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Nanos now() const = 0;         // never goes backwards
-  virtual void wake_at(Nanos when) = 0;  // Service::woke() then; a later word replaces an earlier one
+  virtual Nanos now() const = 0;  // never goes backwards
+  virtual void wake_at(
+      Nanos when) = 0;  // Service::timer_expired() then; a later word replaces an earlier one
 };
 
 class Listener {
@@ -38,7 +39,7 @@
  public:
   virtual ~Dependency() = default;
   virtual void call(ServerRequest& request, std::string_view body, Nanos longest) = 0;
-  virtual void give_up(ServerRequest& request) = 0;  // its reply is not wanted any more
+  virtual void abandon_call(ServerRequest& request) = 0;  // its reply is not wanted any more
 };
 
 class HealthReporter {
@@ -60,10 +61,11 @@
 class IdempotencyLog {
  public:
   virtual ~IdempotencyLog() = default;
-  virtual bool takes() const = 0;  // false: the disk is sick, nothing can be written down now
-  virtual void intend(const ServerRequest& request, Nanos window) = 0;  // Service::recorded() follows
-  virtual void ended(const ServerRequest& request, bool good, std::string_view result) = 0;
-  virtual void never_ran(const ServerRequest& request) = 0;
+  virtual bool accepts_writes() const = 0;  // false: the disk is sick, nothing can be written down now
+  virtual void record_intent(const ServerRequest& request,
+                             Nanos window) = 0;  // Service::intent_recorded() follows
+  virtual void record_outcome(const ServerRequest& request, bool good, std::string_view result) = 0;
+  virtual void erase_intent(const ServerRequest& request) = 0;
 };
 
 // Which deduplicated requests are this server's to run, where a fleet has agreed on that.
--- a/src/service/server_request.h
+++ b/src/service/server_request.h
@@ -10,14 +10,14 @@
 
 namespace myrtlecroft::service {
 
-enum class Answer { kCompleted, kRejected, kTerminated };
+enum class Answer { kCompleted, kRejected, kFailed };
 
 struct FinalAnswer {
-  Answer kind = Answer::kTerminated;
+  Answer kind = Answer::kFailed;
   std::string_view result{};  // of a completed one
   bool no_failover = false;
   Nanos retry_after = 0;
-  bool unfounded = false;  // the engine knows of no such request, or another one owns its id or key
+  bool unrecognized = false;  // the engine knows of no such request, or another one owns its id or key
 };
 
 // Where the one final answer goes. It must not call back.
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -68,7 +68,7 @@
 
 // ---- From the front
 
-void Service::read(std::unique_ptr<ServerRequest> given) {
+void Service::request_received(std::unique_ptr<ServerRequest> given) {
   take([&] {
     ServerRequest& request = *given;
     ++unanswered_;
@@ -76,13 +76,13 @@
     if (!controller_) return answer(request, before_engine(request));
     // An id that is in hand already has, or gets, its answer.
     auto same = requests_.find(request.id);
-    if (same != requests_.end()) return answer(request, {.unfounded = same->second->sink != nullptr});
-    if (!name_key(request)) return answer(request, {.unfounded = true});
+    if (same != requests_.end()) return answer(request, {.unrecognized = same->second->sink != nullptr});
+    if (!name_key(request)) return answer(request, {.unrecognized = true});
     find_original(request);
     if (not_ours(request)) return answer(request, elsewhere());
     // What is known, or runs here, needs no record of its own.
     if (ports_.records && request.request_class->idempotency == Idempotency::kKeyed && !request.is_retry) {
-      if (!ports_.records->takes()) {
+      if (!ports_.records->accepts_writes()) {
         return answer(request, {.kind = Answer::kRejected, .retry_after = start_.config.max_retry_after});
       }
       request.awaits_intent = true;
@@ -103,18 +103,18 @@
 }
 
 FinalAnswer Service::elsewhere() const {
-  return {.kind = Answer::kTerminated, .retry_after = start_.config.max_retry_after};
+  return {.kind = Answer::kFailed, .retry_after = start_.config.max_retry_after};
 }
 
 // Nothing can run before the engine is up, and what is new is rejected. What an earlier incarnation ran, or
 // may have run, is not: a rejection would say that it never did.
 FinalAnswer Service::before_engine(ServerRequest& request) {
   if (request.request_class->idempotency != Idempotency::kKeyed) return {.kind = Answer::kRejected};
-  if (!name_key(request)) return {.unfounded = true};
+  if (!name_key(request)) return {.unrecognized = true};
   KeyEntry* entry = keys_.find(request.request_class, request.key);
   if (!entry) return not_ours(request) ? elsewhere() : FinalAnswer{.kind = Answer::kRejected};
   bool known = entry->state == KeyEntry::State::kOk;
-  return {.kind = known ? Answer::kCompleted : Answer::kTerminated, .result = entry->result};
+  return {.kind = known ? Answer::kCompleted : Answer::kFailed, .result = entry->result};
 }
 
 // Tries of one deduplicated request carry one key and one body. The body is part of what they go by here, so
@@ -152,7 +152,7 @@
   });
 }
 
-void Service::check(AnswerSink& sink, bool probe) {
+void Service::health_check(AnswerSink& sink, bool probe) {
   take([&] {
     if (!good_ || !probe) {
       sink.answer({.kind = good_ ? Answer::kCompleted : Answer::kRejected});
@@ -169,7 +169,7 @@
   });
 }
 
-void Service::check_gone(AnswerSink& sink) { std::erase(probes_, &sink); }
+void Service::health_check_disconnected(AnswerSink& sink) { std::erase(probes_, &sink); }
 
 void Service::answer_checks(bool good) {
   std::vector<AnswerSink*> probes = std::exchange(probes_, {});
@@ -218,19 +218,19 @@
 void Service::tell_records(ServerRequest& request, Outcome outcome, std::string_view result) {
   if (!std::exchange(request.intended, false)) return;
   if (outcome == Outcome::kIgnored) {
-    ports_.records->never_ran(request);
+    ports_.records->erase_intent(request);
   } else {
-    ports_.records->ended(request, outcome == Outcome::kOk, result);
+    ports_.records->record_outcome(request, outcome == Outcome::kOk, result);
   }
 }
 
 void Service::record_intent(Request& given) {
   ServerRequest& request = own(given);
   request.intended = true;
-  ports_.records->intend(request, key_lifetime(request, request.request_class->deduplication_window));
+  ports_.records->record_intent(request, key_lifetime(request, request.request_class->deduplication_window));
 }
 
-void Service::recorded(const std::string& id, bool durable) {
+void Service::intent_recorded(const std::string& id, bool durable) {
   take([&] {
     auto place = requests_.find(id);
     if (place == requests_.end() || !place->second->awaits_intent) return;
@@ -250,13 +250,13 @@
 // The end of a run, or of the wait for another's result.
 void Service::end(ServerRequest& request, Outcome outcome, std::string_view result) {
   bool good = outcome == Outcome::kOk;
-  answer(request, {.kind = good ? Answer::kCompleted : Answer::kTerminated,
+  answer(request, {.kind = good ? Answer::kCompleted : Answer::kFailed,
                    .result = result,
-                   .unfounded = request.unknown});
+                   .unrecognized = request.unknown});
   controller_->run_completed(request, outcome, now_);
 }
 
-void Service::gauges_came(const std::vector<double>& values) {
+void Service::gauges_received(const std::vector<double>& values) {
   gauges_ = {};
   for (std::size_t i = 0; i < std::min(values.size(), start_.gauge_names.size()); ++i) {
     const std::string& name = start_.gauge_names[i];
@@ -273,26 +273,26 @@
 
 // ---- From the database client
 
-void Service::replied(ServerRequest& request, Reply reply, std::string body) {
+void Service::call_completed(ServerRequest& request, CallResult result, std::string body) {
   take([&] {
     if (!request.calling || request.call_verdict) return;
-    switch (reply) {
-      case Reply::kRows:
+    switch (result) {
+      case CallResult::kRows:
         end_call(request, Outcome::kOk);
         if (request.answered) return;
         engine_.feed(request, std::move(body));
         return;
-      case Reply::kFailed:
+      case CallResult::kFailed:
         return end_call(request, Outcome::kFailed);
-      case Reply::kTimedOut:
+      case CallResult::kTimedOut:
         return end_call(request, Outcome::kTimedOut);
-      case Reply::kBroken:
+      case CallResult::kConnectionLost:
         return end_call(request, Outcome::kReset);
-      case Reply::kFull:
-      case Reply::kNoRun:
+      case CallResult::kAtCapacity:
+      case CallResult::kNotExecuted:
         request.call_verdict = Outcome::kFull;
         break;
-      case Reply::kUnreachable:
+      case CallResult::kUnreachable:
         request.call_verdict = Outcome::kUnreachable;
         break;
     }
@@ -308,7 +308,7 @@
 
 void Service::leave_call(ServerRequest& request) {
   if (!request.calling) return;
-  ports_.dependency.give_up(request);
+  ports_.dependency.abandon_call(request);
   std::erase(calls_, &request);
   request.calling = false;
 }
@@ -318,27 +318,27 @@
   std::vector<ServerRequest*> calls = calls_;
   for (ServerRequest* request : calls) {
     if (!request->calling || request->call_until > now_) continue;
-    if (!request->call_verdict) ports_.dependency.give_up(*request);
+    if (!request->call_verdict) ports_.dependency.abandon_call(*request);
     end_call(*request, request->call_verdict.value_or(Outcome::kTimedOut));
   }
 }
 
 // ---- From the clock and the operators
 
-void Service::woke() {
+void Service::timer_expired() {
   take([&] {
     if (!controller_) return;
     end_calls_due();
     if (!probes_.empty() && now_ >= probes_until_) answer_checks(false);
     if (ring_at_ == 0 || now_ < ring_at_) return;
     ring_at_ = 0;
-    engine_.ask_gauges();
+    engine_.request_gauges();
     keys_.expire(now_);
     controller_->timer_expired(ring_token_, now_ - gauges_at_ <= kGaugesFresh ? gauges_ : Gauges{}, now_);
   });
 }
 
-void Service::leave() {
+void Service::begin_drain() {
   take([&] {
     if (stop_at_) return;
     notice_at_ = now_;
@@ -380,7 +380,7 @@
     case Answer::kRejected:
       ++counts.rejected;
       break;
-    case Answer::kTerminated:
+    case Answer::kFailed:
       ++counts.terminated;
       break;
   }
@@ -394,7 +394,7 @@
 }
 
 void Service::fail(Request& request) {
-  answer(own(request), {.kind = Answer::kTerminated});
+  answer(own(request), {.kind = Answer::kFailed});
   abandon(own(request));
 }
 
--- a/src/service/service.h
+++ b/src/service/service.h
@@ -19,7 +19,7 @@
 namespace myrtlecroft::service {
 
 // How a call below ended, as the database client saw it.
-enum class Reply { kRows, kFull, kFailed, kTimedOut, kNoRun, kUnreachable, kBroken };
+enum class CallResult { kRows, kAtCapacity, kFailed, kTimedOut, kNotExecuted, kUnreachable, kConnectionLost };
 
 class Service final : public ControllerActions, public EngineEvents {
  public:
@@ -51,27 +51,27 @@
   EngineSession& engine() { return engine_; }
 
   // From the front. An request is read once its last byte is; its sink gets one answer.
-  void read(std::unique_ptr<ServerRequest> request);
+  void request_received(std::unique_ptr<ServerRequest> request);
   void caller_disconnected(ServerRequest& request);
-  void check(AnswerSink& sink, bool probe);
-  void check_gone(AnswerSink& sink);
+  void health_check(AnswerSink& sink, bool probe);
+  void health_check_disconnected(AnswerSink& sink);
   // From the database client.
-  void replied(ServerRequest& request, Reply reply, std::string body);
+  void call_completed(ServerRequest& request, CallResult result, std::string body);
   // From the records: whether the intent of that request is known to be durable; and, before anything is
   // read, what an earlier incarnation left of an request by group and key. Not `good`: it may have run.
-  void recorded(const std::string& id, bool durable);
+  void intent_recorded(const std::string& id, bool durable);
   void restore(const std::string& request_class, const std::string& key, bool good, std::string_view result,
                Nanos left);
   // From the clock and the operators.
-  void woke();
-  void leave();
+  void timer_expired();
+  void begin_drain();
   bool draining() const { return stop_at_ != 0; }
 
   // From the engine session.
   void engine_up(bool booting, Nanos age) override;
   void run_needs_call(ServerRequest& request) override;
   void run_ended(ServerRequest& request, Outcome outcome, std::string_view result) override;
-  void gauges_came(const std::vector<double>& values) override;
+  void gauges_received(const std::vector<double>& values) override;
   void tested(bool good) override;
 
   // From the Controller.
--- a/src/store/group_committer.cpp
+++ b/src/store/group_committer.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-const char* name_of(Health health) {
+const char* name_of(DiskHealth health) {
   constexpr const char* kNames[] = {"well", "slow", "sick"};
   return kNames[static_cast<std::size_t>(health)];
 }
@@ -33,10 +33,10 @@
   thread_.join();
 }
 
-Health GroupCommitter::health() const {
-  if (sick_) return Health::kSick;
+DiskHealth GroupCommitter::health() const {
+  if (sick_) return DiskHealth::kFailed;
   Nanos since = since_;
-  return since && clock_() - since > options_.slow_after ? Health::kSlow : Health::kWell;
+  return since && clock_() - since > options_.slow_after ? DiskHealth::kSlow : DiskHealth::kHealthy;
 }
 
 void GroupCommitter::put(std::string key, std::string value, Nanos window, Done done) {
@@ -55,7 +55,7 @@
   more_.notify_one();
 }
 
-void GroupCommitter::drop(std::string key) {
+void GroupCommitter::erase(std::string key) {
   {
     std::lock_guard lock(mutex_);
     if (sick_ || asked_.size() >= options_.max_waiting) return;
@@ -64,7 +64,7 @@
   more_.notify_one();
 }
 
-void GroupCommitter::take_done() {
+void GroupCommitter::deliver_completions() {
   std::vector<Told> told;
   {
     std::lock_guard lock(mutex_);
@@ -122,7 +122,7 @@
   try {
     for (Ask& ask : asks) {
       if (ask.drop) {
-        store_.drop(ask.key);
+        store_.erase(ask.key);
       } else {
         store_.put(std::move(ask.key), std::move(ask.value), ask.window);
       }
--- a/src/store/group_committer.h
+++ b/src/store/group_committer.h
@@ -15,12 +15,12 @@
 
 namespace myrtlecroft::store {
 
-enum class Health {
-  kWell,
-  kSlow,  // a sync is out for longer than it should
-  kSick   // the last write or sync failed: nothing is taken until a trial has gone well
+enum class DiskHealth {
+  kHealthy,
+  kSlow,   // a sync is out for longer than it should
+  kFailed  // the last write or sync failed: nothing is taken until a trial has gone well
 };
-const char* name_of(Health health);
+const char* name_of(DiskHealth health);
 
 struct CommitterOptions {
   Nanos slow_after = 500 * kMs;   // of one commit
@@ -34,17 +34,17 @@
   // `durable` false: it is not known whether the record is on the disk, or it never was sent there.
   using Done = std::function<void(bool durable)>;
 
-  // `wake` is called on the thread when take_done() has something to tell. The store is open, and belongs to
-  // the thread from here on.
+  // `wake` is called on the thread when deliver_completions() has something to tell. The store is open, and
+  // belongs to the thread from here on.
   GroupCommitter(Store& store, const CommitterOptions& options, std::function<Nanos()> clock,
                  std::function<void()> wake);
   ~GroupCommitter();  // what waits is committed first, if the disk is well
 
   // All from the loop's thread. Nothing here waits for the disk.
   void put(std::string key, std::string value, Nanos window, Done done);
-  void drop(std::string key);
-  void take_done();
-  Health health() const;
+  void erase(std::string key);
+  void deliver_completions();
+  DiskHealth health() const;
 
   struct Counts {
     std::uint64_t commits = 0;
--- a/src/store/main.cpp
+++ b/src/store/main.cpp
@@ -89,7 +89,7 @@
 
 int compact(FileDisk& disk, bool as_json) {
   Store store(disk, {.dead_share = 0.1, .max_small = 1}, steady, static_cast<std::uint32_t>(steady()));
-  Recovery before = store.open();
+  RecoveryStats before = store.open();
   while (store.compact_slice()) store.commit();
   store.commit();
   std::printf(as_json ? "{\"segments_before\":%zu,\"segments\":%zu,\"keys\":%zu}\n"
@@ -139,7 +139,7 @@
 
 int dump(FileDisk& disk, const std::string& hdf5) {
   Columns columns;
-  each_current(disk, [&](const Record& record, std::uint64_t segment) {
+  for_each_current_record(disk, [&](const Record& record, std::uint64_t segment) {
     if (hdf5.empty()) {
       std::printf("{\"sequence\":%llu,\"at_ns\":%lld,\"window_ns\":%lld,\"key\":%s,\"value\":%s}\n",
                   static_cast<unsigned long long>(record.sequence), static_cast<long long>(record.at),
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -106,9 +106,9 @@
 
 // ---- The start
 
-Recovery Store::open() {
+RecoveryStats Store::open() {
   if (!disk_.lock()) throw StoreError("another process has this folder open");
-  Recovery found;
+  RecoveryStats found;
   std::vector<std::string> names = disk_.list();
   Manifest manifest = read_manifest(disk_, names);
   next_segment_ = manifest.next;
@@ -134,7 +134,7 @@
   opened_at_ = clock_();
   expire();
   found.segments = segments_.size();
-  found.kept = index_.size();
+  found.live_records = index_.size();
   write_manifest();
   for (const std::string& name : names) {
     auto number = segment_number(name);
@@ -166,7 +166,7 @@
   totals_.syncs += 2;
 }
 
-void Store::recover_segment(std::uint64_t number, Recovery& found) {
+void Store::recover_segment(std::uint64_t number, RecoveryStats& found) {
   std::string name = segment_name(number);
   Segment& segment = segments_[number];
   segment.sealed = true;
@@ -177,19 +177,19 @@
   if (!head || head->number != number) throw StoreError(name + ": its head is damaged");
   segment.salt = head->salt;
   if (recover_by_hint(number, segment, found)) {
-    ++found.by_hint;
+    ++found.segments_from_hints;
     return;
   }
-  found.skipped += scan(disk_, name, *head, kSegmentHead,
-                        [&](const Record& record, std::uint64_t offset, std::size_t size) {
-                          ++found.records;
-                          apply(record.key, entry_of(record, number, offset, size));
-                          return true;
-                        });
+  found.skipped_bytes += scan(disk_, name, *head, kSegmentHead,
+                              [&](const Record& record, std::uint64_t offset, std::size_t size) {
+                                ++found.records_read;
+                                apply(record.key, entry_of(record, number, offset, size));
+                                return true;
+                              });
 }
 
 // A hint that is not of this segment as it stands is not heeded.
-bool Store::recover_by_hint(std::uint64_t number, Segment& segment, Recovery& found) {
+bool Store::recover_by_hint(std::uint64_t number, Segment& segment, RecoveryStats& found) {
   std::string bytes;
   try {
     std::string name = hint_name(number);
@@ -221,7 +221,7 @@
            .window = get_number<Nanos>(entry.substr(29)),
            .expiry = {}});
     at += kHintEntry + key;
-    ++found.records;
+    ++found.records_read;
   }
   return true;
 }
@@ -292,14 +292,14 @@
   }
 }
 
-bool Store::knows(const std::string& key) const {
+bool Store::contains(const std::string& key) const {
   auto place = index_.find(key);
   if (place == index_.end() || place->second.kind == Kind::kDropped) return false;
   return !place->second.expires || place->second.expiry->first > now();
 }
 
 std::optional<Record> Store::get(const std::string& key) {
-  if (!knows(key)) return std::nullopt;
+  if (!contains(key)) return std::nullopt;
   const Entry& entry = index_.at(key);
   std::string bytes = disk_.read(segment_name(entry.segment), entry.offset, entry.bytes);
   Record record;
@@ -309,10 +309,10 @@
   return record;
 }
 
-void Store::each(const std::function<void(const Record&)>& tell) {
+void Store::for_each(const std::function<void(const Record&)>& tell) {
   std::map<std::pair<std::uint64_t, std::uint64_t>, const std::string*> by_place;
   for (const auto& [key, entry] : index_) {
-    if (knows(key)) by_place[{entry.segment, entry.offset}] = &key;
+    if (contains(key)) by_place[{entry.segment, entry.offset}] = &key;
   }
   for (const auto& [place, key] : by_place) {
     if (auto record = get(*key)) tell(*record);
@@ -333,7 +333,7 @@
 }
 
 // A dropped key is remembered for as long as the record it drops could come back from an older segment.
-void Store::drop(const std::string& key) {
+void Store::erase(const std::string& key) {
   auto place = index_.find(key);
   Nanos window = place == index_.end() ? kSecond : place->second.window;
   Record record{.kind = Kind::kDropped,
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -30,13 +30,13 @@
 };
 
 // What was found at the start.
-struct Recovery {
+struct RecoveryStats {
   std::size_t segments = 0;
-  std::size_t by_hint = 0;  // of them, known from their hints
-  std::size_t records = 0;  // read
-  std::size_t kept = 0;     // known now
+  std::size_t segments_from_hints = 0;  // of them, known from their hints
+  std::size_t records_read = 0;
+  std::size_t live_records = 0;
   std::uint64_t bytes = 0;
-  std::uint64_t skipped = 0;  // bytes that were no record: a torn tail, or damage
+  std::uint64_t skipped_bytes = 0;  // bytes that were no record: a torn tail, or damage
 };
 
 struct StoreStats {
@@ -52,7 +52,7 @@
   Store(Disk& disk, const StoreOptions& options, std::function<Nanos()> clock, std::uint32_t seed);
 
   // Reads all that is there. Throws StoreError or DiskError.
-  Recovery open();
+  RecoveryStats open();
 
   // The store's own time: goes on from the last that was written. It stands still while no process has the
   // store open, so that no window is ever shorter for a crash or a step of the wall clock.
@@ -60,15 +60,15 @@
 
   // For the next commit.
   void put(std::string key, std::string value, Nanos window);
-  void drop(const std::string& key);
+  void erase(const std::string& key);
   // Writes and syncs all that was put. Throws DiskError: then nothing is known of any of it, none of it is in
   // the index, and what follows goes to another segment.
   void commit();
 
-  bool knows(const std::string& key) const;
+  bool contains(const std::string& key) const;
   std::optional<Record> get(const std::string& key);
   // Every record that is known and not over, in the order of the disk.
-  void each(const std::function<void(const Record&)>& tell);
+  void for_each(const std::function<void(const Record&)>& tell);
 
   // Forgets what is over, and does one slice of compaction, whose copies go with the next commit. False:
   // there is nothing to compact.
@@ -76,7 +76,7 @@
 
   std::size_t size() const { return index_.size(); }
   std::size_t segments() const { return segments_.size(); }
-  const StoreStats& totals() const { return totals_; }
+  const StoreStats& stats() const { return totals_; }
 
  private:
   struct Segment {
@@ -110,8 +110,8 @@
   };
 
   void write_manifest();
-  void recover_segment(std::uint64_t number, Recovery& found);
-  bool recover_by_hint(std::uint64_t number, Segment& segment, Recovery& found);
+  void recover_segment(std::uint64_t number, RecoveryStats& found);
+  bool recover_by_hint(std::uint64_t number, Segment& segment, RecoveryStats& found);
   void write_hint(std::uint64_t number);
   void apply(const std::string& key, const Entry& entry);
   void forget(Index::iterator place);
--- a/src/store/store_inspector.cpp
+++ b/src/store/store_inspector.cpp
@@ -78,7 +78,7 @@
 
 StoreInspector survey(Disk& disk) { return read_all(disk).survey; }
 
-void each_current(Disk& disk, const std::function<void(const Record&, std::uint64_t)>& tell) {
+void for_each_current_record(Disk& disk, const std::function<void(const Record&, std::uint64_t)>& tell) {
   Reading all = read_all(disk);
   std::vector<const Newest*> in_order;
   for (const auto& [key, known] : all.newest) {
--- a/src/store/store_inspector.h
+++ b/src/store/store_inspector.h
@@ -35,6 +35,7 @@
 StoreInspector survey(Disk& disk);
 
 // The newest record of every key, in the order of their sequence; what is over is left out.
-void each_current(Disk& disk, const std::function<void(const Record&, std::uint64_t segment)>& tell);
+void for_each_current_record(Disk& disk,
+                             const std::function<void(const Record&, std::uint64_t segment)>& tell);
 
 }  // namespace myrtlecroft::store
--- a/tests/durable_test.cpp
+++ b/tests/durable_test.cpp
@@ -13,12 +13,14 @@
 // ---- The service
 
 struct FakeRecords : service::IdempotencyLog {
-  bool takes() const override { return well; }
-  void intend(const service::ServerRequest& request, Nanos) override { intended.push_back(request.id); }
-  void ended(const service::ServerRequest& request, bool good, std::string_view result) override {
+  bool accepts_writes() const override { return well; }
+  void record_intent(const service::ServerRequest& request, Nanos) override {
+    intended.push_back(request.id);
+  }
+  void record_outcome(const service::ServerRequest& request, bool good, std::string_view result) override {
     told.push_back((good ? "good " : "bad ") + request.id + " " + std::string(result));
   }
-  void never_ran(const service::ServerRequest& request) override {
+  void erase_intent(const service::ServerRequest& request) override {
     told.push_back("never ran " + request.id);
   }
   bool well = true;
@@ -36,7 +38,7 @@
   Caller& caller = world.read("a", kWriteClass, "k1");
   EXPECT_EQ(records.intended, std::vector<std::string>{"a"});
   EXPECT_EQ(world.count("run a"), 0);
-  world.service.recorded("a", true);
+  world.service.intent_recorded("a", true);
   EXPECT_EQ(world.count("run a"), 1);
   world.done("a", Outcome::kOk, "made");
   EXPECT_EQ(caller.only(), "completed made");
@@ -54,24 +56,24 @@
   world.read("a", kWriteClass, "k1");
   world.read("b");
   EXPECT_EQ(world.count("run b"), 1);
-  world.service.recorded("a", true);
+  world.service.intent_recorded("a", true);
   EXPECT_EQ(world.count("run a"), 1);
 }
 
 TEST_F(RecordStory, AnIntentThatIsNotKnownToBeDurableIsDeniedUnrun) {
   Caller& caller = world.read("a", kWriteClass, "k1");
-  world.service.recorded("a", false);
+  world.service.intent_recorded("a", false);
   EXPECT_EQ(caller.only(), "denied");
   EXPECT_EQ(world.count("run a"), 0);
   // Its repeat is new work.
   world.read("b", kWriteClass, "k1");
-  world.service.recorded("b", true);
+  world.service.intent_recorded("b", true);
   EXPECT_EQ(world.count("run b"), 1);
 }
 
 TEST_F(RecordStory, WithASickDiskNewDeduplicatedWorkIsDeniedAtOnceAndTheRestGoesOn) {
   world.read("known", kWriteClass, "k0");
-  world.service.recorded("known", true);
+  world.service.intent_recorded("known", true);
   world.done("known", Outcome::kOk, "made");
   records.well = false;
   EXPECT_EQ(world.read("a", kWriteClass, "k1").only(), "denied");
@@ -87,7 +89,7 @@
   Caller& first = world.read("a", kWriteClass, "k1");
   Caller& second = world.read("b", kWriteClass, "k1");
   EXPECT_EQ(records.intended.size(), 1u);
-  world.service.recorded("a", true);
+  world.service.intent_recorded("a", true);
   world.done("a", Outcome::kOk, "made");
   EXPECT_EQ(first.only(), "completed made");
   EXPECT_EQ(second.only(), "completed made");
@@ -98,11 +100,11 @@
   Caller& caller = world.read("a", kWriteClass, "k1", kSecond);
   for (int i = 0; i < 60; ++i) {
     world.time += 25 * kMs;
-    world.service.woke();
+    world.service.timer_expired();
   }
   EXPECT_EQ(caller.only(), "denied");
   EXPECT_EQ(records.told, std::vector<std::string>{"never ran a"});
-  world.service.recorded("a", true);
+  world.service.intent_recorded("a", true);
   EXPECT_EQ(world.count("run a"), 0);
 }
 
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -486,7 +486,7 @@
   ASSERT_TRUE(comes(shared, "Q b"));
   world.on_call = [&](service::ServerRequest& request) {
     if (&request != calling[0]) return;
-    database.give_up(*calling[1]);
+    database.abandon_call(*calling[1]);
     database.call(*calling[1], "again", 250 * kMs);
   };
   shared.reset();
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -166,7 +166,7 @@
 struct Caller : service::AnswerSink {
   void answer(const service::FinalAnswer& given) override {
     using service::Answer;
-    unfounded = given.unfounded;
+    unrecognized = given.unrecognized;
     answers.push_back(given.kind == Answer::kCompleted  ? "completed " + std::string(given.result)
                       : given.kind == Answer::kRejected ? "denied"
                                                         : "terminated");
@@ -174,7 +174,7 @@
   std::string only() const { return answers.size() == 1 ? answers[0] : std::to_string(answers.size()); }
   service::ServerRequest* request = nullptr;
   std::vector<std::string> answers;
-  bool unfounded = false;
+  bool unrecognized = false;
 };
 
 // All ports of one server. The engine's end of the link is played by the story.
@@ -221,7 +221,7 @@
     request->client_deadline = time + longest;
     request->has_subject = true;
     request->sink = &caller;
-    service.read(std::move(request));
+    service.request_received(std::move(request));
     return caller;
   }
   void done(const std::string& id, Outcome outcome = Outcome::kOk, const std::string& result = "result") {
@@ -235,7 +235,7 @@
     while (timer <= end) {
       time = std::max(time, timer);
       timer = end + kSecond;
-      service.woke();
+      service.timer_expired();
     }
     time = end;
   }
@@ -257,7 +257,7 @@
     note("call ", request.id);
     if (on_call) on_call(request);
   }
-  void give_up(service::ServerRequest& request) override { note("give up ", request.id); }
+  void abandon_call(service::ServerRequest& request) override { note("give up ", request.id); }
   void report(bool good) override { healthy = good; }
   void line(const std::string&) override {}
   void frequent(const std::string&) override {}
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -67,12 +67,12 @@
   store::FileDisk disk(copy_of("server_store"));
   store::Store store(
       disk, {}, [this] { return clock(); }, 1);
-  store::Recovery found = store.open();
+  store::RecoveryStats found = store.open();
   EXPECT_EQ(found.segments, 2u);
-  EXPECT_EQ(found.by_hint, 1u);
-  EXPECT_EQ(found.skipped, 0u);
+  EXPECT_EQ(found.segments_from_hints, 1u);
+  EXPECT_EQ(found.skipped_bytes, 0u);
   EXPECT_EQ(store.size(), 5u);  // with the mark of the dropped one
-  EXPECT_FALSE(store.knows("book\nkey-dropped"));
+  EXPECT_FALSE(store.contains("book\nkey-dropped"));
 
   recovery::RunRecords runs;
   for (const char* key : {"book\nkey-intended", "book\nkey-done", "book\nkey-failed"}) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -279,7 +279,7 @@
   link.move(at_port(elsewhere.listen()));
   Plain moved = accepted_by(elsewhere);
   EXPECT_TRUE(comes(old, "\"token\":\"2\""));
-  session.ask_gauges();  // held back
+  session.request_gauges();  // held back
   EXPECT_EQ(moved.read(), "");
   old.write("{\"cmd\":\"NOTE\",\"offset\":1}\n" + stats(2) + "{\"cmd\":\"NOTE\",\"offset\":2}\n");
   EXPECT_TRUE(comes(moved, "ATTACH\",\"offset\":2}"));
@@ -434,7 +434,7 @@
   service::ServerRequest& request = calling("a");
   database.call(request, "first", 250 * kMs);
   Plain one = accept();
-  database.give_up(request);
+  database.abandon_call(request);
   database.call(request, "second", 250 * kMs);
   Plain two = accept();
   one.offer("a ROWS 3\r\nold\r\n");
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -194,7 +194,7 @@
   EXPECT_EQ(reply.id, "ab");
   EXPECT_EQ(reply.body, "\r\nx\n");
   ASSERT_EQ(read_database_reply(std::string_view(bytes).substr(reply.size), reply), LineState::kComplete);
-  EXPECT_EQ(reply.reply, service::Reply::kFull);
+  EXPECT_EQ(reply.reply, service::CallResult::kAtCapacity);
   EXPECT_EQ(reply.size, 9u);
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -83,7 +83,7 @@
         ran(engine) {}
   void start() {
     store.open();
-    store.each(
+    store.for_each(
         [&](const store::Record& record) { records.recovered(record.key, record.value, record.window); });
   }
   void write(const std::string& key, bool intent) {
--- a/tests/reporter_test.cpp
+++ b/tests/reporter_test.cpp
@@ -114,7 +114,7 @@
   EXPECT_EQ(came.back().request_classes[0].read, 1u);
   EXPECT_EQ(came.back().request_classes[0].in_time, 1u);
   EXPECT_GT(came.back().window, 0u);
-  node.world.service.leave();
+  node.world.service.begin_drain();
   ASSERT_TRUE(next([](const auto& one) { return one.draining; }));
   for (std::size_t i = 1; i < came.size(); ++i) EXPECT_EQ(came[i].sequence, came[i - 1].sequence + 1);
 }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -6,7 +6,7 @@
 namespace myrtlecroft {
 namespace {
 
-using service::Reply;
+using service::CallResult;
 
 TEST(Service, ACompletedRunAnswersWithItsResult) {
   FakeWorld world;
@@ -20,7 +20,7 @@
 TEST(Service, BeforeTheEngineIsUpNothingRunsAndChecksSayNo) {
   FakeWorld world;
   Caller check;
-  world.service.check(check, false);
+  world.service.health_check(check, false);
   EXPECT_EQ(check.only(), "denied");
   EXPECT_EQ(world.read("a").only(), "denied");
   world.engine_up();
@@ -126,7 +126,7 @@
   EXPECT_EQ(first.only(), "completed once");
   Caller& other = world.read("b", kWriteClass, "key", 2 * kSecond, "another body");
   EXPECT_EQ(other.only(), "terminated");
-  EXPECT_TRUE(other.unfounded);
+  EXPECT_TRUE(other.unrecognized);
   EXPECT_EQ(world.read("c", kWriteClass, "key").only(), "completed once");
 }
 
@@ -136,7 +136,7 @@
   Caller& fake = world.read("a", kWriteClass, "key", 2 * kSecond, "another body");
   Caller& real = world.read("b", kWriteClass, "key");
   world.service.engine().not_carried_out("RUN", "a");
-  EXPECT_TRUE(fake.unfounded);
+  EXPECT_TRUE(fake.unrecognized);
   world.done("b", Outcome::kOk, "once");
   EXPECT_EQ(real.only(), "completed once");
 }
@@ -343,7 +343,7 @@
   world.engine_up();
   Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*caller.request, Reply::kRows, "rows");
+  world.service.call_completed(*caller.request, CallResult::kRows, "rows");
   EXPECT_EQ(world.count("feed a rows"), 1);
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 1);
@@ -360,13 +360,13 @@
     Caller& caller = world.read(id, kCallerClass, id);
     world.need(id);
     world.pass(100 * kMs);
-    world.service.replied(*caller.request, Reply::kRows, "rows");
+    world.service.call_completed(*caller.request, CallResult::kRows, "rows");
     world.done(id);
   }
   world.pass(kSecond);
   Caller& called = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*called.request, Reply::kRows, "rows");
+  world.service.call_completed(*called.request, CallResult::kRows, "rows");
   world.read("b", kCallerClass, "other");
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 2);
@@ -378,7 +378,7 @@
   world.engine_up();
   Caller& caller = world.read("a", kSkipperClass);
   world.need("a");
-  world.service.replied(*caller.request, Reply::kRows, "rows");
+  world.service.call_completed(*caller.request, CallResult::kRows, "rows");
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 1);
   EXPECT_EQ(world.count("skip a"), 1);
@@ -405,7 +405,7 @@
   Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
   EXPECT_EQ(world.count("call a"), 1);
-  world.service.replied(*caller.request, Reply::kRows, "rows");
+  world.service.call_completed(*caller.request, CallResult::kRows, "rows");
   EXPECT_EQ(world.count("feed a rows"), 1);
   world.done("a");
   EXPECT_EQ(caller.only(), "completed result");
@@ -426,7 +426,7 @@
   world.engine_up();
   Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*caller.request, Reply::kBroken, "");
+  world.service.call_completed(*caller.request, CallResult::kConnectionLost, "");
   EXPECT_EQ(world.count("call a"), 1);
   EXPECT_EQ(caller.only(), "terminated");
 }
@@ -436,7 +436,7 @@
   world.engine_up();
   Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.replied(*caller.request, Reply::kFull, "");
+  world.service.call_completed(*caller.request, CallResult::kAtCapacity, "");
   EXPECT_EQ(world.count("call a"), 1);
   world.pass(50 * kMs);
   EXPECT_EQ(world.count("call a"), 2);
@@ -479,27 +479,27 @@
   FakeWorld world;
   world.engine_up();
   Caller one, two, three, four, five;
-  world.service.check(one, true);
-  world.service.check(two, true);
+  world.service.health_check(one, true);
+  world.service.health_check(two, true);
   EXPECT_EQ(world.count("test"), 1);
   world.service.engine().tested(world.test_token, true);
   EXPECT_EQ(one.only(), "completed ");
   EXPECT_EQ(two.only(), "completed ");
-  world.service.check(three, true);
+  world.service.health_check(three, true);
   world.pass(2 * kSecond);
   EXPECT_EQ(three.only(), "denied");
-  world.service.check(five, true);
+  world.service.health_check(five, true);
   world.service.engine().not_carried_out("TEST", "");  // the site allows none: the report stands
   EXPECT_EQ(five.only(), "completed ");
   world.service.engine().lost();
-  world.service.check(four, true);
+  world.service.health_check(four, true);
   EXPECT_EQ(four.only(), "denied");
 }
 
 TEST(Drain, RunsWhatCameWithinTheGraceAndFinishesOnceAllIsAnswered) {
   FakeWorld world;
   world.engine_up();
-  world.service.leave();
+  world.service.begin_drain();
   EXPECT_FALSE(world.healthy);
   Caller& early = world.read("a");
   EXPECT_EQ(world.count("run a"), 1);
@@ -516,7 +516,7 @@
   FakeWorld world;
   world.engine_up();
   Caller& caller = world.read("a", kReadClass, "", 60 * kSecond);
-  world.service.leave();
+  world.service.begin_drain();
   world.pass(2950 * kMs);
   EXPECT_EQ(caller.only(), "terminated");
   EXPECT_EQ(world.count("finish"), 1);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -54,7 +54,7 @@
   for (int i = 0; i < 40; ++i)
     incarnation.put("key" + std::to_string(i), std::string(50, 'v') + std::to_string(i));
   incarnation.put("key7", "newer");
-  incarnation.store.drop("key8");
+  incarnation.store.erase("key8");
   incarnation.store.commit();
   auto next = again(incarnation);
   EXPECT_EQ(next->get("key7"), "newer");
@@ -95,8 +95,8 @@
       Life next(incarnation.disk->after_end());
       char& byte = next.disk->bytes(segment_name(1))[at];
       byte = static_cast<char>(byte ^ bit);
-      Recovery found = next.store.open();
-      EXPECT_GT(found.skipped, 0u);
+      RecoveryStats found = next.store.open();
+      EXPECT_GT(found.skipped_bytes, 0u);
       for (std::size_t i = 0; i + 1 < ends.size(); ++i) {
         bool hit = at >= ends[i] && at < ends[i + 1];
         EXPECT_EQ(next.get("key" + std::to_string(i)), hit ? "none" : "value" + std::to_string(i)) << at;
@@ -139,7 +139,7 @@
       std::string key = "key" + std::to_string(random() % 12);
       std::string value = std::to_string(seed) + "." + std::to_string(i) + "." + std::to_string(j);
       if (random() % 5 == 0) {
-        incarnation.store.drop(key);
+        incarnation.store.erase(key);
         value = "none";
       } else {
         incarnation.store.put(key, value + std::string(random() % 60, '.'), kWindow);
@@ -178,7 +178,7 @@
     incarnation.store.open();
     live(incarnation, model, 3, 40);
     whole = incarnation.disk->done;
-    EXPECT_GT(incarnation.store.totals().retired, 1u);
+    EXPECT_GT(incarnation.store.stats().retired, 1u);
   }
   ASSERT_GT(whole, 80);
   for (int step = 1; step <= whole; ++step) {
@@ -319,13 +319,13 @@
   incarnation.store.open();
   for (int i = 0; i < 60; ++i) incarnation.put("key" + std::to_string(i), std::string(50, 'v'));
   std::size_t max = incarnation.store.segments();
-  std::uint64_t written = incarnation.store.totals().written;
+  std::uint64_t written = incarnation.store.stats().written;
   incarnation.time += kWindow;
   for (int i = 0; i < 20; ++i) incarnation.store.compact_slice();
   EXPECT_LT(incarnation.store.segments(), 3u);
   EXPECT_GT(max, 5u);
   EXPECT_EQ(incarnation.store.size(), 0u);
-  EXPECT_LT(incarnation.store.totals().written - written, 2'000u);  // manifests
+  EXPECT_LT(incarnation.store.stats().written - written, 2'000u);  // manifests
   // What the disk still holds of them is over at the next start as well, whatever was written last.
   auto next = again(incarnation);
   EXPECT_EQ(next->store.size(), 0u);
@@ -336,14 +336,14 @@
   incarnation.store.open();
   incarnation.put("gone", std::string(300, 'x'));
   for (int i = 0; i < 10; ++i) incarnation.put("fill" + std::to_string(i), std::string(100, 'v'));
-  incarnation.store.drop("gone");
+  incarnation.store.erase("gone");
   incarnation.store.commit();
   for (int i = 0; i < 60; ++i) {
     incarnation.put("more" + std::to_string(i % 4), std::string(100, 'v'));
     incarnation.store.compact_slice();
     EXPECT_EQ(again(incarnation)->get("gone"), "none");
   }
-  EXPECT_GT(incarnation.store.totals().retired, 3u);
+  EXPECT_GT(incarnation.store.stats().retired, 3u);
 }
 
 TEST(Store, ManyRestartsDoNotLeaveManySegments) {
@@ -364,18 +364,18 @@
   Model model;
   live(incarnation, model, 9, 60);
   Life by_hint(incarnation.disk->after_end());
-  Recovery hinted = by_hint.store.open();
-  EXPECT_GT(hinted.by_hint, 0u);
+  RecoveryStats hinted = by_hint.store.open();
+  EXPECT_GT(hinted.segments_from_hints, 0u);
   expect_known(by_hint, model, "hints");
   // Torn or of another segment, they are not heeded.
   Life torn(incarnation.disk->after_end());
   for (auto& [name, content] : torn.disk->names) {
     if (name.ends_with(".hint")) content->now.resize(content->now.size() / 2);
   }
-  Recovery scanned = torn.store.open();
-  EXPECT_EQ(scanned.by_hint, 0u);
+  RecoveryStats scanned = torn.store.open();
+  EXPECT_EQ(scanned.segments_from_hints, 0u);
   expect_known(torn, model, "scan");
-  EXPECT_EQ(hinted.kept, scanned.kept);
+  EXPECT_EQ(hinted.live_records, scanned.live_records);
 }
 
 TEST(Store, WhatANewerVersionWroteIsRefusedAndLeftAsItIs) {
@@ -420,7 +420,7 @@
       incarnation->put(key, value);
       plain[key] = value;
     } else if (what == 6) {
-      incarnation->store.drop(key);
+      incarnation->store.erase(key);
       incarnation->store.commit();
       plain.erase(key);
     } else if (what < 9) {
@@ -477,8 +477,8 @@
   }
   FileDisk disk(folder.path);
   Store store(disk, {}, steady, 3);
-  Recovery found = store.open();
-  EXPECT_EQ(found.kept, 1u);
+  RecoveryStats found = store.open();
+  EXPECT_EQ(found.live_records, 1u);
   EXPECT_EQ(store.get("a")->value, std::string("\0\xff\n", 3));
 }
 
@@ -545,7 +545,7 @@
   // Turns the loop until it holds, for five seconds at most.
   bool until(const std::function<bool()>& holds) {
     for (int i = 0; i < 5'000 && !holds(); ++i) {
-      if (wakes.exchange(0)) committer->take_done();
+      if (wakes.exchange(0)) committer->deliver_completions();
       usleep(1'000);
     }
     return holds();
@@ -570,13 +570,13 @@
   begin();
   for (int i = 0; i < 500; ++i) put("key" + std::to_string(i));
   usleep(50'000);
-  committer->take_done();
+  committer->deliver_completions();
   EXPECT_EQ(good, 0);
-  EXPECT_EQ(committer->health(), Health::kSlow);
+  EXPECT_EQ(committer->health(), DiskHealth::kSlow);
   put("another");  // which waits for nothing
   held = false;
   EXPECT_TRUE(until([&] { return good == 501; }));
-  EXPECT_EQ(committer->health(), Health::kWell);
+  EXPECT_EQ(committer->health(), DiskHealth::kHealthy);
   EXPECT_LT(committer->counts().commits, 20u);
 }
 
@@ -587,12 +587,12 @@
   disk.failing = true;
   put("b");
   ASSERT_TRUE(until([&] { return bad == 1; }));
-  EXPECT_EQ(committer->health(), Health::kSick);
+  EXPECT_EQ(committer->health(), DiskHealth::kFailed);
   put("c");
-  committer->take_done();
+  committer->deliver_completions();
   EXPECT_EQ(bad, 2);
   disk.failing = false;
-  EXPECT_TRUE(until([&] { return committer->health() == Health::kWell; }));
+  EXPECT_TRUE(until([&] { return committer->health() == DiskHealth::kHealthy; }));
   put("d");
   EXPECT_TRUE(until([&] { return good == 2; }));
 }
@@ -601,7 +601,7 @@
   begin();
   for (int i = 0; i < 50; ++i) put("key" + std::to_string(i));
   committer.reset();
-  EXPECT_TRUE(store.knows("key49"));
+  EXPECT_TRUE(store.contains("key49"));
 }
 
 TEST_F(CommitterStory, WhatWaitsIsBounded) {
@@ -611,7 +611,7 @@
   };
   begin({.max_waiting = 20});
   for (int i = 0; i < 100; ++i) put("key" + std::to_string(i));
-  committer->take_done();
+  committer->deliver_completions();
   EXPECT_GE(bad, 60);
   held = false;
   EXPECT_TRUE(until([&] { return good + bad == 100; }));
