--- a/src/net/database_codec.cpp
+++ b/src/net/database_codec.cpp
@@ -31,12 +31,12 @@
   std::string_view word = next_word(line);
   if (out.id.empty()) return LineState::kMalformed;
   if (word != "ROWS") {
-    using service::Reply;
-    constexpr std::pair<std::string_view, Reply> kReplies[] = {{"FULL", Reply::kFull},
-                                                               {"FAIL", Reply::kFailed},
-                                                               {"TIMEOUT", Reply::kTimedOut},
-                                                               {"NONE", Reply::kNoRun}};
-    for (const auto& [name, reply] : kReplies) {
+    using service::CallResult;
+    constexpr std::pair<std::string_view, CallResult> kResults[] = {{"FULL", CallResult::kAtCapacity},
+                                                                    {"FAIL", CallResult::kFailed},
+                                                                    {"TIMEOUT", CallResult::kTimedOut},
+                                                                    {"NONE", CallResult::kNotExecuted}};
+    for (const auto& [name, reply] : kResults) {
       if (name != word) continue;
       out.reply = reply;
       return LineState::kComplete;
--- a/src/server_program.cpp
+++ b/src/server_program.cpp
@@ -65,7 +65,7 @@
 }
 
 int ServerProgram::run() {
-  loop_.on_wake([this] { service_.woke(); });
+  loop_.on_wake([this] { service_.timer_expired(); });
   front_.serve(service_, [this] { loop_.stop(); });
   database_.begin(service_);
   engine_.begin(service_.engine());
@@ -145,7 +145,7 @@
     Nanos stop_after = launch_.start.stop_after;
     stop_timer_.set(stop_after - stop_after / kStopMarginShare);
   }
-  service_.leave();
+  service_.begin_drain();
 }
 
 }  // namespace myrtlecroft
