--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -4,6 +4,7 @@
 #include <vector>
 
 #include "releases/disruption_budget.h"
+#include "releases/operator_commands.h"
 #include "releases/rollout_plan.h"
 
 namespace myrtlecroft::control {
--- a/src/releases/canary_analysis.h
+++ b/src/releases/canary_analysis.h
@@ -1,84 +1,46 @@
-// Whether servers in a new version do worse than those that still wait, over the same time and load. No I/O.
+// Decides whether servers in a new version (the canaries) do worse than servers that still run another one
+// (the baseline), over the same time and load. Called by PhaseAnalysis, on the control loop's thread. Owns
+// the measurements of the current phase of a release. No I/O.
 //
-// A server is one sample, however many requests it had: requests of one server fare alike, and a server
-// beside a noisy neighbour is one bad server and no bad version. All servers are put in order by a figure,
-// and as many of the worst are looked at as there are new ones. If the version makes no difference, the
-// number of new ones among them is hypergeometric, whatever the figures' distribution. Two questions are
-// asked, each with an error rate of its own:
-//   bad:  shown worse by more than `worse_by`; `false_halts` bounds, over all looks of a release, how often a
-//         version that is not is called bad;
-//   good: shown not worse by `good_within`; `false_goods` bounds how often a wave that is passes.
-// Else it is not known yet.
+// A server is one sample, however many requests it had: requests of one server are correlated, so that
+// counted one by one a noisy neighbour would look like a bad version. The servers' ranks are compared
+// (rank_statistics.h), by two questions with an error rate each:
+//   fail: worse by more than the plan's `worse_by`; `false_halts` bounds, over all analysis rounds of a
+//         release, how often a version that is not worse fails;
+//   pass: not worse by `good_within`; `false_goods` bounds how often a wave that is worse passes.
+// Otherwise the round is inconclusive.
 #pragma once
 
-#include <map>
-#include <set>
 #include <string>
 #include <vector>
 
-#include "agreement.pb.h"
-#include "routing/server_registry.h"
+#include "releases/canary_sampler.h"
 
 namespace myrtlecroft::releases {
 
-enum class Verdict { kNotKnown, kGood, kBad };
+enum class AnalysisVerdict { kInconclusive, kPass, kFail };
 
 struct AnalysisResult {
-  Verdict verdict = Verdict::kNotKnown;
-  std::string why;  // figures, as one line
+  AnalysisVerdict verdict = AnalysisVerdict::kInconclusive;
+  std::string reason;  // with its figures, in one line; empty where it passed
 };
 
-// The chance that of so many drawn out of all at least `seen` are among the marked ones.
-double chance_of_marked(unsigned seen, unsigned drawn, unsigned marked, unsigned all);
-// The chance of at least `seen` new ones among the first `fresh` of all, if being new makes no difference.
-inline double chance_of(unsigned seen, unsigned fresh, unsigned others) {
-  return chance_of_marked(seen, fresh, fresh, fresh + others);
-}
-
-constexpr unsigned kMinOthers = 2;  // servers that wait, to compare with
+// Baseline servers that a comparison needs.
+constexpr unsigned kMinBaselineServers = 2;
 
 class CanaryAnalysis {
  public:
-  // One figure of each server, the new ones apart.
-  struct Figures {
-    std::vector<double> fresh;
-    std::vector<double> others;
-  };
-
-  // From here on everything is measured anew.
-  void begin(const std::vector<routing::ServerStatus>& servers, Nanos now);
-  // To be called often: a server that goes out of service, or comes back as another incarnation, is measured
-  // anew.
-  void watch(const std::vector<routing::ServerStatus>& servers, Nanos now);
-  Nanos begun() const { return begun_; }
+  // Restarts all measurements.
+  void begin(const std::vector<routing::ServerStatus>& servers, Nanos now) { sampler_.begin(servers, now); }
+  // Call at every tick: a server that leaves service or comes back as another incarnation is measured anew.
+  void watch(const std::vector<routing::ServerStatus>& servers, Nanos now) { sampler_.watch(servers, now); }
+  Nanos begun() const { return sampler_.begun(); }
 
-  // `fresh`: servers in the new version; `others`: those that wait. Looks are counted: what a false halt may
-  // cost is spread over `looks` of them.
-  AnalysisResult look(const agreement::Plan& plan, const std::vector<routing::ServerStatus>& servers,
-                      const std::set<std::string>& fresh, const std::set<std::string>& others, unsigned looks,
-                      Nanos now) const;
+  // One analysis round over what was measured since begin().
+  AnalysisResult evaluate(const AnalysisInput& input) const;
 
  private:
-  struct Base {
-    bool counts = false;  // it has been whole since
-    bool fell = false;    // it went out of service by itself since begin()
-    Nanos since = 0;
-    report::LoadReport report;
-  };
-  // All that is judged at one look.
-  struct Seen {
-    std::map<std::string, Figures> figures;  // by what they are of
-    std::map<std::string, unsigned> min;     // group -> the fewest requests of a new server
-    unsigned fell_fresh = 0;
-    unsigned fell_others = 0;
-    unsigned fresh_there = 0;  // new servers that are measured
-  };
-  Seen measured(const agreement::Plan& plan, const std::vector<routing::ServerStatus>& servers,
-                const std::set<std::string>& fresh, const std::set<std::string>& others, Nanos now) const;
-  void start(Base& base, const routing::ServerStatus& server, Nanos now);
-
-  std::map<std::string, Base> bases_;
-  Nanos begun_ = 0;
+  CanarySampler sampler_;
 };
 
 }  // namespace myrtlecroft::releases
--- a/src/releases/disruption_budget.cpp
+++ b/src/releases/disruption_budget.cpp
@@ -11,32 +11,49 @@
 namespace {
 
 constexpr double kThousandths = 1000;
-constexpr double kNothing = 1e-9;
+constexpr double kRounding = 1e-9;  // sums of capacities that differ by less are equal
 
-// Each part of the fleet that has a bound of its own.
-template <class Tell>
-void each_part(const fleet::Fleet& fleet, Tell tell) {
+// Calls `visit` for each part of the fleet that has a limit of its own. The names are part of the agreed
+// state.
+template <class Visit>
+void for_each_part(const fleet::Fleet& fleet, Visit visit) {
   std::set<std::string> all;
   std::map<std::string, std::set<std::string>> zones;
   for (const fleet::Node& node : fleet.nodes) {
     all.insert(node.name);
     zones[node.zone].insert(node.name);
   }
-  tell("fleet", fleet.outings.max_unavailable, all);
-  for (const auto& [zone, nodes] : zones) tell("zone " + zone, fleet.outings.zone_max_unavailable, nodes);
+  visit("fleet", fleet.outings.max_unavailable, all);
+  for (const auto& [zone, nodes] : zones) visit("zone " + zone, fleet.outings.zone_max_unavailable, nodes);
   for (const fleet::RequestClass& request_class : fleet.request_classes) {
     if (request_class.max_unavailable != fleet::MaxUnavailable{})
-      tell("group " + request_class.name, request_class.max_unavailable, all);
+      visit("group " + request_class.name, request_class.max_unavailable, all);
   }
   for (const fleet::Service& service : fleet.services) {
-    tell("service " + service.name, service.max_unavailable,
-         std::set<std::string>(service.used_by.begin(), service.used_by.end()));
+    visit("service " + service.name, service.max_unavailable,
+          std::set<std::string>(service.used_by.begin(), service.used_by.end()));
   }
 }
 
+bool is_faulty(const routing::ServerStatus& server) {
+  return server.state == routing::ServerState::kUnhealthy ||
+         server.state == routing::ServerState::kUnresponsive;
+}
+
+// Rejected requests come again, at other servers too. Each counts once for the share that is rejected, not as
+// often as it is received.
+double load_of(const routing::ServerStatus& server) {
+  if (server.heard_at == 0) return 0;
+  double received = server.read.read(server.heard_at);
+  double rejected = received > 1 ? std::min(1.0, server.rejected.read(server.heard_at) / received) : 0;
+  return server.asked_of(server.heard_at) * (1 + rejected);
+}
+
 }  // namespace
 
-std::uint64_t capacity_of(const fleet::Node& node) { return std::max(1u, thousandths(node.capacity)); }
+std::uint64_t capacity_in_thousandths(const fleet::Node& node) {
+  return std::max(1u, thousandths(node.capacity));
+}
 
 agreement::Budgets budgets_of(const fleet::Fleet& fleet) {
   agreement::Budgets out;
@@ -44,11 +61,11 @@
   for (const fleet::Node& node : fleet.nodes) {
     agreement::Capacity& one = *out.add_capacities();
     one.set_node(node.name);
-    one.set_capacity(capacity_of(node));
+    one.set_capacity(capacity_in_thousandths(node));
     capacities[node.name] = one.capacity();
   }
-  each_part(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
-                       const std::set<std::string>& nodes) {
+  for_each_part(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
+                           const std::set<std::string>& nodes) {
     agreement::Budget& budget = *out.add_budgets();
     budget.set_name(name);
     budget.set_by_count(max.by_count);
@@ -64,85 +81,109 @@
   return out;
 }
 
+std::string BudgetError::text() const {
+  char line[200];
+  switch (kind) {
+    case Kind::kBudgetUsedUp:
+      std::snprintf(line, sizeof line, "%s: %.2f unavailable, limit %.2f", budget.c_str(), used, limit);
+      break;
+    case Kind::kTooLittleCapacity:
+      std::snprintf(
+          line, sizeof line,
+          "load: %.1f requests run or are queued, the remaining servers can run %.1f, reserve %.0f%%", used,
+          limit, 100 * reserve);
+      break;
+  }
+  return line;
+}
+
 DisruptionBudget::DisruptionBudget(const fleet::Fleet& fleet,
                                    const std::vector<routing::ServerStatus>& servers,
-                                   const std::set<std::string>& chosen) {
-  for (const routing::ServerStatus& server : servers) {
-    capacities_[server.node.name] = server.node.capacity;
-    limits_[server.node.name] = server.report.limit;
-    if (chosen.contains(server.node.name) || !server.whole()) {
-      out_.insert(server.node.name);
-      if (server.state == routing::ServerState::kUnhealthy ||
-          server.state == routing::ServerState::kUnresponsive)
-        stuck_.insert(server.node.name);
-    } else {
-      whole_ += server.report.limit;
-    }
-    if (server.heard_at == 0) continue;
-    // What is rejected comes again, elsewhere too: counted once for each share rejected, and not as often as
-    // it is read.
-    double read = server.read.read(server.heard_at);
-    double rejected = read > 1 ? std::min(1.0, server.rejected.read(server.heard_at) / read) : 0;
-    busy_ += server.asked_of(server.heard_at) * (1 + rejected);
-  }
-  each_part(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
-                       std::set<std::string> nodes) { add(name, max, std::move(nodes)); });
+                                   const std::set<std::string>& leased) {
+  for (const routing::ServerStatus& server : servers) add_server(server, leased.contains(server.node.name));
+  for_each_part(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
+                           std::set<std::string> nodes) { add_part(name, max, std::move(nodes)); });
   for (Part& part : parts_) {
     for (const std::string& node : part.nodes) {
-      if (chosen.contains(node)) part.usage.chosen += counts(part, node);
+      if (leased.contains(node)) part.usage.chosen += weight_of(part, node);
     }
   }
 }
 
-void DisruptionBudget::add(const std::string& name, const fleet::MaxUnavailable& max,
-                           std::set<std::string> nodes) {
+void DisruptionBudget::add_server(const routing::ServerStatus& server, bool is_leased) {
+  const std::string& name = server.node.name;
+  capacities_[name] = server.node.capacity;
+  concurrency_limits_[name] = server.report.limit;
+  load_ += load_of(server);
+  if (!is_leased && server.whole()) {
+    available_limit_ += server.report.limit;
+    return;
+  }
+  unavailable_.insert(name);
+  if (is_faulty(server)) faulty_.insert(name);
+}
+
+void DisruptionBudget::add_part(const std::string& name, const fleet::MaxUnavailable& max,
+                                std::set<std::string> nodes) {
   Part part{.usage = {.name = name}, .by_count = max.by_count, .nodes = std::move(nodes)};
   for (const std::string& node : part.nodes) {
-    part.usage.all += counts(part, node);
-    if (out_.contains(node)) part.usage.out += counts(part, node);
+    part.usage.all += weight_of(part, node);
+    if (unavailable_.contains(node)) part.usage.out += weight_of(part, node);
   }
-  // To the same thousandth as what is agreed.
+  // Rounded to the same thousandth as the agreed budget.
   part.usage.max =
       max.by_count ? max.max : std::round(max.max * part.usage.all * kThousandths) / kThousandths;
   parts_.push_back(std::move(part));
 }
 
-double DisruptionBudget::counts(const Part& part, const std::string& node) const {
+double DisruptionBudget::weight_of(const Part& part, const std::string& node) const {
   auto found = capacities_.find(node);
-  return found == capacities_.end() ? 0 : part.by_count ? 1 : found->second;
+  if (found == capacities_.end()) return 0;
+  return part.by_count ? 1 : found->second;
 }
 
-std::string DisruptionBudget::refusal(const std::string& node, double reserve) const {
-  bool already = out_.contains(node);
-  char line[160];
+std::optional<BudgetError> DisruptionBudget::check(const std::string& node, double reserve) const {
+  if (auto error = check_parts(node)) return error;
+  return check_load(node, reserve);
+}
+
+std::optional<BudgetError> DisruptionBudget::check_parts(const std::string& node) const {
+  bool counted = unavailable_.contains(node);
   for (const Part& part : parts_) {
     if (!part.nodes.contains(node)) continue;
-    double more = already ? 0 : counts(part, node);
-    bool fits = stuck_.contains(node) || part.usage.out + more <= part.usage.max + kNothing;
-    if (part.usage.max > kNothing && fits) continue;
-    std::snprintf(line, sizeof line, "%s: %.2f of %.2f that may be out is out", part.usage.name.c_str(),
-                  part.usage.out, part.usage.max);
-    return line;
+    double more = counted ? 0 : weight_of(part, node);
+    // A faulty server carries nothing, and restarting it may mend it.
+    bool fits = faulty_.contains(node) || part.usage.out + more <= part.usage.max + kRounding;
+    if (part.usage.max > kRounding && fits) continue;
+    return BudgetError{.kind = BudgetError::Kind::kBudgetUsedUp,
+                       .budget = part.usage.name,
+                       .used = part.usage.out,
+                       .limit = part.usage.max};
   }
-  // Reserve at the load of the moment: a fleet that is full already must not lose more. Could hold a release
-  // up for as long as the fleet is short, which is when it should wait.
-  auto limit = limits_.find(node);
-  if (already || limit == limits_.end()) return "";
-  double stays = whole_ - limit->second;
-  if (busy_ <= (1 - reserve) * stays) return "";
-  std::snprintf(line, sizeof line,
-                "load: %.1f exchanges run or wait, %.1f could run without it, %.0f%% to spare", busy_, stays,
-                100 * reserve);
-  return line;
+  return std::nullopt;
+}
+
+// At the load of the moment: a fleet that is full already must not lose more. This may hold a release up for
+// as long as capacity is short, which is when it should wait.
+std::optional<BudgetError> DisruptionBudget::check_load(const std::string& node, double reserve) const {
+  auto limit = concurrency_limits_.find(node);
+  if (unavailable_.contains(node) || limit == concurrency_limits_.end()) return std::nullopt;
+  double remaining = available_limit_ - limit->second;
+  if (load_ <= (1 - reserve) * remaining) return std::nullopt;
+  return BudgetError{.kind = BudgetError::Kind::kTooLittleCapacity,
+                     .budget = "",
+                     .used = load_,
+                     .limit = remaining,
+                     .reserve = reserve};
 }
 
-void DisruptionBudget::take(const std::string& node) {
-  if (!out_.insert(node).second) return;
-  whole_ -= limits_[node];
+void DisruptionBudget::mark_unavailable(const std::string& node) {
+  if (!unavailable_.insert(node).second) return;
+  available_limit_ -= concurrency_limits_[node];
   for (Part& part : parts_) {
     if (!part.nodes.contains(node)) continue;
-    part.usage.out += counts(part, node);
-    part.usage.chosen += counts(part, node);
+    part.usage.out += weight_of(part, node);
+    part.usage.chosen += weight_of(part, node);
   }
 }
 
--- /dev/null
+++ b/src/releases/maintenance_grants.cpp
@@ -0,0 +1,72 @@
+#include "releases/maintenance_grants.h"
+
+#include "releases/update_queue.h"
+
+namespace myrtlecroft::releases {
+namespace {
+
+constexpr Nanos kLeaseMargin = 5000 * kMs;  // of a lease, beyond the time limits of its steps
+constexpr double kThousandths = 1000;
+
+}  // namespace
+
+void MaintenanceGrants::propose(const RolloutContext& context, agreement::Decision& out) {
+  blocked_reason_.clear();
+  // A replica that hears only a part of the fleet can't tell what is unavailable.
+  if (context.view.router.registry().view() != routing::View::kClear) {
+    blocked_reason_ = "too few servers report to this instance";
+    return;
+  }
+  DisruptionBudget budget(context.view.router.fleet(), context.all_servers(), context.leased);
+  propose_drains(context, budget, out);
+  if (context.maintenance.under_way()) propose_updates(context, budget, out);
+}
+
+void MaintenanceGrants::propose_drains(const RolloutContext& context, DisruptionBudget& budget,
+                                       agreement::Decision& out) {
+  const fleet::Outings& options = context.view.router.fleet().outings;
+  for (const std::string& node : context.maintenance.drains()) {
+    const routing::ServerStatus* server = context.server(node);
+    if (!server || server->heard_at == 0 || context.leased.contains(node)) continue;
+    Grant grant{.node = node,
+                .why = agreement::WHY_DRAIN,
+                .duration = options.permit_lasts,
+                .reserve = options.reserve};
+    grant_within(budget, grant, context.view.now, out);
+  }
+}
+
+void MaintenanceGrants::propose_updates(const RolloutContext& context, DisruptionBudget& budget,
+                                        agreement::Decision& out) {
+  const agreement::Plan& plan = context.plan;
+  bool is_rollback = context.release.phase() == agreement::PHASE_BACK;
+  Nanos duration = plan.empty_within_ns() + plan.back_within_ns() + plan.warm_within_ns() + kLeaseMargin;
+  for (const std::string& node : servers_to_update(context)) {
+    // What operators want drained is theirs to take out.
+    if (context.maintenance.drains().contains(node)) continue;
+    Grant grant{.node = node,
+                .why = is_rollback ? agreement::WHY_BACK : agreement::WHY_RELEASE,
+                .version = is_rollback ? context.updated.at(node)->from_version() : plan.version(),
+                .duration = duration,
+                .reserve = plan.reserve() / kThousandths};
+    grant_within(budget, grant, context.view.now, out);
+  }
+}
+
+void MaintenanceGrants::grant_within(DisruptionBudget& budget, const Grant& grant, Nanos now,
+                                     agreement::Decision& out) {
+  if (auto error = budget.check(grant.node, grant.reserve)) {
+    if (blocked_reason_.empty()) blocked_reason_ = "server " + grant.node + " waits: " + error->text();
+    return;
+  }
+  budget.mark_unavailable(grant.node);
+  last_granted_ = now;
+  agreement::MaintenanceStep& step = *out.add_trips();
+  step.set_node(grant.node);
+  step.set_input(agreement::TRIP_GRANT);
+  step.set_why(grant.why);
+  step.set_version(grant.version);
+  step.set_for_ns(grant.duration);
+}
+
+}  // namespace myrtlecroft::releases
--- /dev/null
+++ b/src/releases/maintenance_steps.cpp
@@ -0,0 +1,138 @@
+#include "releases/maintenance_steps.h"
+
+#include <string>
+
+namespace myrtlecroft::releases {
+namespace {
+
+using agreement::MaintenanceLease;
+using agreement::MaintenancePhase;
+using routing::ServerStatus;
+
+// One server that holds a lease.
+struct LeasedServer {
+  const RolloutContext& context;
+  const std::string& node;
+  const MaintenanceLease& lease;
+  const ServerStatus* status;  // nullptr: the fleet file doesn't name it any more
+};
+
+struct StepRule {
+  MaintenancePhase phase;
+  bool (*applies)(const LeasedServer&);
+  agreement::MaintenanceInput event;
+  const char* reason;
+};
+
+bool is_other_incarnation(const LeasedServer& server) {
+  return server.status && server.status->heard_at > 0 &&
+         server.status->incarnation != server.lease.incarnation;
+}
+
+// All proxies have applied the snapshot without it, and it reports no request and no shard.
+bool is_drained(const LeasedServer& server) {
+  bool applied = server.lease.shown_in != 0 && server.context.view.applied >= server.lease.shown_in;
+  return applied && server.status && server.status->heard_at > 0 && server.status->report.held == 0 &&
+         server.status->report.running == 0;
+}
+
+// A drain that operators asked for has no time limit.
+bool is_drained_late(const LeasedServer& server) {
+  return server.lease.why != agreement::WHY_DRAIN &&
+         server.context.time_in_phase(server.lease) >= server.context.plan.empty_within_ns();
+}
+
+bool is_to_be_restarted(const LeasedServer& server) {
+  return server.lease.why != agreement::WHY_DRAIN && server.status && server.status->report.obeys;
+}
+
+bool is_back_with_target_version(const LeasedServer& server) {
+  return is_other_incarnation(server) && server.status->version == server.lease.version;
+}
+
+bool is_back_late(const LeasedServer& server) {
+  return server.context.time_in_phase(server.lease) >= server.context.plan.back_within_ns();
+}
+
+bool is_late_and_never_left(const LeasedServer& server) {
+  return is_back_late(server) && server.status && server.status->incarnation == server.lease.incarnation &&
+         !server.status->report.draining &&
+         server.context.view.now - server.status->heard_at <=
+             server.context.view.router.fleet().bounds.lost_after;
+}
+
+bool is_in_full_service(const LeasedServer& server) { return server.status && server.status->whole(); }
+
+// A server that had its order to restart may be about to leave although it still serves: only a report made
+// under the epoch that cancelled the order shows that it stays.
+bool has_acted_on_cancellation(const LeasedServer& server) {
+  return is_in_full_service(server) && server.status->report.epoch.number >= server.lease.recalled;
+}
+
+bool is_in_service_late(const LeasedServer& server) {
+  Nanos limit = server.lease.why == agreement::WHY_DRAIN
+                    ? server.context.view.router.fleet().outings.permit_lasts
+                    : server.context.plan.warm_within_ns();
+  return server.context.time_in_phase(server.lease) >= limit;
+}
+
+// The first rule of a lease's phase that applies gives its event.
+constexpr StepRule kStepRules[] = {
+    {MaintenancePhase::kEmptying, is_other_incarnation, agreement::TRIP_CALL_BACK, ""},
+    {MaintenancePhase::kEmptying, is_drained, agreement::TRIP_EMPTIED, ""},
+    {MaintenancePhase::kEmptying, is_drained_late, agreement::TRIP_CALL_BACK, "not drained in time"},
+
+    {MaintenancePhase::kEmpty, is_other_incarnation, agreement::TRIP_CALL_BACK, ""},
+    {MaintenancePhase::kEmpty, is_to_be_restarted, agreement::TRIP_ORDER, ""},
+
+    {MaintenancePhase::kOrdered, is_back_with_target_version, agreement::TRIP_CAME_BACK, ""},
+    {MaintenancePhase::kOrdered, is_other_incarnation, agreement::TRIP_GIVE_UP, "back in another version"},
+    {MaintenancePhase::kOrdered, is_late_and_never_left, agreement::TRIP_CALL_BACK, "did not restart"},
+    {MaintenancePhase::kOrdered, is_back_late, agreement::TRIP_GIVE_UP, "did not come back"},
+
+    {MaintenancePhase::kWarming, is_in_full_service, agreement::TRIP_WARM, ""},
+    {MaintenancePhase::kWarming, is_in_service_late, agreement::TRIP_GIVE_UP,
+     "slow start not completed in time"},
+
+    {MaintenancePhase::kReturning, is_other_incarnation, agreement::TRIP_CAME_BACK, ""},
+    {MaintenancePhase::kReturning, has_acted_on_cancellation, agreement::TRIP_WARM, ""},
+    {MaintenancePhase::kReturning, is_in_service_late, agreement::TRIP_GIVE_UP,
+     "cancelled, and not in service in time"},
+};
+
+const StepRule* rule_for(const LeasedServer& server) {
+  for (const StepRule& rule : kStepRules) {
+    if (rule.phase == server.lease.place && rule.applies(server)) return &rule;
+  }
+  return nullptr;
+}
+
+// A drain that operators still want keeps its lease, extended once half of it is used up.
+bool needs_extension(const LeasedServer& server, Nanos lease_duration) {
+  bool drained =
+      server.lease.why == agreement::WHY_DRAIN && server.context.maintenance.drains().contains(server.node);
+  return drained && server.lease.until - server.context.view.time < lease_duration / 2;
+}
+
+}  // namespace
+
+void propose_maintenance_steps(const RolloutContext& context, agreement::Decision& out) {
+  Nanos lease_duration = context.view.router.fleet().outings.permit_lasts;
+  for (const auto& [node, lease] : context.maintenance.leases()) {
+    LeasedServer server{.context = context, .node = node, .lease = lease, .status = context.server(node)};
+    agreement::MaintenanceStep step;
+    step.set_node(node);
+    if (const StepRule* rule = rule_for(server)) {
+      step.set_input(rule->event);
+      step.set_reason(rule->reason);
+    } else if (needs_extension(server, lease_duration)) {
+      step.set_input(agreement::TRIP_EXTEND);
+      step.set_for_ns(lease_duration);
+    } else {
+      continue;
+    }
+    *out.add_trips() = step;
+  }
+}
+
+}  // namespace myrtlecroft::releases
--- /dev/null
+++ b/src/releases/maintenance_steps.h
@@ -0,0 +1,14 @@
+// The next step of each server that holds a maintenance lease: drained, restarted, back, in service,
+// cancelled or abandoned. Called by RolloutController for a decision of the leader, on the control loop's
+// thread. Pure function; owns nothing.
+#pragma once
+
+#include "agreement.pb.h"
+#include "releases/rollout_context.h"
+
+namespace myrtlecroft::releases {
+
+// Adds at most one step for each lease to the decision.
+void propose_maintenance_steps(const RolloutContext& context, agreement::Decision& out);
+
+}  // namespace myrtlecroft::releases
--- a/src/releases/rollout_plan.cpp
+++ b/src/releases/rollout_plan.cpp
@@ -10,9 +10,13 @@
 
 using settings::Part;
 
-constexpr std::int64_t kLongest = 86'400'000;  // ms
-constexpr std::int64_t kMaxFirst = 1000;       // servers
+constexpr std::int64_t kMaxDuration = 86'400'000;  // ms
+constexpr std::int64_t kMaxFirstServers = 1000;
+constexpr std::int64_t kMaxFailedServers = 10'000;
+constexpr std::int64_t kMaxMinRequests = 1'000'000;
 constexpr std::size_t kMaxWaves = 50;
+constexpr std::size_t kMaxName = 64;      // bytes
+constexpr std::uint32_t kAllOfIt = 1000;  // thousandths
 
 void read_waves(Part& root, agreement::Plan& out) {
   for (Part& wave : root.list("waves")) {
@@ -26,10 +30,10 @@
     for (std::uint32_t share : {50u, 150u, 400u, 1000u}) out.add_waves(share);
   }
   if (static_cast<std::size_t>(out.waves_size()) > kMaxWaves) root.bad("waves", "are more than 50");
-  if (out.waves(out.waves_size() - 1) != 1000) root.bad("waves", "do not end with a share of 1");
+  if (out.waves(out.waves_size() - 1) != kAllOfIt) root.bad("waves", "do not end with a share of 1");
 }
 
-void set_usual_health(agreement::Plan& out) {
+void set_default_health(agreement::Plan& out) {
   out.set_least_exchanges(20);
   out.set_worse_by(30);
   out.set_good_within(100);
@@ -41,18 +45,18 @@
 }
 
 void read_health(Part& health, agreement::Plan& out) {
-  auto share = [&](const char* name, std::uint32_t usual, double min, double max) {
-    return thousandths(health.number_or(name, usual / 1000.0, min, max));
+  auto share = [&](const char* name, std::uint32_t default_value, double min, double max) {
+    return thousandths(health.number_or(name, default_value / 1000.0, min, max));
   };
-  out.set_least_exchanges(
-      static_cast<std::uint32_t>(health.integer_or("least_exchanges", out.least_exchanges(), 1, 1'000'000)));
+  out.set_least_exchanges(static_cast<std::uint32_t>(
+      health.integer_or("least_exchanges", out.least_exchanges(), 1, kMaxMinRequests)));
   out.set_worse_by(share("worse_by", out.worse_by(), 0, 1));
   out.set_good_within(share("good_within", out.good_within(), 0.001, 1));
   out.set_slower_by(share("slower_by", out.slower_by(), 0, 10));
   out.set_false_halts(share("false_halts", out.false_halts(), 0.001, 0.5));
   out.set_false_goods(share("false_goods", out.false_goods(), 0.001, 0.5));
   out.set_alarm(share("alarm", out.alarm(), 0.01, 1));
-  out.set_alarm_for_ns(health.millis_or("alarm_for_ms", out.alarm_for_ns(), 100, kLongest));
+  out.set_alarm_for_ns(health.millis_or("alarm_for_ms", out.alarm_for_ns(), 100, kMaxDuration));
   for (const std::string& request_class : health.texts("groups")) out.add_groups(request_class);
   if (out.good_within() <= out.worse_by()) health.bad("good_within", "is not above worse_by");
   health.nothing_else();
@@ -61,14 +65,16 @@
 }  // namespace
 
 std::string release_start_command(const agreement::Plan& plan) {
-  std::string told;
-  // Fails for no message that is made of numbers and valid text.
-  if (!google::protobuf::util::MessageToJsonString(plan, &told).ok()) told.clear();
-  return "release start " + told;
+  std::string json;
+  // Can't fail for a message of numbers and valid text.
+  if (!google::protobuf::util::MessageToJsonString(plan, &json).ok()) json.clear();
+  return "release start " + json;
 }
 
-bool parse_release_plan(const std::string& told, agreement::Plan& out) {
-  return google::protobuf::util::JsonStringToMessage(told, &out).ok();
+std::optional<agreement::Plan> parse_release_plan(const std::string& json) {
+  agreement::Plan out;
+  if (!google::protobuf::util::JsonStringToMessage(json, &out).ok()) return std::nullopt;
+  return out;
 }
 
 agreement::Plan read_plan(const std::string& path) {
@@ -77,21 +83,21 @@
   agreement::Plan out;
   root.whole("version", 1, 1);
   out.set_name(root.text("name"));
-  if (out.name().size() > 64) root.bad("name", "is longer than 64 letters");
+  if (out.name().size() > kMaxName) root.bad("name", "is longer than 64 letters");
   out.set_version(static_cast<std::uint32_t>(root.whole("wanted", 0, fencing::kMaxVersion)));
-  out.set_first_nodes(static_cast<std::uint32_t>(root.integer_or("first_nodes", 3, 1, kMaxFirst)));
+  out.set_first_nodes(static_cast<std::uint32_t>(root.integer_or("first_nodes", 3, 1, kMaxFirstServers)));
   read_waves(root, out);
-  Nanos soak = root.millis_or("soak_ms", 60'000 * kMs, 100, kLongest);
+  Nanos soak = root.millis_or("soak_ms", 60'000 * kMs, 100, kMaxDuration);
   out.set_soak_ns(soak);
-  out.set_longest_soak_ns(root.millis_or("longest_soak_ms", 10 * soak, 100, kLongest));
+  out.set_longest_soak_ns(root.millis_or("longest_soak_ms", 10 * soak, 100, kMaxDuration));
   if (out.longest_soak_ns() < soak) root.bad("longest_soak_ms", "is shorter than soak_ms");
-  out.set_empty_within_ns(root.millis_or("empty_within_ms", 15'000 * kMs, 100, kLongest));
-  out.set_back_within_ns(root.millis_or("back_within_ms", 60'000 * kMs, 100, kLongest));
-  out.set_warm_within_ns(root.millis_or("warm_within_ms", 120'000 * kMs, 100, kLongest));
+  out.set_empty_within_ns(root.millis_or("empty_within_ms", 15'000 * kMs, 100, kMaxDuration));
+  out.set_back_within_ns(root.millis_or("back_within_ms", 60'000 * kMs, 100, kMaxDuration));
+  out.set_warm_within_ns(root.millis_or("warm_within_ms", 120'000 * kMs, 100, kMaxDuration));
   out.set_way_back(root.truth_or("way_back", true));
-  out.set_most_failed(static_cast<std::uint32_t>(root.integer_or("most_failed", 0, 0, 10'000)));
+  out.set_most_failed(static_cast<std::uint32_t>(root.integer_or("most_failed", 0, 0, kMaxFailedServers)));
   out.set_reserve(thousandths(root.number_or("reserve", 0.1, 0, 0.9)));
-  set_usual_health(out);
+  set_default_health(out);
   if (auto health = root.part_if("health")) read_health(*health, out);
   root.nothing_else();
   return out;
--- /dev/null
+++ b/src/releases/service_alarms.cpp
@@ -0,0 +1,69 @@
+#include "releases/service_alarms.h"
+
+#include <algorithm>
+#include <cstdio>
+
+namespace myrtlecroft::releases {
+namespace {
+
+constexpr double kMinAnswers = 20;  // of a service's users lately, for their late share to count
+constexpr double kThousandths = 1000;
+
+struct Answers {
+  double all = 0;
+  double in_time = 0;
+};
+
+// Of the users that don't have the new version: a service that slows while a wave goes out is no fault of the
+// version, but no time to go on either.
+Answers answers_of_users(const RolloutContext& context, const fleet::Service& service) {
+  Answers out;
+  bool under_way = context.maintenance.under_way();
+  for (const std::string& node : service.used_by) {
+    const routing::ServerStatus* server = context.server(node);
+    if (!server || !server->in_service() || (under_way && context.has_target_version(*server))) continue;
+    out.all += server->ran.read(context.view.now);
+    out.in_time += server->in_time.read(context.view.now);
+  }
+  return out;
+}
+
+}  // namespace
+
+void ServiceAlarms::release_started() {
+  for (auto& [name, late] : by_service_) late.at_start = late.now;
+}
+
+void ServiceAlarms::phase_started() {
+  for (auto& [name, late] : by_service_) late.above_since = 0;
+}
+
+void ServiceAlarms::measure(const RolloutContext& context) {
+  for (const fleet::Service& service : context.view.router.fleet().services) {
+    Answers answers = answers_of_users(context, service);
+    LateShare& late = by_service_[service.name];
+    late.now =
+        answers.all < kMinAnswers ? late.at_start : std::clamp(1 - answers.in_time / answers.all, 0.0, 1.0);
+    if (!context.maintenance.under_way()) {
+      late.at_start = late.now;
+      late.above_since = 0;
+    } else if (late.now <= late.at_start + context.plan.alarm() / kThousandths) {
+      late.above_since = 0;
+    } else if (late.above_since == 0) {
+      late.above_since = context.view.now;
+    }
+  }
+}
+
+std::optional<std::string> ServiceAlarms::raised(const RolloutContext& context) const {
+  for (const auto& [name, late] : by_service_) {
+    if (late.above_since == 0 || context.view.now - late.above_since < context.plan.alarm_for_ns()) continue;
+    char line[200];
+    std::snprintf(line, sizeof line, "service %s: %.0f%% of its users' answers late, %.0f%% at the start",
+                  name.c_str(), 100 * late.now, 100 * late.at_start);
+    return line;
+  }
+  return std::nullopt;
+}
+
+}  // namespace myrtlecroft::releases
