--- /dev/null
+++ b/tests/admission_window_test.cpp
@@ -0,0 +1,70 @@
+// What the window over queue positions admits, and how it grows and is cut.
+#include <gtest/gtest.h>
+
+#include "controller_harness.h"
+
+namespace myrtlecroft {
+namespace {
+
+// A server whose window alone decides: latency objectives far away, so that the room never binds.
+ServiceConfig window_only() {
+  ServiceConfig config = two_core_config();
+  for (RequestClass& request_class : config.request_classes)
+    request_class.latency_objective = request_class.client_timeout = 3600 * kSecond;
+  return config;
+}
+
+TEST(AdmissionWindowTest, RejectsBeyondFourTimesTheCoresAndStartsInArrivalOrder) {
+  ControllerHarness server(window_only());
+  server.receive_many(2 + 8);
+  EXPECT_EQ(server.count("run"), 2);
+  EXPECT_EQ(server.count("reject"), 0);
+  EXPECT_EQ(server.last_action(server.receive()), "reject");
+  server.complete(server.requests[0]);
+  EXPECT_EQ(server.last_action(server.requests[2]), "run");
+  EXPECT_EQ(server.last_action(server.requests[3]), "");
+}
+
+TEST(AdmissionWindowTest, GrowsByOneEachTenthTimelyAnswer) {
+  ControllerHarness server(window_only());
+  server.serve(10);
+  server.receive_many(2 + 9);
+  EXPECT_EQ(server.count("reject"), 0);
+  EXPECT_EQ(server.last_action(server.receive()), "reject");
+}
+
+TEST(AdmissionWindowTest, FailedAndLateAnswersAreNotCountedAsTimely) {
+  ControllerHarness server(window_only());
+  server.serve(9);
+  Request& failed = server.receive();
+  server.advance(100 * kMs);
+  server.complete(failed, Outcome::kFailed);
+  Request& abandoned = server.receive(
+      kReadClass, [&](Request& request) { request.client_deadline = server.now + 5 * kSecond; });
+  server.advance(5 * kSecond);
+  EXPECT_EQ(server.last_action(abandoned), "fail");
+  server.complete(abandoned);
+  server.serve(9);
+  server.receive_many(2 + 2);  // the late answer had position 1: the window is at its floor
+  EXPECT_EQ(server.count("reject"), 0);
+  EXPECT_EQ(server.last_action(server.receive()), "reject");
+}
+
+TEST(AdmissionWindowTest, RequestAtTheFrontIsRejectedOnceACutLeftItFarBeyond) {
+  ServiceConfig config = window_only();
+  config.cores = 4;
+  ControllerHarness server(config);
+  server.receive_many(20);
+  server.requests[4].deadline = server.now + kSecond;
+  Request& last = server.requests.back();
+  EXPECT_EQ(last.position, 16);
+  server.complete(server.requests[0]);
+  server.advance(kSecond);
+  EXPECT_EQ(server.last_action(server.requests[4]), "fail");  // a cut to the floor of 4
+  for (Request& request : server.requests) server.complete(request);
+  EXPECT_EQ(server.last_action(last), "reject");
+  EXPECT_EQ(server.last_action(server.requests[12]), "run");
+}
+
+}  // namespace
+}  // namespace myrtlecroft
--- /dev/null
+++ b/tests/concurrency_limit_test.cpp
@@ -0,0 +1,31 @@
+// How many requests run at once.
+#include <gtest/gtest.h>
+
+#include "controller_harness.h"
+
+namespace myrtlecroft {
+namespace {
+
+// A server whose window alone decides: latency objectives far away, so that the room never binds.
+ServiceConfig window_only() {
+  ServiceConfig config = two_core_config();
+  for (RequestClass& request_class : config.request_classes)
+    request_class.latency_objective = request_class.client_timeout = 3600 * kSecond;
+  return config;
+}
+
+TEST(ConcurrencyLimitTest, LimitGrowsWhileCoresIdleUpToWhatAServerThatWarmsUpSurvives) {
+  ServiceConfig config = window_only();
+  config.warming_up = true;
+  config.warm_up_initial_speed = 0.5;
+  config.max_running_per_core = 4;
+  config.warm_up_time = 100 * kSecond;
+  ControllerHarness server(config);
+  server.receive_many(10);
+  server.advance(kSecond, 0.5);
+  // 0.7 x 2 x (1 + 3 x a little over 0.5) is 3.5
+  EXPECT_EQ(server.count("run"), 3);
+}
+
+}  // namespace
+}  // namespace myrtlecroft
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -73,7 +73,8 @@
 // A control service in a thread of its own.
 class RunningControl {
  public:
-  explicit RunningControl(ControlOptions options) : thread_([this, options = std::move(options)] { run(options); }) {
+  explicit RunningControl(ControlOptions options)
+      : thread_([this, options = std::move(options)] { run(options); }) {
     ready_.get_future().get();
   }
   ~RunningControl() {
--- a/tests/control_size_test.cpp
+++ b/tests/control_size_test.cpp
@@ -78,9 +78,9 @@
     std::ofstream(folder.file("fleet.conf")) << fleet;
     std::filesystem::create_directory(folder.file("log"));
     ControlOptions options{.fleet_path = folder.file("fleet.conf"),
-                    .state_folder = "",
-                    .first_start = true,
-                    .addresses = {"127.0.0.1:0", loopback(0), loopback(0)}};
+                           .state_folder = "",
+                           .first_start = true,
+                           .addresses = {"127.0.0.1:0", loopback(0), loopback(0)}};
     options.agreement.id = 1;
     options.agreement.address = "127.0.0.1:" + std::to_string(any_port());
     options.agreement.folder = folder.file("log");
--- /dev/null
+++ b/tests/dependency_budget_test.cpp
@@ -0,0 +1,176 @@
+// When calls to the shared dependency go out, are skipped, repeated and abandoned.
+#include <gtest/gtest.h>
+
+#include "controller_harness.h"
+
+namespace myrtlecroft {
+namespace {
+
+// A server whose window alone decides: latency objectives far away, so that the room never binds.
+ServiceConfig window_only() {
+  ServiceConfig config = two_core_config();
+  for (RequestClass& request_class : config.request_classes)
+    request_class.latency_objective = request_class.client_timeout = 3600 * kSecond;
+  return config;
+}
+
+// A server with another share of the dependency.
+ServiceConfig sharing(double dependency_share, ServiceConfig config = two_core_config()) {
+  config.dependency_share = dependency_share;
+  return config;
+}
+
+TEST(DependencyBudgetTest, CallsStayWithinTheShareAndAbandonedOnesStillCount) {
+  ControllerHarness server;
+  Request& first = server.receive(kCallerClass);
+  Request& second = server.receive(kCallerClass);
+  server.controller.call_needed(first, server.now);
+  server.controller.call_needed(second, server.now);
+  EXPECT_EQ(server.count("call"), 1);
+  Request& third = server.receive();
+  EXPECT_EQ(server.last_action(third), "run") << "a waiting call does not count as running";
+  server.controller.call_ended(first, Outcome::kOk, 50 * kMs, server.now);
+  server.advance(200 * kMs);
+  EXPECT_EQ(server.count("call"), 2);
+}
+
+TEST(DependencyBudgetTest, LostCallOfAKeyedRequestIsNotRepeated) {
+  ControllerHarness server;
+  Request& request = server.receive(kCallerClass);
+  server.controller.call_needed(request, server.now);
+  server.controller.call_ended(request, Outcome::kReset, 10 * kMs, server.now);
+  EXPECT_EQ(server.count("call"), 1);
+  EXPECT_EQ(server.last_action(request), "fail");
+}
+
+TEST(DependencyBudgetTest, CallThatNeverRanIsRepeated) {
+  ControllerHarness server;
+  Request& request = server.receive(kCallerClass);
+  server.controller.call_needed(request, server.now);
+  server.controller.call_ended(request, Outcome::kUnreachable, 10 * kMs, server.now);
+  server.advance(500 * kMs);
+  EXPECT_EQ(server.count("call"), 2);
+}
+
+TEST(DependencyBudgetTest, OvertakenCallIsRepeatedAndTellsNothingOfOthers) {
+  ControllerHarness server(sharing(20));
+  server.serve_calls(10, 25 * kMs);
+  Request& stuck = server.receive(kSkipperClass);
+  server.controller.call_needed(stuck, server.now);
+  server.serve_calls(12, 25 * kMs);
+  EXPECT_EQ(server.count("abandon call"), 1);
+  EXPECT_EQ(server.last_action(stuck), "call");
+  Request& next = server.receive(kSkipperClass);
+  server.controller.call_needed(next, server.now);
+  EXPECT_EQ(server.last_action(next), "call");
+}
+
+TEST(DependencyBudgetTest, LostCallOfAnIdempotentRequestIsRepeatedOnce) {
+  ControllerHarness server;
+  Request& request = server.receive(kSkipperClass);
+  server.controller.call_needed(request, server.now);
+  server.controller.call_ended(request, Outcome::kReset, 10 * kMs, server.now);
+  EXPECT_EQ(server.last_action(request), "call");
+  server.controller.call_ended(request, Outcome::kReset, 10 * kMs, server.now);
+  EXPECT_EQ(server.last_action(request), "skip call");
+}
+
+TEST(DependencyBudgetTest, RequestWithoutASlotDoesNotKeepOthersFromIdleCores) {
+  ControllerHarness server(sharing(1, window_only()));
+  server.serve_calls(10, 25 * kMs);
+  server.serve_calls(10, kSecond);
+  for (int i = 0; i < 5; ++i) server.controller.call_needed(server.receive(kCallerClass), server.now);
+  server.receive_many(2);
+  Request& running = server.requests.back();
+  Request& caller = server.receive(kCallerClass, [](Request& request) { request.arrived -= kMs; });
+  Request& read = server.receive();
+  EXPECT_EQ(server.last_action(read), "");
+  server.complete(running);
+  EXPECT_EQ(server.last_action(caller), "reject");
+  EXPECT_EQ(server.last_action(read), "run");
+}
+
+TEST(DependencyBudgetTest, RequestThatWaitsPastItsObjectiveForASlowDependencyFreesItsSlot) {
+  ControllerHarness server(sharing(1));
+  server.serve_calls(10, 25 * kMs);
+  server.serve_calls(3, kSecond);
+  Request& called = server.receive(kCallerClass);
+  Request& waiting = server.receive(kCallerClass);
+  server.controller.call_needed(called, server.now);
+  server.controller.call_needed(waiting, server.now);
+  server.advance(2 * kSecond + 100 * kMs);
+  EXPECT_EQ(server.last_action(waiting), "fail");
+}
+
+TEST(DependencyBudgetTest, SlowDependencyIsSkippedWhereTheAnswerKeepsValueWithoutIt) {
+  ControllerHarness server;
+  Request& caller = server.receive(kCallerClass);
+  server.controller.call_needed(caller, server.now);
+  Request& skipper = server.receive(kSkipperClass);
+  server.controller.call_needed(skipper, server.now);
+  server.advance(2 * kSecond);
+  server.controller.call_ended(skipper, Outcome::kTimedOut, kSecond, server.now);
+  EXPECT_EQ(server.last_action(skipper), "skip call");
+}
+
+TEST(DependencyBudgetTest, CallTakesNoLongerThanASmallShareAllows) {
+  ControllerHarness server(sharing(0.4));
+  server.controller.call_needed(server.receive(kSkipperClass), server.now);
+  EXPECT_EQ(server.count("call"), 1);
+  EXPECT_LE(server.longest_call, 1 * kSecond) << "0.4 calls over 5 s are 2 s of calls, for all that is begun";
+  EXPECT_GE(server.longest_call, 300 * kMs);
+}
+
+TEST(DependencyBudgetTest, WithoutAnyShareRequestsThatRequireACallAreRejectedAndOthersSkipIt) {
+  ControllerHarness server(sharing(0));
+  EXPECT_EQ(server.last_action(server.receive(kCallerClass)), "reject");
+  Request& skipper = server.receive(kSkipperClass);
+  server.controller.call_needed(skipper, server.now);
+  EXPECT_EQ(server.last_action(skipper), "skip call");
+}
+
+TEST(DependencyBudgetTest, TinyShareStillAllowsQuickCalls) {
+  ControllerHarness server(sharing(0.02));
+  for (int i = 0; i < 3; ++i) {
+    Request& request = server.receive(kCallerClass);
+    server.controller.call_needed(request, server.now);
+    EXPECT_EQ(server.last_action(request), "call");
+    server.controller.call_ended(request, Outcome::kOk, 5 * kMs, server.now);
+    server.complete(request);
+    server.advance(5 * kSecond);
+  }
+}
+
+TEST(DependencyBudgetTest, CallsGoOutAgainAfterSomeWereAbandoned) {
+  ControllerHarness server(sharing(0.4));
+  for (int i = 0; i < 3; ++i) {
+    Request& lost = server.receive(kSkipperClass);
+    server.controller.call_needed(lost, server.now);
+    server.advance(800 * kMs);
+    server.controller.call_ended(lost, Outcome::kTimedOut, 800 * kMs, server.now);
+    server.complete(lost);
+  }
+  int before = server.count("call");
+  server.advance(30 * kSecond);
+  server.controller.call_needed(server.receive(kCallerClass), server.now);
+  server.advance(100 * kMs);
+  EXPECT_EQ(server.count("call"), before + 1);
+}
+
+TEST(DependencyBudgetTest, SlowCallTimeIsNotForgottenWhileNoCallIsMade) {
+  ControllerHarness server(sharing(0.4));
+  server.serve_calls(20, 25 * kMs);
+  server.serve_calls(4, 400 * kMs);
+  server.advance(10 * kSecond);
+  Request& first = server.receive(kCallerClass);
+  server.controller.call_needed(first, server.now);
+  server.controller.call_needed(server.receive(kCallerClass), server.now);
+  int before = server.count("call");
+  server.advance(400 * kMs);
+  server.controller.call_ended(first, Outcome::kOk, 400 * kMs, server.now);
+  server.advance(400 * kMs);
+  EXPECT_EQ(server.count("call"), before) << "the rate follows the slow calls, not a first guess";
+}
+
+}  // namespace
+}  // namespace myrtlecroft
--- /dev/null
+++ b/tests/memory_budget_test.cpp
@@ -0,0 +1,38 @@
+// What is rejected or not retained because memory is short.
+#include <gtest/gtest.h>
+
+#include "controller_harness.h"
+
+namespace myrtlecroft {
+namespace {
+
+TEST(MemoryBudgetTest, KeyedRequestWithoutMemoryForItsKeyIsRejectedBeforeItRuns) {
+  ServiceConfig config = two_core_config();
+  config.key_kb = 60'000;
+  ControllerHarness server(config);
+  EXPECT_EQ(server.last_action(server.receive(kWriteClass)), "run");
+  EXPECT_EQ(server.last_action(server.receive(kWriteClass)), "reject");
+}
+
+TEST(MemoryBudgetTest, NothingStartsBeyondTheMemory) {
+  ServiceConfig config = two_core_config();
+  config.memory_kb = 100;
+  ControllerHarness server(config);
+  server.receive_many(2);
+  EXPECT_EQ(server.count("run"), 2);
+  EXPECT_EQ(server.last_action(server.receive()), "reject");
+}
+
+TEST(MemoryBudgetTest, ReadsThatShareAnswersRetainKeysOnlyWhileMemoryIsToSpare) {
+  ServiceConfig config = two_core_config();
+  config.answer_sharing_window = 2 * kSecond;
+  config.key_kb = 30'000;
+  ControllerHarness server(config);
+  for (int i = 0; i < 4; ++i)
+    server.receive(kReadClass, [](Request& request) { request.has_subject = true; });
+  EXPECT_EQ(server.count("retain key"), 2);
+  EXPECT_EQ(server.count("reject"), 0);
+}
+
+}  // namespace
+}  // namespace myrtlecroft
--- a/tests/slow_peers_test.cpp
+++ b/tests/slow_peers_test.cpp
@@ -58,7 +58,7 @@
     }
     return 200;
   }
-  std::uint64_t completed(Group request_class) const {
+  std::uint64_t completed(RequestClassIndex request_class) const {
     return world.service.counts()[static_cast<std::size_t>(request_class)].completed;
   }
   const std::string large = std::string(4'000, 'r');
