--- a/measure/measure_store.cpp
+++ b/measure/measure_store.cpp
@@ -159,7 +159,7 @@
     std::string record;
     append_record(
         record, {.sequence = done + 1, .window = kLong, .key = "key" + std::to_string(done), .value = value},
-        0, 0);
+        {});
     if (::write(file, record.data(), record.size()) < 0 || ::fdatasync(file) != 0) return -1;
   }
   ::close(file);
@@ -172,7 +172,7 @@
                    .window = kLong,
                    .key = "key" + std::to_string(i),
                    .value = std::string(1'000, 'v')},
-                  0, 0);
+                  {});
     if (chunk.size() > (std::size_t{1} << 22) || i + 1 == 1'000'000) {
       if (::write(file, chunk.data(), chunk.size()) < 0) return -1;
       chunk.clear();
@@ -184,14 +184,14 @@
   std::unordered_map<std::string, std::string> known;
   std::string bytes_read;
   std::vector<char> buffer(std::size_t{1} << 20);
-  Record record;
   while (in.read(buffer.data(), static_cast<std::streamsize>(buffer.size())), in.gcount() > 0) {
     bytes_read.append(buffer.data(), static_cast<std::size_t>(in.gcount()));
     std::size_t at = 0;
-    std::size_t size = 0;
-    while (read_record(std::string_view(bytes_read).substr(at), 0, 0, record, size) == Found::kRecord) {
-      known[record.key] = record.value;
-      at += size;
+    for (;;) {
+      ParsedRecord parsed = read_record(std::string_view(bytes_read).substr(at), {});
+      if (parsed.status != ParseStatus::kRecord) break;
+      known[parsed.record.key] = parsed.record.value;
+      at += parsed.size;
     }
     bytes_read.erase(0, at);
   }
--- a/src/recovery/durable_runs.cpp
+++ b/src/recovery/durable_runs.cpp
@@ -32,10 +32,11 @@
         wake_(loop.base(), [this] { committer_->deliver_completions(); }) {
     Nanos begun = loop.now();
     store::RecoveryStats found = store_.open();
-    log.line("store open in " + std::to_string((loop.now() - begun) / kMs) + " ms: " +
-             std::to_string(found.live_records) + " records known, " + std::to_string(found.segments) +
-             " segments, " + std::to_string(found.segments_from_hints) + " by hints, " +
-             std::to_string(found.bytes) + " bytes, " + std::to_string(found.skipped_bytes) + " passed over");
+    log.line("store opened in " + std::to_string((loop.now() - begun) / kMs) +
+             " ms: " + std::to_string(found.live_records) + " live records in " +
+             std::to_string(found.segments) + " segments, " + std::to_string(found.segments_from_hints) +
+             " of them by hints, " + std::to_string(found.bytes) + " bytes, " +
+             std::to_string(found.skipped_bytes) + " skipped");
   }
 
   void serve(service::Service& service) override {
@@ -44,7 +45,7 @@
       if (record.key == kOrderKey) order_ = record.value;
       std::size_t cut = record.key.find(kBetween);
       if (cut == std::string::npos) return;
-      Nanos left = record.window - (store_.now() - record.at);
+      Nanos left = record.window - (store_.now() - record.written_at);
       if (!records_.recovered(record.key, record.value, record.window)) {
         log_.line(
             "store: a record that makes no sense to this version; its exchange is taken for one that may "
@@ -113,11 +114,11 @@
     }
     store::DiskHealth health = committer_->health();
     if (health == health_) return;
-    store::GroupCommitter::Counts counts = committer_->counts();
-    log_.line(std::string("store: ") + store::name_of(health_) + " -> " + store::name_of(health) +
-              "; commits " + std::to_string(counts.commits) + ", failed " + std::to_string(counts.failed) +
-              ", longest " + std::to_string(counts.longest / kMs) + " ms, known " +
-              std::to_string(records_.size()));
+    store::GroupCommitter::Stats counts = committer_->take_stats();
+    log_.line(std::string("store disk ") + store::name_of(health_) + " -> " + store::name_of(health) + ": " +
+              std::to_string(counts.commits) + " commits, " + std::to_string(counts.failed) +
+              " failed, longest " + std::to_string(counts.longest_commit / kMs) + " ms, " +
+              std::to_string(records_.size()) + " keys known");
     health_ = health;
   }
 
--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -1,5 +1,5 @@
-// What the store sees of a disk: one folder of files that only grow. src/store/file_disk implements it on a
-// file system, tests by a fake that loses, reorders and fails.
+// The file operations the store needs: one folder of append-only files. FileDisk implements them on a file
+// system, FakeDisk (tests) on memory with losses and faults. Called by the store's one thread.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace myrtlecroft::store {
 
-// `code` is an errno.
+// A failed file operation; `code` is its errno.
 struct DiskError : std::runtime_error {
   DiskError(const std::string& what, int code_) : std::runtime_error(what), code(code_) {}
   int code;
 };
 
-// A file that is written. What was appended is on the disk after sync() has returned, and not before; where
-// either has thrown, nothing is known of what was appended since the last sync.
+// A file open for appending. Appended bytes are durable once sync() has returned; after either call has
+// thrown DiskError it is unknown which of the bytes since the last sync are on the disk.
 class File {
  public:
   virtual ~File() = default;
@@ -26,20 +26,25 @@
   virtual void sync() = 0;
 };
 
+// One folder. Every call may throw DiskError.
 class Disk {
  public:
   virtual ~Disk() = default;
-  // False: another process has the folder.
-  virtual bool lock() = 0;
+  // Takes the folder's exclusive lock for the life of this object; false while another process has it.
+  virtual bool try_lock() = 0;
+  // The names of all files, sorted.
   virtual std::vector<std::string> list() = 0;
-  // A new, empty file; one of that name is replaced.
+  // Opens a new, empty file, which replaces one of the same name.
   virtual std::unique_ptr<File> create(const std::string& name) = 0;
+  // In bytes.
   virtual std::uint64_t size(const std::string& name) = 0;
-  // As many bytes as there are, `most` at most.
+  // Up to `max` bytes from `offset`; fewer at the end of the file.
   virtual std::string read(const std::string& name, std::uint64_t offset, std::size_t max) = 0;
+  // Replaces a file named `to`.
   virtual void rename(const std::string& from, const std::string& to) = 0;
+  // Does nothing where there is no such file.
   virtual void remove(const std::string& name) = 0;
-  // Makes creations, renames and removals last.
+  // Makes creations, renames and removals so far durable.
   virtual void sync_folder() = 0;
 };
 
--- a/src/store/file_disk.cpp
+++ b/src/store/file_disk.cpp
@@ -14,25 +14,25 @@
 namespace myrtlecroft::store {
 namespace {
 
-[[noreturn]] void fail(const std::string& what) {
+[[noreturn]] void throw_disk_error(const std::string& what) {
   int code = errno;
   throw DiskError(what + ": " + std::strerror(code), code);
 }
 
-class GrowingFile final : public File {
+class AppendFile final : public File {
  public:
-  GrowingFile(std::string path, int file) : path_(std::move(path)), file_(file) {}
-  ~GrowingFile() override { ::close(file_); }
+  AppendFile(std::string path, int file) : path_(std::move(path)), file_(file) {}
+  ~AppendFile() override { ::close(file_); }
   void append(std::string_view bytes) override {
     while (!bytes.empty()) {
-      ssize_t wrote = ::write(file_, bytes.data(), bytes.size());
-      if (wrote < 0 && errno == EINTR) continue;
-      if (wrote < 0) fail(path_);
-      bytes.remove_prefix(static_cast<std::size_t>(wrote));
+      ssize_t written = ::write(file_, bytes.data(), bytes.size());
+      if (written < 0 && errno == EINTR) continue;
+      if (written < 0) throw_disk_error(path_);
+      bytes.remove_prefix(static_cast<std::size_t>(written));
     }
   }
   void sync() override {
-    if (::fdatasync(file_) != 0) fail(path_);
+    if (::fdatasync(file_) != 0) throw_disk_error(path_);
   }
 
  private:
@@ -43,10 +43,10 @@
 }  // namespace
 
 FileDisk::FileDisk(std::string folder) : folder_(std::move(folder)) {
-  if (::mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) fail(folder_);
-  struct stat what {};
-  if (::stat(folder_.c_str(), &what) != 0) fail(folder_);
-  if (!S_ISDIR(what.st_mode)) throw DiskError(folder_ + ": no folder", ENOTDIR);
+  if (::mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) throw_disk_error(folder_);
+  struct stat status {};
+  if (::stat(folder_.c_str(), &status) != 0) throw_disk_error(folder_);
+  if (!S_ISDIR(status.st_mode)) throw DiskError(folder_ + ": not a folder", ENOTDIR);
 }
 
 FileDisk::~FileDisk() {
@@ -54,18 +54,18 @@
   if (reader_ >= 0) ::close(reader_);
 }
 
-bool FileDisk::lock() {
+bool FileDisk::try_lock() {
   lock_ = ::open(path("LOCK").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) fail(path("LOCK"));
+  if (lock_ < 0) throw_disk_error(path("LOCK"));
   if (::flock(lock_, LOCK_EX | LOCK_NB) == 0) return true;
-  if (errno != EWOULDBLOCK) fail(path("LOCK"));
+  if (errno != EWOULDBLOCK) throw_disk_error(path("LOCK"));
   ::close(std::exchange(lock_, -1));
   return false;
 }
 
 std::vector<std::string> FileDisk::list() {
   DIR* folder = ::opendir(folder_.c_str());
-  if (!folder) fail(folder_);
+  if (!folder) throw_disk_error(folder_);
   std::vector<std::string> names;
   while (dirent* entry = ::readdir(folder)) {
     std::string name = entry->d_name;
@@ -78,14 +78,14 @@
 
 std::unique_ptr<File> FileDisk::create(const std::string& name) {
   int file = ::open(path(name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
-  if (file < 0) fail(path(name));
-  return std::make_unique<GrowingFile>(path(name), file);
+  if (file < 0) throw_disk_error(path(name));
+  return std::make_unique<AppendFile>(path(name), file);
 }
 
 std::uint64_t FileDisk::size(const std::string& name) {
-  struct stat what {};
-  if (::stat(path(name).c_str(), &what) != 0) fail(path(name));
-  return static_cast<std::uint64_t>(what.st_size);
+  struct stat status {};
+  if (::stat(path(name).c_str(), &status) != 0) throw_disk_error(path(name));
+  return static_cast<std::uint64_t>(status.st_size);
 }
 
 std::string FileDisk::read(const std::string& name, std::uint64_t offset, std::size_t max) {
@@ -93,39 +93,40 @@
     if (reader_ >= 0) ::close(std::exchange(reader_, -1));
     reading_.clear();
     reader_ = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
-    if (reader_ < 0) fail(path(name));
+    if (reader_ < 0) throw_disk_error(path(name));
     reading_ = name;
   }
   std::string out(max, '\0');
-  std::size_t got = 0;
-  while (got < max) {
-    ssize_t more = ::pread(reader_, out.data() + got, max - got, static_cast<off_t>(offset + got));
-    if (more < 0 && errno == EINTR) continue;
-    if (more < 0) fail(path(name));
-    if (more == 0) break;
-    got += static_cast<std::size_t>(more);
+  std::size_t received = 0;
+  while (received < max) {
+    ssize_t count =
+        ::pread(reader_, out.data() + received, max - received, static_cast<off_t>(offset + received));
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) throw_disk_error(path(name));
+    if (count == 0) break;
+    received += static_cast<std::size_t>(count);
   }
-  out.resize(got);
+  out.resize(received);
   return out;
 }
 
 void FileDisk::rename(const std::string& from, const std::string& to) {
-  if (::rename(path(from).c_str(), path(to).c_str()) != 0) fail(path(to));
+  if (::rename(path(from).c_str(), path(to).c_str()) != 0) throw_disk_error(path(to));
   if (reading_ == to || reading_ == from) reading_.clear();
 }
 
 void FileDisk::remove(const std::string& name) {
-  if (::unlink(path(name).c_str()) != 0 && errno != ENOENT) fail(path(name));
+  if (::unlink(path(name).c_str()) != 0 && errno != ENOENT) throw_disk_error(path(name));
   if (reading_ == name) reading_.clear();
 }
 
 void FileDisk::sync_folder() {
   int folder = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (folder < 0) fail(folder_);
-  int failed = ::fsync(folder);
+  if (folder < 0) throw_disk_error(folder_);
+  int result = ::fsync(folder);
   int code = errno;
   ::close(folder);
-  if (failed != 0) throw DiskError(folder_ + ": " + std::strerror(code), code);
+  if (result != 0) throw DiskError(folder_ + ": " + std::strerror(code), code);
 }
 
 }  // namespace myrtlecroft::store
--- a/src/store/file_disk.h
+++ b/src/store/file_disk.h
@@ -1,4 +1,4 @@
-// A folder of a file system as a Disk.
+// A folder of a file system as a Disk. Used by the store's thread, and by the store's tool.
 #pragma once
 
 #include "store/disk.h"
@@ -7,13 +7,13 @@
 
 class FileDisk final : public Disk {
  public:
-  // Makes the folder where it is missing. Throws DiskError.
+  // Creates the folder where it is missing. Throws DiskError.
   explicit FileDisk(std::string folder);
   ~FileDisk() override;
   FileDisk(const FileDisk&) = delete;
   FileDisk& operator=(const FileDisk&) = delete;
 
-  bool lock() override;
+  bool try_lock() override;
   std::vector<std::string> list() override;
   std::unique_ptr<File> create(const std::string& name) override;
   std::uint64_t size(const std::string& name) override;
@@ -24,6 +24,7 @@
 
  private:
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
+
   std::string folder_;
   int lock_ = -1;
   // The file read last stays open: recovery and compaction read one from end to end.
--- a/src/store/group_committer.cpp
+++ b/src/store/group_committer.cpp
@@ -7,158 +7,177 @@
 namespace myrtlecroft::store {
 namespace {
 
-constexpr auto kIdle = std::chrono::milliseconds(50);          // between looks for what is over
-constexpr auto kBetweenSlices = std::chrono::milliseconds(1);  // the disk is free for commits meanwhile
-constexpr const char* kTrialKey = "\x01trial";
+constexpr auto kIdleWait = std::chrono::milliseconds(50);  // between looks for what compaction could do
+constexpr auto kSliceWait = std::chrono::milliseconds(1);  // between its slices: the disk is free meanwhile
+constexpr const char* kProbeKey = "\x01trial";             // stored
+constexpr Nanos kProbeWindow = kSecond;
 
 }  // namespace
 
 const char* name_of(DiskHealth health) {
-  constexpr const char* kNames[] = {"well", "slow", "sick"};
+  constexpr const char* kNames[] = {"healthy", "slow", "failed"};
   return kNames[static_cast<std::size_t>(health)];
 }
 
 GroupCommitter::GroupCommitter(Store& store, const CommitterOptions& options, std::function<Nanos()> clock,
                                std::function<void()> wake)
     : store_(store), options_(options), clock_(std::move(clock)), wake_(std::move(wake)), thread_([this] {
-        work();
+        run();
       }) {}
 
 GroupCommitter::~GroupCommitter() {
   {
     std::lock_guard lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
-  more_.notify_one();
+  changed_.notify_one();
   thread_.join();
 }
 
 DiskHealth GroupCommitter::health() const {
-  if (sick_) return DiskHealth::kFailed;
-  Nanos since = since_;
-  return since && clock_() - since > options_.slow_after ? DiskHealth::kSlow : DiskHealth::kHealthy;
+  if (failed_) return DiskHealth::kFailed;
+  Nanos began = commit_began_;
+  return began && clock_() - began > options_.slow_after ? DiskHealth::kSlow : DiskHealth::kHealthy;
 }
 
-void GroupCommitter::put(std::string key, std::string value, Nanos window, Done done) {
-  bool wake = false;
+void GroupCommitter::put(std::string key, std::string value, Nanos window, Completion completion) {
+  bool accepted = key.size() <= kMaxKeyBytes && value.size() <= kMaxValueBytes;
   {
     std::lock_guard lock(mutex_);
-    bool bounded = key.size() <= kLongestKey && value.size() <= kLongestValue;
-    if (!bounded || sick_ || asked_.size() >= options_.max_waiting) {
-      told_.push_back({std::move(done), false});
-      wake = true;
+    accepted = accepted && !failed_ && requests_.size() < options_.max_queued_records;
+    if (accepted) {
+      requests_.push_back({.key = std::move(key),
+                           .value = std::move(value),
+                           .window = window,
+                           .completion = std::move(completion)});
     } else {
-      asked_.push_back({std::move(key), std::move(value), window, false, std::move(done)});
+      results_.push_back({.completion = std::move(completion), .durable = false});
     }
   }
-  if (wake) return wake_();
-  more_.notify_one();
+  if (!accepted) return wake_();
+  changed_.notify_one();
 }
 
 void GroupCommitter::erase(std::string key) {
   {
     std::lock_guard lock(mutex_);
-    if (sick_ || asked_.size() >= options_.max_waiting) return;
-    asked_.push_back({std::move(key), {}, 0, true, {}});
+    if (failed_ || requests_.size() >= options_.max_queued_records) return;
+    requests_.push_back({.key = std::move(key), .value = {}, .erases = true, .completion = {}});
   }
-  more_.notify_one();
+  changed_.notify_one();
 }
 
 void GroupCommitter::deliver_completions() {
-  std::vector<Told> told;
+  std::vector<Result> results;
   {
     std::lock_guard lock(mutex_);
-    told.swap(told_);
+    results.swap(results_);
   }
-  for (Told& one : told) {
-    if (one.done) one.done(one.durable);
+  for (Result& result : results) {
+    if (result.completion) result.completion(result.durable);
   }
 }
 
-GroupCommitter::Counts GroupCommitter::counts() {
+GroupCommitter::Stats GroupCommitter::take_stats() {
   std::lock_guard lock(mutex_);
-  Counts out = counts_;
-  counts_.longest = 0;
-  return out;
+  Stats stats = stats_;
+  stats_.longest_commit = 0;
+  return stats;
 }
 
-void GroupCommitter::work() {
+// ---- On the committer's thread
+
+void GroupCommitter::run() {
   bool compacting = false;
-  for (;;) {
-    std::vector<Ask> asks;
-    {
-      std::unique_lock lock(mutex_);
-      more_.wait_for(lock, compacting ? kBetweenSlices : kIdle, [&] { return ending_ || !asked_.empty(); });
-      asks.swap(asked_);
-      if (ending_ && asks.empty()) return;
-    }
-    if (!asks.empty()) {
-      bool durable = !sick_ && commit(asks);
-      {
-        std::lock_guard lock(mutex_);
-        for (Ask& ask : asks) told_.push_back({std::move(ask.done), durable});
-      }
-      wake_();
-    }
-    if (sick_) {
+  std::vector<Request> requests;
+  while (wait_for_requests(requests, compacting)) {
+    if (!requests.empty()) commit_requests(requests);
+    if (failed_) {
       compacting = false;
-      try_again();
-      continue;
+      probe_disk();
+    } else {
+      compacting = compact();
     }
-    try {
-      compacting = store_.compact_slice();
-      if (compacting) store_.commit();
-    } catch (const DiskError&) {
-      sick_ = true;
-      compacting = false;
+  }
+}
+
+// Waits for requests, or for the time of the next slice of compaction. False: it is time to stop.
+bool GroupCommitter::wait_for_requests(std::vector<Request>& requests, bool compacting) {
+  requests.clear();
+  std::unique_lock lock(mutex_);
+  changed_.wait_for(lock, compacting ? kSliceWait : kIdleWait,
+                    [&] { return stopping_ || !requests_.empty(); });
+  requests.swap(requests_);
+  return !stopping_ || !requests.empty();
+}
+
+void GroupCommitter::commit_requests(std::vector<Request>& requests) {
+  bool durable = !failed_ && commit(requests);
+  {
+    std::lock_guard lock(mutex_);
+    for (Request& request : requests) {
+      results_.push_back({.completion = std::move(request.completion), .durable = durable});
     }
   }
+  wake_();
 }
 
-bool GroupCommitter::commit(std::vector<Ask>& asks) {
-  Nanos begun = clock_();
-  since_ = begun;
-  bool good = true;
+bool GroupCommitter::commit(std::vector<Request>& requests) {
+  const Nanos began = clock_();
+  commit_began_ = began;
+  bool durable = true;
   try {
-    for (Ask& ask : asks) {
-      if (ask.drop) {
-        store_.erase(ask.key);
+    for (Request& request : requests) {
+      if (request.erases) {
+        store_.erase(request.key);
       } else {
-        store_.put(std::move(ask.key), std::move(ask.value), ask.window);
+        store_.put(std::move(request.key), std::move(request.value), request.window);
       }
     }
     store_.commit();
   } catch (const DiskError&) {
-    good = false;
+    durable = false;
   }
-  Nanos took = clock_() - begun;
-  since_ = 0;
-  if (!good) sick_ = true;
+  const Nanos took = clock_() - began;
+  commit_began_ = 0;
+  if (!durable) failed_ = true;
   std::lock_guard lock(mutex_);
-  ++counts_.commits;
-  counts_.failed += !good;
-  counts_.records += asks.size();
-  counts_.longest = std::max(counts_.longest, took);
-  return good;
+  ++stats_.commits;
+  if (!durable) ++stats_.failed;
+  stats_.records += requests.size();
+  stats_.longest_commit = std::max(stats_.longest_commit, took);
+  return durable;
+}
+
+// Does one slice of compaction; true: there is more to do.
+bool GroupCommitter::compact() {
+  try {
+    if (!store_.compact_slice()) return false;
+    store_.commit();
+    return true;
+  } catch (const DiskError&) {
+    failed_ = true;
+    return false;
+  }
 }
 
-// A record of our own, on a segment of its own: what failed before is never synced again. Waits between
-// trials, on this thread.
-void GroupCommitter::try_again() {
-  trial_wait_ = std::clamp(2 * trial_wait_, options_.first_trial, options_.last_trial);
+// Waits for the backoff, then commits a record of its own. It goes to a new segment: one that failed is never
+// synced again.
+void GroupCommitter::probe_disk() {
+  backoff_ = std::clamp(2 * backoff_, options_.initial_backoff, options_.max_backoff);
   {
     std::unique_lock lock(mutex_);
-    more_.wait_for(lock, std::chrono::nanoseconds(trial_wait_), [&] { return ending_; });
-    if (ending_) return;
+    changed_.wait_for(lock, std::chrono::nanoseconds(backoff_), [&] { return stopping_; });
+    if (stopping_) return;
   }
   try {
-    store_.put(kTrialKey, {}, kSecond);
+    store_.put(kProbeKey, {}, kProbeWindow);
     store_.commit();
   } catch (const DiskError&) {
     return;
   }
-  trial_wait_ = 0;
-  sick_ = false;
+  backoff_ = 0;
+  failed_ = false;
 }
 
 }  // namespace myrtlecroft::store
--- a/src/store/numbers.h
+++ b/src/store/numbers.h
@@ -1,4 +1,4 @@
-// Little-endian numbers in files.
+// Little-endian numbers in files: for the formats of the store and of the packages that keep records in it.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,15 @@
 
 namespace myrtlecroft::store {
 
+// Appends `number` in sizeof(Number) bytes.
 template <class Number>
 void put_number(std::string& out, Number number) {
   for (std::size_t i = 0; i < sizeof number; ++i) {
     out += static_cast<char>(static_cast<std::uint64_t>(number) >> (8 * i) & 0xff);
   }
 }
+
+// The number at the front of `bytes`, which must hold at least sizeof(Number) bytes.
 template <class Number>
 Number get_number(std::string_view bytes) {
   std::uint64_t number = 0;
--- a/src/store/record.h
+++ b/src/store/record.h
@@ -1,11 +1,10 @@
-// Records, and the heads of the files that hold them, as bytes. No I/O.
+// The byte format of one record. No I/O; any thread.
 //
-// All numbers are little-endian. A record's checksum hangs on the segment's salt and the record's place in
-// it, so that bytes which look like a record, in a value or left over from another file, are none.
+// All numbers are little-endian. A record's checksum is seeded by its segment's salt and its offset, so that
+// bytes that look like a record, within a value or left over from another file, are not read as one.
 #pragma once
 
 #include <cstdint>
-#include <optional>
 #include <string>
 #include <string_view>
 
@@ -14,46 +13,50 @@
 
 namespace myrtlecroft::store {
 
-constexpr std::uint32_t kFormatVersion = 1;
-constexpr std::size_t kSegmentHead = 32;
-constexpr std::size_t kRecordHead = 24;
-constexpr std::size_t kLongestKey = 512;
-constexpr std::size_t kLongestValue = std::size_t{16} << 20;
+constexpr std::uint32_t kFormatVersion = 1;  // of segments, hints and the manifest
+constexpr std::size_t kRecordHeaderBytes = 24;
+constexpr std::size_t kMaxKeyBytes = 512;
+constexpr std::size_t kMaxValueBytes = std::size_t{16} << 20;
 
-enum class Kind : std::uint8_t { kValue = 1, kDropped = 2 };
+enum class RecordKind : std::uint8_t { kValue = 1, kErased = 2 };  // stored
 
+// One version of a key's value, or its erasure.
 struct Record {
-  Kind kind = Kind::kValue;
-  std::uint64_t sequence = 0;
-  Nanos at = 0;      // of the store's own time
-  Nanos window = 0;  // it may be forgotten so long after `at`; 0: never
+  RecordKind kind = RecordKind::kValue;
+  std::uint64_t sequence = 0;  // the highest of a key is its current version
+  Nanos written_at = 0;        // store time
+  Nanos window = 0;            // it expires this long after `written_at`; 0: never
   std::string key;
   std::string value;
 
-  bool over(Nanos now) const { return window > 0 && now - at >= window; }
+  bool expired(Nanos now) const { return window > 0 && now - written_at >= window; }
 };
 
-struct SegmentHead {
-  std::uint32_t version = kFormatVersion;
-  std::uint64_t number = 0;
-  std::uint64_t salt = 0;
+// Where a record lies; both numbers seed its checksum.
+struct RecordPosition {
+  std::uint64_t segment_salt = 0;
+  std::uint64_t offset = 0;  // of its first byte in the segment
 };
 
-std::string write_head(const SegmentHead& head);
-// None: not a segment, or cut off. The version may be one that can't be read.
-std::optional<SegmentHead> read_head(std::string_view bytes);
+// Appends the record's bytes, which the caller will write at `position`.
+void append_record(std::string& out, const Record& record, const RecordPosition& position);
 
-void append_record(std::string& out, const Record& record, std::uint64_t salt, std::uint64_t offset);
-
-enum class Found {
+enum class ParseStatus {
   kRecord,
-  kCut,   // may go on beyond these bytes
-  kNone,  // no record begins here
+  kIncomplete,  // the bytes end within what may be a record
+  kNoRecord     // no valid record begins here
+};
+
+struct ParsedRecord {
+  ParseStatus status = ParseStatus::kNoRecord;
+  Record record{};       // of kRecord
+  std::size_t size = 0;  // of kRecord: the bytes it takes
 };
-// The record at the front of `bytes`, which are at `offset` of their segment. `size` is what it takes.
-Found read_record(std::string_view bytes, std::uint64_t salt, std::uint64_t offset, Record& out,
-                  std::size_t& size);
 
+// Reads the record at the front of `bytes`, which lie at `position`.
+ParsedRecord read_record(std::string_view bytes, const RecordPosition& position);
+
+// XXH3 of the bytes.
 std::uint64_t checksum(std::string_view bytes, std::uint64_t seed);
 
 }  // namespace myrtlecroft::store
--- a/src/store/store_inspector.cpp
+++ b/src/store/store_inspector.cpp
@@ -3,98 +3,96 @@
 #include <algorithm>
 
 namespace myrtlecroft::store {
-namespace {
 
-struct Newest {
-  std::uint64_t sequence = 0;
-  std::uint64_t segment = 0;
-  std::uint64_t offset = 0;
-  std::uint64_t bytes = 0;
-  bool dropped = false;
-  Nanos at = 0;
-  Nanos window = 0;
-};
-
-struct Reading {
-  StoreInspector survey;
-  std::map<std::string, Newest> newest;
-  std::map<std::uint64_t, std::uint64_t> salts;
-};
+bool StoreInspection::damaged() const {
+  if (manifest.state == Manifest::State::kDamaged) return true;
+  return std::any_of(segments.begin(), segments.end(), [](const SegmentInspection& segment) {
+    bool never_used = segment.bytes <= kSegmentHeaderBytes;  // a crash while it was created
+    return segment.listed && !never_used && (!segment.header_valid || !segment.skipped_only_at_end);
+  });
+}
 
-Reading read_all(Disk& disk) {
-  Reading out;
-  std::vector<std::string> names = disk.list();
-  out.survey.manifest = read_manifest(disk, names);
-  out.survey.time = out.survey.manifest.time;
-  for (const std::string& name : names) {
-    auto number = segment_number(name);
-    if (!number) continue;
-    SurveyedSegment segment{.number = *number, .named = out.survey.manifest.names(*number)};
-    segment.bytes = disk.size(name);
-    out.survey.bytes += segment.bytes;
-    segment.hint = std::find(names.begin(), names.end(), hint_name(*number)) != names.end();
-    auto head = read_head(disk.read(name, 0, kSegmentHead));
-    segment.head_good = head && head->number == *number;
-    if (head) segment.version = head->version;
-    if (segment.head_good && segment.version <= kFormatVersion) {
-      out.salts[*number] = head->salt;
-      std::uint64_t last_end = kSegmentHead;
-      std::uint64_t between = 0;
-      segment.skipped = scan(
-          disk, name, *head, kSegmentHead, [&](const Record& record, std::uint64_t offset, std::size_t size) {
-            between += offset - last_end;
-            last_end = offset + size;
-            ++segment.records;
-            segment.dropped += record.kind == Kind::kDropped;
-            out.survey.time = std::max(out.survey.time, record.at);
-            if (!segment.named) return true;
-            Newest& known = out.newest[record.key];
-            if (record.sequence >= known.sequence) {
-              known = {record.sequence, *number,      offset, size, record.kind == Kind::kDropped,
-                       record.at,       record.window};
-            }
-            return true;
-          });
-      segment.tail_only = between == 0;
-    }
-    out.survey.segments.push_back(segment);
+StoreInspector::StoreInspector(Disk& disk) : disk_(disk) {
+  const std::vector<std::string> files = disk_.list();
+  inspection_.manifest = read_manifest(disk_, files);
+  inspection_.store_time = inspection_.manifest.store_time;
+  for (const std::string& name : files) {
+    std::optional<std::uint64_t> number = segment_number(name);
+    if (number) inspection_.segments.push_back(inspect_segment(*number, files));
   }
-  for (const auto& [key, known] : out.newest) {
-    for (SurveyedSegment& segment : out.survey.segments) segment.current += segment.number == known.segment;
-    out.survey.keys += !known.dropped;
-  }
-  return out;
+  count_current_records();
 }
 
-}  // namespace
+SegmentInspection StoreInspector::inspect_segment(std::uint64_t number,
+                                                  const std::vector<std::string>& files) {
+  const std::string name = segment_name(number);
+  SegmentInspection segment{.number = number, .listed = inspection_.manifest.lists(number)};
+  segment.bytes = disk_.size(name);
+  inspection_.bytes += segment.bytes;
+  segment.has_hints = std::find(files.begin(), files.end(), hint_name(number)) != files.end();
+  std::optional<SegmentHeader> header = read_header(disk_.read(name, 0, kSegmentHeaderBytes));
+  segment.header_valid = header && header->number == number;
+  if (header) segment.version = header->version;
+  if (segment.header_valid && segment.version <= kFormatVersion) inspect_records(segment, header->salt);
+  return segment;
+}
 
-bool StoreInspector::damaged() const {
-  if (manifest.there && !manifest.good) return true;
-  return std::any_of(segments.begin(), segments.end(), [](const SurveyedSegment& each) {
-    bool empty = each.bytes <= kSegmentHead;  // a crash as it was made
-    return each.named && !empty && (!each.head_good || !each.tail_only);
-  });
+void StoreInspector::inspect_records(SegmentInspection& segment, std::uint64_t salt) {
+  salts_[segment.number] = salt;
+  std::uint64_t last_end = kSegmentHeaderBytes;
+  std::uint64_t skipped_before_records = 0;
+  auto inspect = [&](const ScannedRecord& scanned) {
+    skipped_before_records += scanned.offset - last_end;
+    last_end = scanned.end();
+    ++segment.records;
+    if (scanned.record.kind == RecordKind::kErased) ++segment.erasures;
+    inspection_.store_time = std::max(inspection_.store_time, scanned.record.written_at);
+    if (segment.listed) note_record(scanned, segment.number);
+    return ScanStep::kContinue;
+  };
+  segment.skipped_bytes = scan_segment(disk_, {.segment = segment.number, .salt = salt}, inspect);
+  segment.skipped_only_at_end = skipped_before_records == 0;
 }
 
-StoreInspector survey(Disk& disk) { return read_all(disk).survey; }
+void StoreInspector::note_record(const ScannedRecord& scanned, std::uint64_t segment) {
+  const Record& record = scanned.record;
+  CurrentRecord& current = current_[record.key];
+  if (record.sequence < current.sequence) return;
+  current = {.sequence = record.sequence,
+             .segment = segment,
+             .offset = scanned.offset,
+             .bytes = scanned.size,
+             .erased = record.kind == RecordKind::kErased,
+             .written_at = record.written_at,
+             .window = record.window};
+}
+
+void StoreInspector::count_current_records() {
+  std::map<std::uint64_t, std::uint64_t> by_segment;
+  for (const auto& [key, current] : current_) {
+    ++by_segment[current.segment];
+    if (!current.erased) ++inspection_.keys;
+  }
+  for (SegmentInspection& segment : inspection_.segments) {
+    segment.current_records = by_segment[segment.number];
+  }
+}
 
-void for_each_current_record(Disk& disk, const std::function<void(const Record&, std::uint64_t)>& tell) {
-  Reading all = read_all(disk);
-  std::vector<const Newest*> in_order;
-  for (const auto& [key, known] : all.newest) {
-    bool over = known.window > 0 && all.survey.time - known.at >= known.window;
-    if (!known.dropped && !over) in_order.push_back(&known);
+void StoreInspector::for_each_live_record(
+    const std::function<void(const Record&, std::uint64_t segment)>& visit) const {
+  std::vector<const CurrentRecord*> live;
+  for (const auto& [key, current] : current_) {
+    if (!current.erased && !current.expired(inspection_.store_time)) live.push_back(&current);
   }
-  std::sort(in_order.begin(), in_order.end(),
-            [](const Newest* one, const Newest* other) { return one->sequence < other->sequence; });
-  for (const Newest* known : in_order) {
+  std::sort(live.begin(), live.end(), [](const CurrentRecord* one, const CurrentRecord* other) {
+    return one->sequence < other->sequence;
+  });
+  for (const CurrentRecord* current : live) {
     std::string bytes =
-        disk.read(segment_name(known->segment), known->offset, static_cast<std::size_t>(known->bytes));
-    Record record;
-    std::size_t size = 0;
-    if (read_record(bytes, all.salts.at(known->segment), known->offset, record, size) == Found::kRecord) {
-      tell(record, known->segment);
-    }
+        disk_.read(segment_name(current->segment), current->offset, static_cast<std::size_t>(current->bytes));
+    ParsedRecord parsed =
+        read_record(bytes, {.segment_salt = salts_.at(current->segment), .offset = current->offset});
+    if (parsed.status == ParseStatus::kRecord) visit(parsed.record, current->segment);
   }
 }
 
--- a/tests/store_fakes.h
+++ b/tests/store_fakes.h
@@ -1,4 +1,5 @@
-// A disk that loses what was not synced, in any order and in part, and fails when told to.
+// A disk in memory for tests: a crash loses what was not synced, in any order and in part, and any operation
+// can be made to fail.
 #pragma once
 
 #include <cerrno>
@@ -14,7 +15,7 @@
 
 namespace myrtlecroft::store {
 
-// The process ends here. Nothing catches it but the story.
+// Thrown where the process is to end. Only tests catch it.
 struct Crashed {};
 
 class FakeDisk final : public Disk {
@@ -26,16 +27,16 @@
   };
   using Names = std::map<std::string, std::shared_ptr<Content>>;
 
-  // Of the operations that change the disk, the one with this number (from 1) fails or ends the process.
+  // Of the operations that change the disk, the one with this number (from 1) fails, or ends the process.
   int fail_at = 0;
   int crash_at = 0;
   int fail_code = EIO;
-  bool failing = false;  // every one does
+  bool failing = false;  // every operation fails
   std::size_t space = SIZE_MAX;
   int done = 0;
   std::function<void()> in_sync = [] {};
 
-  bool lock() override { return !std::exchange(locked, true); }
+  bool try_lock() override { return !std::exchange(locked, true); }
   std::vector<std::string> list() override {
     std::vector<std::string> out;
     for (const auto& [name, content] : names) out.push_back(name);
@@ -73,21 +74,21 @@
   }
 
   // What a crash leaves: some of the changes of the folder in their order, of each file what was synced and
-  // any blocks of the rest. `keep` says of each in turn whether it is kept.
-  std::unique_ptr<FakeDisk> after_crash(const std::function<bool()>& keep) const {
+  // any blocks of the rest. `survives` says of each in turn whether it is left.
+  std::unique_ptr<FakeDisk> after_crash(const std::function<bool()>& survives) const {
     auto out = std::make_unique<FakeDisk>();
-    Names left = synced_names;
+    Names names_left = synced_names;
     for (const auto& each : changes) {
-      if (!keep()) break;
-      each(left);
+      if (!survives()) break;
+      each(names_left);
     }
-    for (const auto& [name, content] : left) {
+    for (const auto& [name, content] : names_left) {
       auto copy = std::make_shared<Content>();
       std::string& bytes = copy->now = content->synced;
       for (std::size_t at = bytes.size(); at < content->now.size();) {
         std::size_t size = std::min(kBlock - at % kBlock, content->now.size() - at);
-        if (keep()) {
-          bytes.resize(at, '\0');  // a lost block before a kept one is a hole
+        if (survives()) {
+          bytes.resize(at, '\0');  // a lost block before a surviving one is a hole
           bytes += content->now.substr(at, size);
         }
         at += size;
@@ -98,7 +99,7 @@
     out->synced_names = out->names;
     return out;
   }
-  // The same process again: nothing is lost.
+  // What the next process finds where nothing is lost.
   std::unique_ptr<FakeDisk> after_end() const {
     return after_crash([] { return true; });
   }
@@ -125,7 +126,7 @@
       if (disk_.space != SIZE_MAX) disk_.space -= fits;
       if (fits < bytes.size()) throw DiskError("no space", ENOSPC);
     }
-    // After a failed sync the rest counts as written, as on real systems: another sync would say all is well.
+    // After a failed sync the bytes count as written, as on real systems: another sync would succeed.
     void sync() override {
       disk_.in_sync();
       try {
@@ -146,7 +147,7 @@
   void step() {
     ++done;
     if (done == crash_at) throw Crashed();
-    if (failing || done == fail_at) throw DiskError("told to fail", fail_code);
+    if (failing || done == fail_at) throw DiskError("fault injected by the test", fail_code);
   }
   void change(std::function<void(Names&)> how) {
     how(names);
@@ -154,7 +155,7 @@
   }
   Content& at(const std::string& name) {
     auto place = names.find(name);
-    if (place == names.end()) throw DiskError(name + ": not there", ENOENT);
+    if (place == names.end()) throw DiskError(name + ": no such file", ENOENT);
     return *place->second;
   }
 
--- /dev/null
+++ b/tests/store_fixtures.h
@@ -0,0 +1,114 @@
+// What the store's tests share: a store on a fake disk that is restarted and crashed, a model of its
+// contents, and a temporary folder.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <chrono>
+#include <cstdlib>
+#include <filesystem>
+#include <map>
+#include <memory>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "store/store.h"
+#include "store_fakes.h"
+
+namespace myrtlecroft::store {
+
+constexpr Nanos kWindow = 100 * kSecond;
+
+// One process with a store on a fake disk. Its clock stands still unless the test advances it.
+struct StoreProcess {
+  explicit StoreProcess(std::unique_ptr<FakeDisk> on = std::make_unique<FakeDisk>(),
+                        StoreOptions options = small(), Nanos start = 0)
+      : time(start),
+        disk(std::move(on)),
+        store(
+            *disk, options, [this] { return time; }, 7) {}
+  static StoreOptions small() { return {.segment_bytes = 1'000, .slice_bytes = 300, .max_small = 4}; }
+  void put(const std::string& key, const std::string& value, Nanos window = kWindow) {
+    store.put(key, value, window);
+    store.commit();
+  }
+  std::string get(const std::string& key) {
+    auto record = store.get(key);
+    return record ? record->value : "none";
+  }
+  Nanos time;
+  std::unique_ptr<FakeDisk> disk;
+  Store store;
+};
+
+inline std::unique_ptr<StoreProcess> restart(const StoreProcess& process) {
+  auto next = std::make_unique<StoreProcess>(process.disk->after_end());
+  next->store.open();
+  return next;
+}
+
+// What the store may hold of every key after a crash.
+struct Model {
+  std::map<std::string, std::string> acknowledged;
+  std::map<std::string, std::vector<std::string>> unacknowledged;  // in the order they were put
+};
+
+inline std::string random_key(std::mt19937& random) { return "key" + std::to_string(random() % 12); }
+
+// Puts, erasures and compaction over several segments; the model learns of each commit that succeeds.
+inline void write_randomly(StoreProcess& process, Model& model, unsigned seed, int steps) {
+  std::mt19937 random(seed);
+  for (int i = 0; i < steps; ++i) {
+    model.unacknowledged.clear();
+    for (int j = static_cast<int>(random() % 3); j >= 0; --j) {
+      std::string key = random_key(random);
+      std::string value = std::to_string(seed) + "." + std::to_string(i) + "." + std::to_string(j);
+      if (random() % 5 == 0) {
+        process.store.erase(key);
+        value = "none";
+      } else {
+        process.store.put(key, value + std::string(random() % 60, '.'), kWindow);
+      }
+      model.unacknowledged[key].push_back(value);
+    }
+    if (random() % 2) process.store.compact_slice();
+    process.store.commit();
+    for (auto& [key, values] : model.unacknowledged) model.acknowledged[key] = values.back();
+    model.unacknowledged.clear();
+  }
+}
+
+inline std::string without_dots(std::string value) {
+  while (!value.empty() && value.back() == '.') value.pop_back();
+  return value;
+}
+
+inline void expect_contents(StoreProcess& process, const Model& model, const std::string& where) {
+  for (int i = 0; i < 12; ++i) {
+    std::string key = "key" + std::to_string(i);
+    std::string got = without_dots(process.get(key));
+    auto acknowledged = model.acknowledged.find(key);
+    auto unacknowledged = model.unacknowledged.find(key);
+    bool matches = got == (acknowledged == model.acknowledged.end() ? "none" : acknowledged->second) ||
+                   (unacknowledged != model.unacknowledged.end() &&
+                    std::count(unacknowledged->second.begin(), unacknowledged->second.end(), got) > 0);
+    EXPECT_TRUE(matches) << where << " " << key << ": " << got << ", not "
+                         << (acknowledged == model.acknowledged.end() ? "none" : acknowledged->second);
+  }
+}
+
+// A temporary folder.
+struct Folder {
+  Folder() {
+    char name[] = "/tmp/myrtlecroft_store.XXXXXX";
+    path = mkdtemp(name);
+  }
+  ~Folder() { std::filesystem::remove_all(path); }
+  std::string path;
+};
+
+inline Nanos steady_now() { return std::chrono::steady_clock::now().time_since_epoch().count(); }
+
+}  // namespace myrtlecroft::store
