--- a/measure/measure_store.cpp
+++ b/measure/measure_store.cpp
@@ -25,7 +25,7 @@
 #include "../standin/no_log.h"
 #include "../standin/node_config.h"
 #include "net/address.h"
-#include "recovery/run_records.h"
+#include "recovery/idempotency_records.h"
 #include "store/file_disk.h"
 #include "store/group_committer.h"
 
@@ -33,9 +33,9 @@
 
 using namespace myrtlecroft;
 using namespace myrtlecroft::store;
-using recovery::Idempotency;
-using recovery::Input;
-using recovery::RunRecords;
+using recovery::Action;
+using recovery::Event;
+using recovery::IdempotencyRecords;
 
 constexpr Nanos kLong = 1'000'000 * kSecond;
 
@@ -209,8 +209,8 @@
   FileDisk disk(folder);
   Store store(disk, {.segment_bytes = 200'000}, steady, seed);
   store.open();
-  RunRecords records;
-  store.for_each([&](const Record& record) { records.recovered(record.key, record.value, record.window); });
+  IdempotencyRecords records;
+  store.for_each([&](const Record& record) { records.restore(record.key, record.value, record.window); });
   auto tell = [&](char what, const std::string& key) {
     std::string line = what + key + "\n";
     if (::write(out, line.data(), line.size()) < 0) ::_exit(1);
@@ -220,21 +220,21 @@
   std::mt19937 random(seed);
   tell('S', "");
   std::function<void(const std::string&)> want = [&](const std::string& key) {
-    switch (records.take(key, Input::kWanted, kLong)) {
-      case Idempotency::kIntend:
-        committer.put(key, records.record_of(key), kLong, [&, key](bool durable) {
-          if (records.take(key, durable ? Input::kDurable : Input::kLost) != Idempotency::kRun) return;
+    switch (records.handle(key, Event::kRequested, {.window = kLong})) {
+      case Action::kRecordIntent:
+        committer.put(key, records.encoded(key), kLong, [&, key](bool durable) {
+          if (records.handle(key, durable ? Event::kWriteDurable : Event::kWriteLost) != Action::kRun) return;
           tell('R', key);  // its effect
-          records.take(key, Input::kEndedWell, 0, "of " + key);
-          committer.put(key, records.record_of(key), kLong, [&, key](bool kept) {
+          records.handle(key, Event::kRunCompleted, {.result = "of " + key});
+          committer.put(key, records.encoded(key), kLong, [&, key](bool kept) {
             if (kept) tell('A', key);  // answered only now: what was told to be done stays done
           });
         });
         return;
-      case Idempotency::kAnswer:
+      case Action::kAnswer:
         tell(records.find(key)->result == "of " + key ? 'A' : 'X', key);
         return;
-      case Idempotency::kTerminate:
+      case Action::kFail:
         tell('T', key);
         return;
       default:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -22,7 +22,7 @@
 #include "net/loop.h"
 #include "net/membership_client.h"
 #include "net/reporter.h"
-#include "recovery/durable_runs.h"
+#include "recovery/durable_idempotency_log.h"
 #include "reload.h"
 #include "settings/node_settings.h"
 
@@ -78,14 +78,16 @@
   net::DatabaseClient database(loop, log, launch.database, own / 2);
   net::MembershipClient membership(loop, launch.name, launch.members);
   const Nanos stop_after = launch.start.stop_after;
-  std::unique_ptr<recovery::DurableRuns> records = recovery::open_durable_runs(own_settings.store, loop, log);
+  std::unique_ptr<recovery::DurableIdempotencyLog> idempotency_log =
+      recovery::open_durable_idempotency_log(own_settings.store, loop, log);
   Gate gate;
   // The terms of a large deployment are held once, by the service.
   service::Service::Start held =
       std::exchange(launch.start, {.seed = launch.start.seed, .stop_after = stop_after});
-  service::Service service(std::move(held), {loop, front, engine, database, membership, log, records.get(),
-                                             own_settings.reports.obey ? &gate : nullptr});
-  if (records) records->serve(service);
+  service::Service service(std::move(held),
+                           {loop, front, engine, database, membership, log, idempotency_log.get(),
+                            own_settings.reports.obey ? &gate : nullptr});
+  if (idempotency_log) idempotency_log->attach(service);
 
   net::Reporter reporter(loop, log, service, launch.name, launch.listen);
   reporter.runs(version);
@@ -106,17 +108,17 @@
     if (verdict != fencing::FencingGuard::Verdict::kTaken) return;
     log.frequent("acts on " + figures);
     reporter.acts_on(order.epoch);
-    if (records) records->keep_order(report::encode(order));
+    if (idempotency_log) idempotency_log->save_assignment(report::encode(order));
     if (!order.restart_as || service.draining()) return;
     code = kStartMeAs + *order.restart_as;
     log.line("leaves to be started as version " + std::to_string(*order.restart_as) + ", epoch " +
              std::to_string(order.epoch.number));
     leave();
   };
-  if (records && own_settings.reports.obey) {
+  if (idempotency_log && own_settings.reports.obey) {
     report::Malformed malformed{};
     report::decode(
-        records->order(),
+        idempotency_log->saved_assignment(),
         {.report = {}, .order = [&](const fencing::ShardAssignment& order) { gate.fence.restore(order); }},
         malformed);
     if (gate.fence.order()) reporter.acts_on(gate.fence.order()->epoch);
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -14,7 +14,7 @@
 #include "control.pb.h"
 #include "echo.pb.h"
 #include "hollow.pb.h"
-#include "recovery/run_records.h"
+#include "recovery/idempotency_records.h"
 #include "report/load_report.h"
 #include "routing_state/saved_state.h"
 #include "store/file_disk.h"
@@ -74,16 +74,18 @@
   EXPECT_EQ(store.size(), 5u);  // with the mark of the dropped one
   EXPECT_FALSE(store.contains("book\nkey-dropped"));
 
-  recovery::RunRecords runs;
+  recovery::IdempotencyRecords runs;
   for (const char* key : {"book\nkey-intended", "book\nkey-done", "book\nkey-failed"}) {
     std::optional<store::Record> record = store.get(key);
     ASSERT_TRUE(record) << key;
     EXPECT_EQ(record->window, 60 * kSecond);
-    EXPECT_TRUE(runs.recovered(key, record->value, record->window)) << key;
+    EXPECT_EQ(runs.restore(key, record->value, record->window),
+              recovery::IdempotencyRecords::Restored::kUnderstood)
+        << key;
   }
-  EXPECT_EQ(runs.state("book\nkey-intended"), recovery::State::kPerhaps);
+  EXPECT_EQ(runs.state("book\nkey-intended"), recovery::State::kOutcomeUnknown);
   EXPECT_EQ(runs.state("book\nkey-failed"), recovery::State::kFailed);
-  ASSERT_EQ(runs.state("book\nkey-done"), recovery::State::kDone);
+  ASSERT_EQ(runs.state("book\nkey-done"), recovery::State::kCompleted);
   EXPECT_EQ(runs.find("book\nkey-done")->result, "the result");
 
   std::optional<store::Record> order = store.get("order");
--- /dev/null
+++ b/tests/idempotency_records_test.cpp
@@ -0,0 +1,154 @@
+// The states of keyed requests over crashes, and that no request runs twice whatever the disk does.
+#include "recovery/idempotency_records.h"
+
+#include <gtest/gtest.h>
+
+#include <map>
+#include <set>
+
+#include "store/store.h"
+#include "store_fakes.h"
+
+namespace myrtlecroft::recovery {
+namespace {
+
+constexpr Nanos kWindow = 100 * kSecond;
+
+TEST(IdempotencyRecordsTest, RequestRunsOnceItsIntentIsDurableAndRetriesGetItsResult) {
+  IdempotencyRecords records;
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kRecordIntent);
+  EXPECT_EQ(records.encoded("a"), "I");
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kCoalesce);
+  EXPECT_EQ(records.handle("a", Event::kWriteDurable), Action::kRun);
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kCoalesce);
+  EXPECT_EQ(records.handle("a", Event::kRunCompleted, {.result = "result"}), Action::kRecordOutcome);
+  EXPECT_EQ(records.encoded("a"), "Gresult");
+  EXPECT_EQ(records.handle("a", Event::kWriteDurable), Action::kNone);
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kAnswer);
+  EXPECT_EQ(records.find("a")->result, "result");
+  EXPECT_EQ(records.handle("a", Event::kWindowExpired), Action::kForget);
+  EXPECT_EQ(records.size(), 0u);
+}
+
+TEST(IdempotencyRecordsTest, RetryOfAnIntentWithoutOutcomeFails) {
+  IdempotencyRecords records;
+  EXPECT_EQ(records.restore("a", "I", kWindow), IdempotencyRecords::Restored::kUnderstood);
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kFail);
+  EXPECT_EQ(records.handle("a", Event::kRequestedDiskFailed, {.window = kWindow}), Action::kFail);
+  EXPECT_EQ(records.handle("a", Event::kWindowExpired), Action::kForget);
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kRecordIntent);
+}
+
+TEST(IdempotencyRecordsTest, OutcomesSurviveACrash) {
+  IdempotencyRecords records;
+  EXPECT_EQ(records.restore("good", "Gwhat it made", kWindow), IdempotencyRecords::Restored::kUnderstood);
+  EXPECT_EQ(records.restore("bad", "B", kWindow), IdempotencyRecords::Restored::kUnderstood);
+  EXPECT_EQ(records.handle("good", Event::kRequested, {.window = kWindow}), Action::kAnswer);
+  EXPECT_EQ(records.find("good")->result, "what it made");
+  EXPECT_EQ(records.handle("bad", Event::kRequested, {.window = kWindow}), Action::kFail);
+}
+
+TEST(IdempotencyRecordsTest, RecordOfUnknownFormatCountsAsOutcomeUnknown) {
+  IdempotencyRecords records;
+  EXPECT_EQ(records.restore("a", "Zsomething newer", kWindow), IdempotencyRecords::Restored::kUnknownFormat);
+  EXPECT_EQ(records.restore("b", "", kWindow), IdempotencyRecords::Restored::kUnknownFormat);
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kFail);
+  EXPECT_EQ(records.handle("b", Event::kRequested, {.window = kWindow}), Action::kFail);
+}
+
+TEST(IdempotencyRecordsTest, FailedDiskRejectsNewRequestsAndAnswersKnownOnes) {
+  IdempotencyRecords records;
+  records.restore("done", "Gr", kWindow);
+  EXPECT_EQ(records.handle("new", Event::kRequestedDiskFailed, {.window = kWindow}), Action::kReject);
+  EXPECT_EQ(records.handle("done", Event::kRequestedDiskFailed, {.window = kWindow}), Action::kAnswer);
+  EXPECT_EQ(records.handle("lost", Event::kRequested, {.window = kWindow}), Action::kRecordIntent);
+  EXPECT_EQ(records.handle("lost", Event::kWriteLost), Action::kReject);
+  EXPECT_EQ(records.handle("lost", Event::kRequested, {.window = kWindow}),
+            Action::kRecordIntent);  // the disk works again
+}
+
+TEST(IdempotencyRecordsTest, RequestThatNeverRanMayRunLater) {
+  IdempotencyRecords records;
+  records.handle("a", Event::kRequested, {.window = kWindow});
+  records.handle("a", Event::kWriteDurable);
+  EXPECT_EQ(records.handle("a", Event::kNeverRan), Action::kEraseIntent);
+  EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kRecordIntent);
+}
+
+// A server reduced to its records and a store on a fake disk; the engine is a count of runs by key.
+struct SmallServer {
+  SmallServer(std::unique_ptr<store::FakeDisk> on, std::map<std::string, int>& engine)
+      : disk(std::move(on)),
+        store(
+            *disk, {.segment_bytes = 600, .slice_bytes = 300, .max_small = 3}, [this] { return time; }, 5),
+        ran(engine) {}
+  void start() {
+    store.open();
+    store.for_each(
+        [&](const store::Record& record) { records.restore(record.key, record.value, record.window); });
+  }
+  void write(const std::string& key, bool intent) {
+    store.put(key, records.encoded(key), kWindow);
+    try {
+      store.commit();
+    } catch (const store::DiskError&) {
+      if (intent) records.handle(key, Event::kWriteLost);
+      return;
+    }
+    if (intent && records.handle(key, Event::kWriteDurable) == Action::kRun) ++ran[key];
+  }
+  // What the caller is answered.
+  Action requested(const std::string& key) {
+    Action action = records.handle(key, Event::kRequested, {.window = kWindow});
+    if (action == Action::kRecordIntent) write(key, true);
+    return action;
+  }
+  void run_completed(const std::string& key) {
+    if (records.handle(key, Event::kRunCompleted, {.result = "of " + key}) == Action::kRecordOutcome)
+      write(key, false);
+  }
+
+  Nanos time = 0;
+  std::unique_ptr<store::FakeDisk> disk;
+  store::Store store;
+  IdempotencyRecords records;
+  std::map<std::string, int>& ran;
+};
+
+TEST(IdempotencyRecordsTest, NothingRunsTwiceOverCrashesAndFaultsAtAnyDiskOperation) {
+  for (unsigned seed = 0; seed < 400; ++seed) {
+    std::mt19937 random(seed);
+    std::map<std::string, int> ran;
+    auto server = std::make_unique<SmallServer>(std::make_unique<store::FakeDisk>(), ran);
+    for (int incarnation = 0; incarnation < 4; ++incarnation) {
+      server->disk->crash_at = static_cast<int>(1 + random() % 60);
+      if (random() % 2) server->disk->fail_at = static_cast<int>(8 + random() % 30);
+      try {
+        server->start();
+        for (int i = 0; i < 30; ++i) {
+          std::string key = "key" + std::to_string(random() % 6);
+          Action answer = server->requested(key);
+          if (answer == Action::kAnswer) {
+            EXPECT_EQ(server->records.find(key)->result, "of " + key);
+          }
+          if (answer == Action::kReject) {
+            EXPECT_EQ(ran[key], 0) << "what has run is never rejected";
+          }
+          if (random() % 2) server->run_completed(key);
+          try {
+            server->store.compact_slice();
+          } catch (const store::DiskError&) {
+          }
+        }
+      } catch (const store::Crashed&) {
+      } catch (const store::DiskError&) {  // the start
+      }
+      server =
+          std::make_unique<SmallServer>(server->disk->after_crash([&] { return random() % 2 == 0; }), ran);
+    }
+    for (const auto& [key, times] : ran) EXPECT_LE(times, 1) << key << " seed " << seed;
+  }
+}
+
+}  // namespace
+}  // namespace myrtlecroft::recovery
