--- a/measure/agreement_world.cpp
+++ b/measure/agreement_world.cpp
@@ -131,7 +131,7 @@
 struct World::Proxy {
   int place = 0;
   std::string id;
-  std::shared_ptr<const routing::Published> set;
+  std::shared_ptr<const routing::PublishedSnapshot> set;
   bool closed = true;
   int at = -1;  // the instance
   int stream = 0;
@@ -203,11 +203,11 @@
                                  .deduplication_window = options_.window,
                                  .key_header = "Key",
                                  .max_unavailable = {}});
-  out.outings.max_unavailable = {.by_count = true, .max = static_cast<double>(options_.max_unavailable)};
-  out.outings.reserve = 0;
-  out.outings.permit_lasts = 10 * kSecond;
+  out.maintenance.max_unavailable = {.by_count = true, .max = static_cast<double>(options_.max_unavailable)};
+  out.maintenance.reserve = 0;
+  out.maintenance.lease_duration = 10 * kSecond;
   out.bounds.shard_digits = options_.shard_digits;
-  out.bounds.ramp = 500 * kMs;
+  out.bounds.slow_start = 500 * kMs;
   out.bounds.dwell = 500 * kMs;
   return out;
 }
@@ -460,7 +460,7 @@
   report.window = 16;
   report.limit = 4;
   report.obeys = true;
-  if (node.fence.order()) report.epoch = node.fence.order()->epoch;
+  if (node.fence.assignment()) report.epoch = node.fence.assignment()->epoch;
   report.version = static_cast<std::uint8_t>(node.version);
   report.warming_up = now_ < node.warm_at;
   if (!report.warming_up) node.chosen = false;
@@ -470,16 +470,16 @@
   for (auto& control : controls_) {
     deliver(node.place, control->place, [this, &node, &to = *control, report, asked_at] {
       if (!to.instance) return;
-      to.instance->router().report_link(node.name, true, now_ + to.ahead);
-      to.instance->router().reported(report, now_ + to.ahead, kUnixStart + now_);
+      to.instance->router().handle_report_connection(node.name, true, now_ + to.ahead);
+      to.instance->router().handle_report(report, now_ + to.ahead, kUnixStart + now_);
       if (to.instance->agreed().epoch().number >= agreed_) follow_trips(to.instance->agreed());
       ShardAssignment order = to.instance->order_for(node.name);
       if (order.restart_as && !to.instance->has_quorum()) return;
       deliver(to.place, node.place, [this, &node, order, asked_at, incarnation = report.incarnation] {
         if (!node.alive || node.incarnation != incarnation) return;
         if (order.restart_as && now_ - asked_at > kFresh) return;
-        FencingGuard::Verdict verdict = node.fence.take(order, node.incarnation);
-        if (verdict == FencingGuard::Verdict::kTaken) {
+        FencingGuard::Verdict verdict = node.fence.accept(order, node.incarnation);
+        if (verdict == FencingGuard::Verdict::kAccepted) {
           if (order.epoch < node.highest) violate(result_.stale_acted, node.name + " took an older order");
           node.highest = order.epoch;
           obey(node, order, asked_at);
--- a/measure/capacity/control_slopes.cpp
+++ b/measure/capacity/control_slopes.cpp
@@ -87,7 +87,7 @@
 // The snapshot of an instance, changed one weight or one tenant's share at a time, as resource sets.
 class Publications {
  public:
-  explicit Publications(const routing::Published& first) : published_(first) { make(); }
+  explicit Publications(const routing::PublishedSnapshot& first) : published_(first) { make(); }
 
   void change_a_weight() {
     routing::NodeRoute& node = published_.snapshot.nodes[next_server_++ % published_.snapshot.nodes.size()];
@@ -96,7 +96,7 @@
     make();
   }
   void change_a_share() {
-    published_.snapshot.tenants.at(0).share += 1;
+    published_.snapshot.tenants.at(0).quota += 1;
     ++published_.number;
     make();
   }
@@ -113,7 +113,7 @@
     if (!fault.empty()) throw std::runtime_error("a set is not fit to be served: " + fault);
   }
 
-  routing::Published published_;
+  routing::PublishedSnapshot published_;
   SetPtr set_;
   std::size_t next_server_ = 0;
   double last_ms_ = 0;
--- a/measure/capacity/instance_under_load.h
+++ b/measure/capacity/instance_under_load.h
@@ -25,7 +25,7 @@
     servers_.bring_back(first_server, servers, router_, now_);
   }
 
-  const std::shared_ptr<const routing::Published>& published() const { return router_.published(); }
+  const std::shared_ptr<const routing::PublishedSnapshot>& published() const { return router_.published(); }
   Nanos now() const { return now_; }
   std::size_t in_service() const { return published() ? servers_in_service(published()->snapshot) : 0; }
 
--- a/measure/capacity/reporting_servers.cpp
+++ b/measure/capacity/reporting_servers.cpp
@@ -30,7 +30,7 @@
 }
 
 void ReportingServers::connect(routing::Router& router, Nanos now) {
-  for (const report::LoadReport& report : reports_) router.report_link(report.node, true, now);
+  for (const report::LoadReport& report : reports_) router.handle_report_connection(report.node, true, now);
 }
 
 void ReportingServers::report(routing::Router& router, Nanos now) {
@@ -44,7 +44,7 @@
       counts.completed += 2;
       counts.in_time += 2;
     }
-    if (router.reported(report, now, now) != routing::ServerRegistry::Verdict::kTaken)
+    if (router.handle_report(report, now, now) != routing::ServerRegistry::Verdict::kAccepted)
       throw std::runtime_error("a report was not taken: " + report.node);
   }
 }
@@ -54,14 +54,14 @@
 void ReportingServers::lose(int first_server, int servers, routing::Router& router, Nanos now) {
   for (int i = first_server; i < first_server + servers; ++i) {
     lost_.insert(static_cast<std::size_t>(i));
-    router.report_link(reports_[static_cast<std::size_t>(i)].node, false, now);
+    router.handle_report_connection(reports_[static_cast<std::size_t>(i)].node, false, now);
   }
 }
 
 void ReportingServers::bring_back(int first_server, int servers, routing::Router& router, Nanos now) {
   for (int i = first_server; i < first_server + servers; ++i) {
     lost_.erase(static_cast<std::size_t>(i));
-    router.report_link(reports_[static_cast<std::size_t>(i)].node, true, now);
+    router.handle_report_connection(reports_[static_cast<std::size_t>(i)].node, true, now);
   }
 }
 
--- a/measure/measure_xds.cpp
+++ b/measure/measure_xds.cpp
@@ -78,7 +78,7 @@
   fleet::Fleet fleet = fleet::read_fleet(fleet_path);
   routing::Router router(fleet, std::nullopt, true, kSecond, [](const std::string&) {});
   auto published = router.step(kSecond);
-  routing::Published other = *published;
+  routing::PublishedSnapshot other = *published;
   other.number = 2;
   other.snapshot.nodes[0].weight += 50;
   auto first = xds::make_resources(*published, nullptr);
--- a/src/agreement/control_replica.cpp
+++ b/src/agreement/control_replica.cpp
@@ -33,7 +33,7 @@
       book_(options.lease_duration) {
   // An instance may be wrong about being in touch for twice as long as contact lasts, and no shard moves in
   // that time.
-  router_.quarantine_at_least(3 * options_.lease_duration, kMaxBelieved);
+  router_.set_quarantine({.min = 3 * options_.lease_duration, .clock_margin = kMaxBelieved});
   join();
 }
 
@@ -124,7 +124,7 @@
     if (raft_node_->ready() && has_quorum()) {
       decide();
     } else {
-      router_.watch(now());
+      router_.observe(now());
     }
   }
   bool touch = has_quorum();
@@ -308,9 +308,9 @@
   }
   leading.instances[options_.id] = {options_.format, options_.settings};
 
-  router_.applied(leading.applied);
+  router_.all_proxies_applied(leading.applied);
   Nanos since = elapsed();
-  std::shared_ptr<const routing::Published> next = router_.step(now(), state_.time() + since);
+  std::shared_ptr<const routing::PublishedSnapshot> next = router_.step(now(), state_.time() + since);
   leading.next = next.get();
   leading.format = format_of_all();
   Decision decision = draft(state_, leading);
@@ -410,11 +410,12 @@
   applied_at_ = now();
   new_ = true;
   seen_ = std::max(seen_, state_.epoch().number);
-  router_.call_out(state_.outings().called_out());
+  router_.set_out_for_maintenance(state_.outings().out_for_maintenance());
   if (state_.published() == 0 || (published_ && published_->number >= state_.published())) return;
-  routing::Published next{.number = state_.published(), .snapshot = {}};
-  if (!routing_state::from_proto(state_.picture(), next.snapshot)) return;
-  published_ = std::make_shared<const routing::Published>(std::move(next));
+  std::optional<routing::Snapshot> snapshot = routing_state::from_proto(state_.picture());
+  if (!snapshot) return;
+  published_ = std::make_shared<const routing::PublishedSnapshot>(
+      routing::PublishedSnapshot{.number = state_.published(), .snapshot = std::move(*snapshot)});
 }
 
 // Once for each decision that reports come after, so that a report costs what its server owns.
--- a/src/agreement/control_replica.h
+++ b/src/agreement/control_replica.h
@@ -80,7 +80,7 @@
 
   const ReplicatedState& agreed() const { return state_; }
   // The snapshot in force, made once for each; nullptr: none was ever agreed.
-  std::shared_ptr<const routing::Published> published() const { return published_; }
+  std::shared_ptr<const routing::PublishedSnapshot> published() const { return published_; }
   // For how long it is certain that nobody else has decided what is not known here; 0: it is not.
   Nanos fresh_for() const;
   bool has_quorum() const { return fresh_for() > 0; }
@@ -151,7 +151,7 @@
   LeaderLease contact_;
   ProxyRegistry book_;
   std::unique_ptr<consensus::RaftNode> raft_node_;
-  std::shared_ptr<const routing::Published> published_;
+  std::shared_ptr<const routing::PublishedSnapshot> published_;
   std::map<consensus::InstanceId, Said> heard_;
   std::set<consensus::InstanceId> vouched_;  // others that know of nothing here that the folder lacks
   bool proven_ = false;
--- a/src/agreement/maintenance_state.cpp
+++ b/src/agreement/maintenance_state.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "routing/server_registry.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::agreement {
 namespace {
@@ -53,8 +54,8 @@
     {PHASE_BACK_HALTED, RELEASE_FINISH, PHASE_TAKEN_BACK},
 };
 
-bool serves(const routing_state::NodeMemory& node) {
-  return node.state() == routing::name_of(routing::ServerState::kServing);
+bool serves(const routing_state::PersistedNode& node) {
+  return node.state() == routing_state::stored_name(routing::ServerState::kServing);
 }
 
 }  // namespace
@@ -175,8 +176,8 @@
   bool already = is_out(node, nodes);
   auto known = nodes.find(node);
   bool stuck = known != nodes.end() &&
-               (known->second.state() == routing::name_of(routing::ServerState::kUnhealthy) ||
-                known->second.state() == routing::name_of(routing::ServerState::kUnresponsive));
+               (known->second.state() == routing_state::stored_name(routing::ServerState::kUnhealthy) ||
+                known->second.state() == routing_state::stored_name(routing::ServerState::kUnresponsive));
   for (const Budget& budget : budgets_.budgets()) {
     if (std::find(budget.nodes().begin(), budget.nodes().end(), node) == budget.nodes().end()) continue;
     std::uint64_t more = already ? 0 : budget.by_count() ? kOne : capacity_of(node);
@@ -269,7 +270,7 @@
   return false;
 }
 
-std::set<std::string> MaintenanceState::called_out() const {
+std::set<std::string> MaintenanceState::out_for_maintenance() const {
   std::set<std::string> out;
   for (const auto& [node, lease] : leases_) {
     if (lease.gets_nothing()) out.insert(node);
--- a/src/agreement/maintenance_state.h
+++ b/src/agreement/maintenance_state.h
@@ -48,7 +48,7 @@
 
 class MaintenanceState {
  public:
-  using Nodes = std::map<std::string, routing_state::NodeMemory>;
+  using Nodes = std::map<std::string, routing_state::PersistedNode>;
   // What else is agreed, as the decision leaves it.
   struct Around {
     const Nodes& nodes;
@@ -80,7 +80,7 @@
   const UpdatedServer* taken(const std::string& node) const;
 
   // Servers that proxies are to send nothing.
-  std::set<std::string> called_out() const;
+  std::set<std::string> out_for_maintenance() const;
   // Capacity in thousandths that is out of a budget, by choice or not.
   std::uint64_t out_of(const Budget& budget, const Nodes& nodes) const;
   // The budget that would be broken if this server went out too; nullptr: none.
--- a/src/agreement/proposal.cpp
+++ b/src/agreement/proposal.cpp
@@ -5,6 +5,7 @@
 #include <limits>
 
 #include "routing_state/saved_state.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::agreement {
 namespace {
@@ -28,7 +29,7 @@
     case ShardState::kQuarantined:
       return STEP_COOL;
     case ShardState::kOwned:
-      return from.owner == to.owner && from.incarnation == to.incarnation && !from.moves ? STEP_REOPEN
+      return from.owner == to.owner && from.incarnation == to.incarnation && !from.migrating ? STEP_REOPEN
                                                                                          : STEP_HAND_OVER;
   }
   return STEP_NONE;
@@ -51,7 +52,7 @@
     to.set_step(step);
     to.set_owner(wanted[at].owner);
     to.set_life(wanted[at].incarnation);
-    to.set_moves(wanted[at].moves);
+    to.set_moves(wanted[at].migrating);
   }
 }
 
@@ -59,7 +60,7 @@
   const routing::ServerRegistry& members = leading.router->registry();
   for (const routing::ServerStatus& server : members.all()) {
     auto known = agreed.nodes().find(server.node.name);
-    const char* state = routing::name_of(server.state);
+    const char* state = routing_state::stored_name(server.state);
     bool same = known != agreed.nodes().end() && known->second.state() == state &&
                 known->second.life() == server.incarnation && known->second.flaps() == server.flaps &&
                 (known->second.version() == server.version || leading.format < kOutingsFormat) &&
@@ -169,7 +170,7 @@
   Decision out;
   out.set_format(leading.format);
   const fleet::Fleet& fleet = leading.router->fleet();
-  Nanos window = leading.router->window();
+  Nanos window = leading.router->quarantine();
   if (window != agreed.window()) out.set_window_ns(window);
   if (fleet.bounds.forget_proxies != agreed.forget_proxies())
     out.set_forget_proxies_ns(fleet.bounds.forget_proxies);
--- a/src/agreement/proposal.h
+++ b/src/agreement/proposal.h
@@ -68,7 +68,7 @@
 
 struct Leading {
   const routing::Router* router = nullptr;
-  const routing::Published* next = nullptr;  // where the snapshot changed
+  const routing::PublishedSnapshot* next = nullptr;  // where the snapshot changed
   ProxyRegistry* proxies = nullptr;
   std::map<std::uint64_t, AgreedInstance> instances;  // as they say
   std::set<std::uint64_t> members;                    // who belongs
--- a/src/agreement/replicated_state.cpp
+++ b/src/agreement/replicated_state.cpp
@@ -68,12 +68,12 @@
   if (decision.window_ns() > 0) window_ = decision.window_ns();
   if (decision.forget_proxies_ns() > 0) forget_proxies_ = decision.forget_proxies_ns();
   bool incarnations = std::any_of(decision.nodes().begin(), decision.nodes().end(),
-                                  [&](const routing_state::NodeMemory& node) {
+                                  [&](const routing_state::PersistedNode& node) {
                                     auto known = nodes_.find(node.name());
                                     return known == nodes_.end() || known->second.life() != node.life();
                                   });
   if (incarnations || decision.begin_shards() > 0 || decision.shards_size() > 0) owners_epoch_ = epoch_;
-  for (const routing_state::NodeMemory& node : decision.nodes()) nodes_[node.name()] = node;
+  for (const routing_state::PersistedNode& node : decision.nodes()) nodes_[node.name()] = node;
   for (const std::string& name : decision.nodes_gone()) nodes_.erase(name);
 
   if (decision.begin_shards() > kMaxShards) return Verdict::kShards;
@@ -139,11 +139,11 @@
         return Verdict::kTaken;  // since when it is owned stays
       case STEP_CLOSE:
         shard.closed_in = 0;
-        shard.moves = step.moves();
+        shard.migrating = step.moves();
         break;
       case STEP_REOPEN:
         // Who ran its keys goes on with them: nobody else did meanwhile.
-        if (shard.owner.empty() || shard.moves || step.owner() != shard.owner ||
+        if (shard.owner.empty() || shard.migrating || step.owner() != shard.owner ||
             step.life() != shard.incarnation) {
           return Verdict::kShards;
         }
@@ -158,7 +158,7 @@
         shard.owner = step.owner();
         shard.incarnation = step.life();
         shard.closed_in = 0;
-        shard.moves = false;
+        shard.migrating = false;
         break;
       }
       default:
@@ -201,7 +201,7 @@
     to.set_life(shard.incarnation);
     to.set_since_ns(shard.since);
     to.set_closed_in(shard.closed_in);
-    to.set_moves(shard.moves);
+    to.set_moves(shard.migrating);
   }
   *out.mutable_picture() = *picture_;
   for (const auto& [id, gone] : proxies_) {
@@ -229,7 +229,7 @@
   out.time_ = in.time_ns();
   out.window_ = in.window_ns();
   out.forget_proxies_ = in.forget_proxies_ns();
-  for (const routing_state::NodeMemory& node : in.nodes()) out.nodes_[node.name()] = node;
+  for (const routing_state::PersistedNode& node : in.nodes()) out.nodes_[node.name()] = node;
   for (const ShardRecord& shard : in.shards()) {
     if (shard.state() > static_cast<std::uint32_t>(ShardState::kQuarantined)) return false;
     out.shards_.push_back({.state = static_cast<ShardState>(shard.state()),
@@ -237,7 +237,7 @@
                            .incarnation = shard.life(),
                            .since = shard.since_ns(),
                            .closed_in = shard.closed_in(),
-                           .moves = shard.moves()});
+                           .migrating = shard.moves()});
   }
   out.picture_ = std::make_shared<const routing_state::Snapshot>(in.picture());
   for (const ProxyState& proxy : in.proxies()) out.proxies_[proxy.id()] = proxy.gone_since_ns();
--- a/src/agreement/replicated_state.h
+++ b/src/agreement/replicated_state.h
@@ -71,7 +71,7 @@
   std::size_t closed() const;  // shards that nobody may run
   const routing_state::Snapshot& picture() const { return *picture_; }
   std::uint64_t published() const { return picture_->number(); }
-  const std::map<std::string, routing_state::NodeMemory>& nodes() const { return nodes_; }
+  const std::map<std::string, routing_state::PersistedNode>& nodes() const { return nodes_; }
   const std::map<std::string, Nanos>& proxies() const { return proxies_; }  // since when gone, or kHere
   Epoch proxies_epoch() const { return proxies_epoch_; }  // the last that changed proxies(), or a later one
   const MaintenanceState& outings() const { return outings_; }
@@ -92,7 +92,7 @@
   Nanos time_ = 0;
   Nanos window_ = 0;
   Nanos forget_proxies_ = 0;
-  std::map<std::string, routing_state::NodeMemory> nodes_;
+  std::map<std::string, routing_state::PersistedNode> nodes_;
   std::vector<routing::Shard> shards_;
   // Shared: a decision is tried on a copy of the state, and most leave the snapshot as it is.
   std::shared_ptr<const routing_state::Snapshot> picture_ = std::make_shared<const routing_state::Snapshot>();
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "routing_state/saved_state.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::control {
 namespace {
@@ -26,17 +27,17 @@
   row.set_name(replica.node.name);
   row.set_zone(replica.node.zone);
   row.set_address(replica.node.address());
-  row.set_state(routing::name_of(replica.state));
-  row.set_in_state_s(seconds(now - replica.since));
+  row.set_state(routing_state::stored_name(replica.state));
+  row.set_in_state_s(seconds(now - replica.state_since));
   row.set_kept_in(replica.kept_in_rotation);
-  row.set_heard_s_ago(replica.heard_at > 0 ? seconds(now - replica.heard_at) : -1);
-  row.set_mode(replica.heard_at > 0 ? name_of(replica.report.mode) : "unknown");
+  row.set_heard_s_ago(replica.last_report_at > 0 ? seconds(now - replica.last_report_at) : -1);
+  row.set_mode(replica.last_report_at > 0 ? name_of(replica.report.mode) : "unknown");
   row.set_cold(replica.report.warming_up);
   row.set_window(replica.report.window);
   row.set_limit(replica.report.limit);
   row.set_held(replica.report.held);
   row.set_weight(replica.weight);
-  row.set_ramp(replica.ramp);
+  row.set_ramp(replica.slow_start_factor);
   row.set_flaps(replica.flaps);
   row.set_shards(shards);
   return row;
@@ -88,7 +89,7 @@
 
 AdminAnswer AdminQueries::any(const AnswerFacts& facts) const {
   AdminAnswer out;
-  out.set_view(routing::name_of(router_.registry().view()));
+  out.set_view(routing_state::stored_name(router_.registry().view()));
   out.set_published(facts.published);
   out.set_applied_by_all(facts.applied_by_all);
   out.set_shards_closed(static_cast<std::uint32_t>(router_.shards().closed()));
@@ -151,7 +152,7 @@
   }
   for (std::size_t place = 0; place < members.size(); ++place) {
     const routing::ServerStatus& replica = members[place];
-    if (!matches(question, replica.node.zone, routing::name_of(replica.state), replica.node.name)) continue;
+    if (!matches(question, replica.node.zone, routing_state::stored_name(replica.state), replica.node.name)) continue;
     NodeRow row = row_of(replica, shards[place], loop_.now());
     if (pager.next(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
   }
--- a/src/control/admin_query.cpp
+++ b/src/control/admin_query.cpp
@@ -6,6 +6,7 @@
 
 #include "routing/server_registry.h"
 #include "routing/snapshot.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::control {
 namespace {
@@ -58,11 +59,11 @@
   std::vector<std::string_view> out;
   if (topic == Topic::kSnapshot) {
     for (auto health : {routing::Health::kHealthy, routing::Health::kDraining, routing::Health::kOut})
-      out.push_back(routing::name_of(health));
+      out.push_back(routing_state::stored_name(health));
     return out;
   }
   for (int state = 0; state < routing::kStates; ++state)
-    out.push_back(routing::name_of(static_cast<routing::ServerState>(state)));
+    out.push_back(routing_state::stored_name(static_cast<routing::ServerState>(state)));
   return out;
 }
 
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -33,7 +33,7 @@
 const char* why(routing::ServerRegistry::Verdict verdict) {
   using Verdict = routing::ServerRegistry::Verdict;
   switch (verdict) {
-    case Verdict::kTaken:
+    case Verdict::kAccepted:
       return "";
     case Verdict::kUnknownNode:
       return "the fleet file names no such node";
@@ -102,16 +102,16 @@
 
 std::optional<routing::PersistedState> Control::remembered() {
   if (!state_ || state_->found().empty()) return std::nullopt;
-  std::optional<routing_state::SavedState> state = routing_state::unpacked(state_->found());
+  std::optional<routing_state::SavedState> state = routing_state::parse_saved_state(state_->found());
   if (!state) {
     log_.line(options_.state_folder +
               ": a state that makes no sense to this version; nothing is known of who ran what");
     return std::nullopt;
   }
   proxies_before_ = std::move(state->proxies);
-  log_.line("last good state: " + std::to_string(state->memory.snapshot.nodes.size()) + " nodes, " +
+  log_.line("last good state: " + std::to_string(state->routing.snapshot.nodes.size()) + " nodes, " +
             std::to_string(proxies_before_.size()) + " proxies");
-  return std::move(state->memory);
+  return std::move(state->routing);
 }
 
 void Control::serve() {
@@ -170,11 +170,11 @@
 
 // What is refused is told once for each server and reason.
 void Control::take(FrameServer::Id id, net::Connection& connection, const report::LoadReport& report) {
-  auto verdict = router_.reported(report, loop_.now(), net::Loop::unix_now());
+  auto verdict = router_.handle_report(report, loop_.now(), net::Loop::unix_now());
   std::string reason = why(verdict);
-  if (verdict == routing::ServerRegistry::Verdict::kTaken) {
+  if (verdict == routing::ServerRegistry::Verdict::kAccepted) {
     told_.erase(report.node);
-    if (reporters_.names(id, report.node)) router_.report_link(report.node, true, loop_.now());
+    if (reporters_.names(id, report.node)) router_.handle_report_connection(report.node, true, loop_.now());
     // A change of what a server says of itself is not left to wait for the beat.
     std::string word = std::string(name_of(report.mode)) + (report.draining ? " leaving" : "");
     if (std::exchange(words_[report.node], word) != word) {
@@ -194,7 +194,7 @@
 }
 
 void Control::reporter_gone(FrameServer::Id id) {
-  if (std::optional<std::string> node = reporters_.ended(id)) router_.report_link(*node, false, loop_.now());
+  if (std::optional<std::string> node = reporters_.ended(id)) router_.handle_report_connection(*node, false, loop_.now());
 }
 
 // ---- From proxies
@@ -205,11 +205,11 @@
     const routing::ServerStatus* listens =
         node.empty() ? router_.registry().server_at(told.address) : nullptr;
     if (listens) node = listens->node.name;
-    router_.proxies_say({node, told.issued, told.succeeded, told.failed}, loop_.now());
+    router_.handle_proxy_counts({node, told.issued, told.succeeded, told.failed}, loop_.now());
   }
   if (!agreed_) {
     applied_ = discovery_.applied_by_all(router_.fleet().bounds.forget_proxies);
-    router_.applied(applied_);
+    router_.all_proxies_applied(applied_);
     return;
   }
   // All are looked at only where one of them has said something; before they are, so that nothing is missed.
@@ -254,7 +254,7 @@
   Nanos fresh = instance.fresh_for();
   // Made only when it is needed: until then a stream that is new gets nothing.
   if (fresh == 0 && published && (!closed_ || closed_->number != published->number)) {
-    routing::Published closed = *published;
+    routing::PublishedSnapshot closed = *published;
     closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
     closed_ = xds::make_resources(closed, nullptr);
   }
@@ -275,7 +275,7 @@
   discovery_.gate(std::move(gate));
 }
 
-void Control::publish(const routing::Published& published) {
+void Control::publish(const routing::PublishedSnapshot& published) {
   const Nanos begun = loop_.now();
   auto set = xds::make_resources(published, served_.get());
   if (std::string fault = xds::fault_of(*set, served_.get()); !fault.empty()) {
@@ -299,7 +299,7 @@
   hear_proxies();
   if (agreed_) return serve_agreed();
   if (!pacer_.may_publish(loop_.now())) {
-    router_.watch(loop_.now());
+    router_.observe(loop_.now());
   } else if (auto next = router_.step(loop_.now())) {
     waiting_ = std::move(next);
   }
@@ -318,7 +318,7 @@
   if (!soon && loop_.now() - tried_at_ < kKeepEvery) return;
   tried_at_ = loop_.now();
   covered_ = waiting_;
-  keeping_ = routing_state::packed({router_.memory(), discovery_.known()});
+  keeping_ = routing_state::serialize({router_.persisted_state(), discovery_.known()});
   keeping_ == kept_ ? kept(true) : state_->keep(keeping_);
 }
 
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -69,7 +69,7 @@
   void keep();
   void kept(bool durable);
   void serve();
-  void publish(const routing::Published& published);
+  void publish(const routing::PublishedSnapshot& published);
   void serve_agreed();
   void order(net::Connection& connection, const report::LoadReport& report);
   void gate(Nanos fresh_until);
@@ -95,12 +95,12 @@
   ReporterLinks reporters_;
   std::map<std::string, std::string> words_;  // server -> mode as it said last
   std::map<std::string, std::string> told_;   // server -> why its reports are refused, as logged last
-  std::shared_ptr<const routing::Published> waiting_;  // decided, not yet kept on disk
+  std::shared_ptr<const routing::PublishedSnapshot> waiting_;  // decided, not yet kept on disk
   std::shared_ptr<const xds::ResourceSet> served_;
   std::shared_ptr<const xds::ResourceSet> closed_;     // the same without an open shard
   std::string kept_;                                   // as it is on disk
   std::string keeping_;                                // on its way there
-  std::shared_ptr<const routing::Published> covered_;  // is known again from what is on its way
+  std::shared_ptr<const routing::PublishedSnapshot> covered_;  // is known again from what is on its way
   bool disk_fails_ = false;
   Nanos tried_at_ = 0;
   PublicationPacer pacer_;
--- a/src/fencing/fencing_guard.cpp
+++ b/src/fencing/fencing_guard.cpp
@@ -14,21 +14,21 @@
   return out;
 }
 
-FencingGuard::Verdict FencingGuard::take(const ShardAssignment& order, std::uint64_t own_incarnation) {
-  if (order_ && order.epoch < order_->epoch) return Verdict::kOld;
-  if (order_ && order.epoch == order_->epoch) return Verdict::kKnown;
-  if (order.incarnation != own_incarnation) return Verdict::kOtherIncarnation;
-  order_ = order;
-  own_.assign(std::size_t{1} << (4 * order.shard_digits), false);
-  for (std::uint16_t shard : order.shards) {
+FencingGuard::Verdict FencingGuard::accept(const ShardAssignment& assignment, std::uint64_t own_incarnation) {
+  if (assignment_ && assignment.epoch < assignment_->epoch) return Verdict::kStale;
+  if (assignment_ && assignment.epoch == assignment_->epoch) return Verdict::kDuplicate;
+  if (assignment.incarnation != own_incarnation) return Verdict::kOtherIncarnation;
+  assignment_ = assignment;
+  own_.assign(std::size_t{1} << (4 * assignment.shard_digits), false);
+  for (std::uint16_t shard : assignment.shards) {
     if (shard < own_.size()) own_[shard] = true;
   }
-  return Verdict::kTaken;
+  return Verdict::kAccepted;
 }
 
 bool FencingGuard::admits(std::string_view key) const {
-  if (!order_) return false;
-  std::optional<std::uint16_t> shard = shard_of(key, order_->shard_digits);
+  if (!assignment_) return false;
+  std::optional<std::uint16_t> shard = shard_of(key, assignment_->shard_digits);
   return shard && *shard < own_.size() && own_[*shard];
 }
 
--- a/src/fencing/fencing_guard.h
+++ b/src/fencing/fencing_guard.h
@@ -35,24 +35,24 @@
 class FencingGuard {
  public:
   enum class Verdict {
-    kTaken,
-    kKnown,            // the one that is in force
-    kOld,              // of an earlier epoch: whoever sent it has been left behind
+    kAccepted,
+    kDuplicate,        // the one that is in force
+    kStale,            // of an earlier epoch: whoever sent it has been left behind
     kOtherIncarnation  // meant for an earlier incarnation of this server, or a later one
   };
-  Verdict take(const ShardAssignment& order, std::uint64_t own_incarnation);
+  Verdict accept(const ShardAssignment& assignment, std::uint64_t own_incarnation);
   // From an earlier incarnation, whose keys this one knows from its store.
-  void restore(const ShardAssignment& order) {
-    order_.reset();
-    take(order, order.incarnation);
+  void restore(const ShardAssignment& assignment) {
+    assignment_.reset();
+    accept(assignment, assignment.incarnation);
   }
 
   // Without an order nothing is its own: nobody knows what ran here before.
   bool admits(std::string_view key) const;
-  const std::optional<ShardAssignment>& order() const { return order_; }
+  const std::optional<ShardAssignment>& assignment() const { return assignment_; }
 
  private:
-  std::optional<ShardAssignment> order_;
+  std::optional<ShardAssignment> assignment_;
   std::vector<bool> own_;
 };
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -166,7 +166,7 @@
 Tenant read_tenant(Part part) {
   Tenant tenant;
   tenant.name = name_in(part);
-  tenant.share = part.number("share", 0, 1);
+  tenant.quota = part.number("share", 0, 1);
   part.nothing_else();
   return tenant;
 }
@@ -180,12 +180,12 @@
   return service;
 }
 
-Outings read_outings(Part part) {
-  Outings out;
+MaintenanceOptions read_maintenance(Part part) {
+  MaintenanceOptions out;
   out.max_unavailable = max_unavailable_in(part, "most_out", out.max_unavailable);
   out.zone_max_unavailable = max_unavailable_in(part, "zone_most_out", out.zone_max_unavailable);
   out.reserve = part.number_or("reserve", out.reserve, 0, 0.9);
-  out.permit_lasts = part.millis_or("permit_lasts_ms", out.permit_lasts, 1000, kLongest);
+  out.lease_duration = part.millis_or("permit_lasts_ms", out.lease_duration, 1000, kLongest);
   part.nothing_else();
   return out;
 }
@@ -195,8 +195,8 @@
   out.lost_after = part.millis_or("silent_ms", out.lost_after, 100, 60'000);
   out.unresponsive_after = part.millis_or("mute_ms", out.unresponsive_after, 100, 60'000);
   out.dwell = part.millis_or("dwell_ms", out.dwell, 0, kLongest);
-  out.ramp = part.millis_or("ramp_ms", out.ramp, 0, kLongest);
-  out.ramp_from = part.number_or("ramp_from", out.ramp_from, 0.01, 1);
+  out.slow_start = part.millis_or("ramp_ms", out.slow_start, 0, kLongest);
+  out.initial_slow_start_factor = part.number_or("ramp_from", out.initial_slow_start_factor, 0.01, 1);
   out.max_unavailable = part.number_or("most_out", out.max_unavailable, 0, 0.9);
   out.partitioned_at = part.number_or("isolated_at", out.partitioned_at, 0.1, 1);
   out.weight_step = part.number_or("weight_step", out.weight_step, 0.01, 10);
@@ -209,7 +209,7 @@
   out.max_migrating = part.number_or("most_moving", out.max_migrating, 0, 1);
   out.forget_proxies = part.millis_or("forget_proxies_ms", out.forget_proxies, 0, kLongest);
   out.clock_skew = part.millis_or("clock_skew_ms", out.clock_skew, 1, kLongest);
-  out.settle = part.millis_or("settle_ms", out.settle, 10, 10'000);
+  out.publish_interval = part.millis_or("settle_ms", out.publish_interval, 10, 10'000);
   part.nothing_else();
   return out;
 }
@@ -310,11 +310,11 @@
   }
   out.tenants = read_list<Tenant>(root, "customers", kMaxTenants, read_tenant);
   double shares = 0;
-  for (const Tenant& tenant : out.tenants) shares += tenant.share;
+  for (const Tenant& tenant : out.tenants) shares += tenant.quota;
   if (shares > 1 + 1e-9) root.bad("customers", "have shares of more than 1 together");
   out.services = read_list<Service>(root, "services", kMaxRequestClasses, read_service);
   for (Service& service : out.services) name_nodes(root, index, service);
-  if (auto outings = root.part_if("outings")) out.outings = read_outings(*outings);
+  if (auto outings = root.part_if("outings")) out.maintenance = read_maintenance(*outings);
   if (auto bounds = root.part_if("bounds")) out.bounds = read_bounds(*bounds);
   root.nothing_else();
   return out;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -40,13 +40,13 @@
 };
 
 // What may be out by choice: drains and releases (docs/releases.md).
-struct Outings {
+struct MaintenanceOptions {
   MaxUnavailable max_unavailable{.by_count = false, .max = 0.1};
   MaxUnavailable zone_max_unavailable;
-  double reserve = 0.1;                // of what stays, that must be to spare at the load of the moment
-  Nanos permit_lasts = 120'000 * kMs;  // at least; one that is in use is drawn out
+  double reserve = 0.1;                  // of what stays, that must be to spare at the load of the moment
+  Nanos lease_duration = 120'000 * kMs;  // at least; one that is in use is drawn out
 
-  bool operator==(const Outings&) const = default;
+  bool operator==(const MaintenanceOptions&) const = default;
 };
 
 struct RequestClass {
@@ -67,19 +67,19 @@
 
 struct Tenant {
   std::string name;
-  double share = 0;  // of the fleet, from 0 to 1
+  double quota = 0;  // share of the fleet, from 0 to 1
 
   bool operator==(const Tenant&) const = default;
 };
 
 // How much may change, and how quickly.
 struct Bounds {
-  Nanos lost_after = 1000 * kMs;          // without a report, a server is out
-  Nanos unresponsive_after = 1500 * kMs;  // takes requests and answers none for this long, and it is out
-  Nanos dwell = 2000 * kMs;               // at least this long out before a server is let in again
-  Nanos ramp = 10'000 * kMs;              // of a server that comes in cold
-  double ramp_from = 0.1;                 // share of its weight that a cold server starts at
-  double max_unavailable = 0.34;          // share of the capacity that may be out by our own choice
+  Nanos lost_after = 1000 * kMs;           // without a report, a server is out
+  Nanos unresponsive_after = 1500 * kMs;   // takes requests and answers none for this long, and it is out
+  Nanos dwell = 2000 * kMs;                // at least this long out before a server is let in again
+  Nanos slow_start = 10'000 * kMs;         // of a server that comes in cold
+  double initial_slow_start_factor = 0.1;  // share of its weight that a cold server starts at
+  double max_unavailable = 0.34;           // share of the capacity that may be out by our own choice
   double partitioned_at = 0.5;           // share of the servers silent at once: then it is we who are cut off
   double weight_step = 0.2;              // a second: how quickly a weight may follow
   double min_weight = 0.1;               // share of its capacity that a server in service keeps
@@ -91,7 +91,7 @@
   double max_migrating = 0.05;           // share of the shards that may be closed to even out the load
   Nanos forget_proxies = 600'000 * kMs;  // a proxy that is gone may still send by its last set for this long
   Nanos clock_skew = 2000 * kMs;         // a server's clock may be ahead of ours by this much
-  Nanos settle = 200 * kMs;              // changes that come together are served together
+  Nanos publish_interval = 200 * kMs;              // changes that come together are served together
 
   bool operator==(const Bounds&) const = default;
 };
@@ -104,7 +104,7 @@
   std::vector<Tenant> tenants;
   std::vector<Service> services;
   bool service_listeners = false;  // callers may ask for one service by its name; with subsetting only
-  Outings outings;
+  MaintenanceOptions maintenance;
   Bounds bounds;
 
   bool operator==(const Fleet&) const = default;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -98,12 +98,12 @@
                    std::to_string(order.epoch.number));
       return;
     }
-    fencing::FencingGuard::Verdict verdict = gate.fence.take(order, reporter.incarnation());
+    fencing::FencingGuard::Verdict verdict = gate.fence.accept(order, reporter.incarnation());
     std::string figures = "epoch " + std::to_string(order.epoch.number) + " of term " +
                           std::to_string(order.epoch.term) + ", " + std::to_string(order.shards.size()) +
                           " shards";
-    if (verdict == fencing::FencingGuard::Verdict::kOld) log.frequent("an order is too old: " + figures);
-    if (verdict != fencing::FencingGuard::Verdict::kTaken) return;
+    if (verdict == fencing::FencingGuard::Verdict::kStale) log.frequent("an order is too old: " + figures);
+    if (verdict != fencing::FencingGuard::Verdict::kAccepted) return;
     log.frequent("acts on " + figures);
     reporter.acts_on(order.epoch);
     if (records) records->keep_order(report::encode(order));
@@ -119,7 +119,7 @@
         records->order(),
         {.report = {}, .order = [&](const fencing::ShardAssignment& order) { gate.fence.restore(order); }},
         malformed);
-    if (gate.fence.order()) reporter.acts_on(gate.fence.order()->epoch);
+    if (gate.fence.assignment()) reporter.acts_on(gate.fence.assignment()->epoch);
   }
   std::string how = "stopped";
   net::Timer last_moment(loop.base(), [&] {
--- a/src/releases/canary_analysis.cpp
+++ b/src/releases/canary_analysis.cpp
@@ -56,7 +56,7 @@
 }
 
 void CanaryAnalysis::start(Base& base, const routing::ServerStatus& server, Nanos now) {
-  base.counts = server.whole();
+  base.counts = server.at_full_capacity();
   base.since = now;
   base.report = server.report;
 }
@@ -71,8 +71,8 @@
   for (const routing::ServerStatus& server : servers) {
     Base& base = bases_[server.node.name];
     bool same = base.report.incarnation == server.report.incarnation;
-    if (base.counts && same && routing::has_failed(server.state) && !server.called_out) base.fell = true;
-    if (server.whole() != base.counts || !same) start(base, server, now);
+    if (base.counts && same && routing::has_failed(server.state) && !server.out_for_maintenance) base.fell = true;
+    if (server.at_full_capacity() != base.counts || !same) start(base, server, now);
   }
 }
 
--- a/src/releases/disruption_budget.cpp
+++ b/src/releases/disruption_budget.cpp
@@ -22,8 +22,8 @@
     all.insert(node.name);
     zones[node.zone].insert(node.name);
   }
-  tell("fleet", fleet.outings.max_unavailable, all);
-  for (const auto& [zone, nodes] : zones) tell("zone " + zone, fleet.outings.zone_max_unavailable, nodes);
+  tell("fleet", fleet.maintenance.max_unavailable, all);
+  for (const auto& [zone, nodes] : zones) tell("zone " + zone, fleet.maintenance.zone_max_unavailable, nodes);
   for (const fleet::RequestClass& request_class : fleet.request_classes) {
     if (request_class.max_unavailable != fleet::MaxUnavailable{})
       tell("group " + request_class.name, request_class.max_unavailable, all);
@@ -70,7 +70,7 @@
   for (const routing::ServerStatus& server : servers) {
     capacities_[server.node.name] = server.node.capacity;
     limits_[server.node.name] = server.report.limit;
-    if (chosen.contains(server.node.name) || !server.whole()) {
+    if (chosen.contains(server.node.name) || !server.at_full_capacity()) {
       out_.insert(server.node.name);
       if (server.state == routing::ServerState::kUnhealthy ||
           server.state == routing::ServerState::kUnresponsive)
@@ -78,12 +78,12 @@
     } else {
       whole_ += server.report.limit;
     }
-    if (server.heard_at == 0) continue;
+    if (server.last_report_at == 0) continue;
     // What is rejected comes again, elsewhere too: counted once for each share rejected, and not as often as
     // it is read.
-    double read = server.read.read(server.heard_at);
-    double rejected = read > 1 ? std::min(1.0, server.rejected.read(server.heard_at) / read) : 0;
-    busy_ += server.asked_of(server.heard_at) * (1 + rejected);
+    double read = server.reported.received.read(server.last_report_at);
+    double rejected = read > 1 ? std::min(1.0, server.reported.rejected.read(server.last_report_at) / read) : 0;
+    busy_ += server.mean_requests(server.last_report_at) * (1 + rejected);
   }
   each_part(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
                        std::set<std::string> nodes) { add(name, max, std::move(nodes)); });
--- a/src/releases/rollout_controller.cpp
+++ b/src/releases/rollout_controller.cpp
@@ -104,7 +104,7 @@
 bool RolloutController::other_incarnation(const RolloutContext& context, const std::string& node,
                                           const MaintenanceLease& lease) const {
   const ServerStatus* server = context.server(node);
-  return server && server->heard_at > 0 && server->incarnation != lease.incarnation;
+  return server && server->last_report_at > 0 && server->incarnation != lease.incarnation;
 }
 
 // Heard of after it was shown out to every proxy.
@@ -112,7 +112,7 @@
                                 const MaintenanceLease& lease) const {
   const ServerStatus* server = context.server(node);
   bool told = lease.shown_in != 0 && context.view.applied >= lease.shown_in;
-  return told && server && server->heard_at > 0 && server->report.held == 0 && server->report.running == 0;
+  return told && server && server->last_report_at > 0 && server->report.held == 0 && server->report.running == 0;
 }
 
 bool RolloutController::empty_late(const RolloutContext& context, const std::string&,
@@ -142,13 +142,13 @@
   const ServerStatus* server = context.server(node);
   return back_late(context, node, lease) && server && server->incarnation == lease.incarnation &&
          !server->report.draining &&
-         context.view.now - server->heard_at <= context.view.router.fleet().bounds.lost_after;
+         context.view.now - server->last_report_at <= context.view.router.fleet().bounds.lost_after;
 }
 
 bool RolloutController::serving(const RolloutContext& context, const std::string& node,
                                 const MaintenanceLease&) const {
   const ServerStatus* server = context.server(node);
-  return server && server->whole();
+  return server && server->at_full_capacity();
 }
 
 // One that had its order may be on its way out without anybody knowing yet.
@@ -159,13 +159,13 @@
 
 bool RolloutController::warm_late(const RolloutContext& context, const std::string&,
                                   const MaintenanceLease& lease) const {
-  Nanos limit = lease.why == agreement::WHY_DRAIN ? context.view.router.fleet().outings.permit_lasts
+  Nanos limit = lease.why == agreement::WHY_DRAIN ? context.view.router.fleet().maintenance.lease_duration
                                                   : context.plan.warm_within_ns();
   return context.in_place(lease) >= limit;
 }
 
 void RolloutController::draft_trips(const RolloutContext& context, Decision& out) {
-  Nanos lasts = context.view.router.fleet().outings.permit_lasts;
+  Nanos lasts = context.view.router.fleet().maintenance.lease_duration;
   for (const auto& [node, lease] : context.outings.leases()) {
     agreement::MaintenanceStep step;
     for (const TripRow& row : kTrips) {
@@ -347,7 +347,7 @@
     // The newest first: what went last has been looked at least.
     for (auto one = context.release.taken().rbegin(); one != context.release.taken().rend(); ++one) {
       const ServerStatus* server = context.server(one->node());
-      bool there = server && server->heard_at > 0 && server->report.obeys;
+      bool there = server && server->last_report_at > 0 && server->report.obeys;
       if (there && one->failed().empty() && server->version != one->from_version() &&
           !context.chosen.contains(one->node()))
         out.push_back(one->node());
@@ -370,7 +370,7 @@
     if (has || failed) {
       reached += capacity;
       ++taken;
-    } else if (!lease && server.whole() && server.report.obeys) {
+    } else if (!lease && server.at_full_capacity() && server.report.obeys) {
       spread.emplace(zones[server.node.zone]++, std::make_pair(server.node.name, capacity));
     }
   }
@@ -389,7 +389,7 @@
 void RolloutController::draft_grants(const RolloutContext& context, Decision& out) {
   refusal_.clear();
   // Whoever sees only a part of the fleet lets nobody go.
-  if (context.view.router.registry().view() != routing::View::kClear) {
+  if (context.view.router.registry().view() != routing::View::kConnected) {
     refusal_ = "too few nodes are heard";
     return;
   }
@@ -410,11 +410,11 @@
     step.set_version(version);
     step.set_for_ns(lasts);
   };
-  const fleet::Outings& options = context.view.router.fleet().outings;
+  const fleet::MaintenanceOptions& options = context.view.router.fleet().maintenance;
   for (const std::string& node : context.outings.drains()) {
     const ServerStatus* server = context.server(node);
-    if (server && server->heard_at > 0 && !context.chosen.contains(node))
-      grant(node, agreement::WHY_DRAIN, 0, options.permit_lasts, options.reserve);
+    if (server && server->last_report_at > 0 && !context.chosen.contains(node))
+      grant(node, agreement::WHY_DRAIN, 0, options.lease_duration, options.reserve);
   }
   if (!context.outings.under_way()) return;
   const Plan& plan = context.plan;
@@ -469,7 +469,7 @@
   DisruptionBudget room(fleet, context.view.router.registry().all(), context.chosen);
   std::string refusal;
   for (const std::string& node : nodes) {
-    if (refusal.empty()) refusal = room.refusal(node, fleet.outings.reserve);
+    if (refusal.empty()) refusal = room.refusal(node, fleet.maintenance.reserve);
     room.take(node);
   }
   return said + (refusal.empty() ? "go out" : "are to go out, as soon as the budgets allow it: " + refusal);
@@ -491,7 +491,7 @@
     if (!read_told(rest, *step.mutable_plan())) return refused("the plan makes no sense to this version");
     step.set_input(agreement::RELEASE_START);
     std::size_t deaf = 0;
-    for (const auto& [node, server] : context.servers) deaf += server->heard_at > 0 && !server->report.obeys;
+    for (const auto& [node, server] : context.servers) deaf += server->last_report_at > 0 && !server->report.obeys;
     if (deaf > 0)
       return refused(std::to_string(deaf) + " nodes take no orders: obey = true in their settings");
     return "release " + std::to_string(now.id() + 1) + " '" + step.plan().name() + "' begins";
@@ -575,8 +575,8 @@
     for (const std::string& node : service.used_by) {
       const ServerStatus* server = context.server(node);
       if (!server || !server->in_service() || (under_way && context.has_version(*server))) continue;
-      ran += server->ran.read(context.view.now);
-      in_time += server->in_time.read(context.view.now);
+      ran += server->reported.answered.read(context.view.now);
+      in_time += server->reported.in_time.read(context.view.now);
     }
     Below& below = below_[service.name];
     below.now = ran < kMinRan ? below.at_start : std::clamp(1 - in_time / ran, 0.0, 1.0);
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -24,9 +24,9 @@
   double read = 0;
   double rejected = 0;
   for (const ServerStatus& server : registry.all()) {
-    if (!server.in_service() || server.heard_at == 0) continue;
-    read += server.read.read(now);
-    rejected += server.rejected.read(now);
+    if (!server.in_service() || server.last_report_at == 0) continue;
+    read += server.reported.received.read(now);
+    rejected += server.reported.rejected.read(now);
   }
   if (read >= kFewReads) {
     double share = rejected / read;
@@ -70,8 +70,8 @@
                                         Nanos now) {
   std::vector<double> reads(fleet.request_classes.size());
   for (const ServerStatus& server : registry.all()) {
-    if (!server.in_service() || server.heard_at == 0) continue;
-    double read = server.read.read(now);
+    if (!server.in_service() || server.last_report_at == 0) continue;
+    double read = server.reported.received.read(now);
     for (const RequestClassShare& one : server.request_class_shares) {
       if (one.request_class >= 0) reads[static_cast<std::size_t>(one.request_class)] += read * one.share;
     }
--- /dev/null
+++ b/src/routing/panic_threshold.cpp
@@ -0,0 +1,24 @@
+// The count of the capacity that is out.
+#include "routing/panic_threshold.h"
+
+namespace myrtlecroft::routing {
+namespace {
+
+constexpr double kRounding = 1e-9;  // of a sum of capacities
+
+}  // namespace
+
+void PanicThreshold::recount(const std::vector<ServerStatus>& servers) {
+  capacity_ = 0;
+  out_ = 0;
+  for (const ServerStatus& server : servers) {
+    capacity_ += server.node.capacity;
+    add(server);
+  }
+}
+
+bool PanicThreshold::may_be_out(const ServerStatus& server, double max_unavailable) const {
+  return out_ + server.node.capacity <= max_unavailable * capacity_ + kRounding;
+}
+
+}  // namespace myrtlecroft::routing
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -13,8 +13,8 @@
 RetryPolicy retry_policy_for(const fleet::RequestClass& request_class, const fleet::Bounds& bounds) {
   RetryPolicy rule;
   rule.retries = bounds.max_retries;
-  rule.wait_min = std::min(kMinWait, request_class.client_timeout / 10);
-  rule.wait_max = std::min(kMaxWait, request_class.client_timeout / 4);
+  rule.backoff_min = std::min(kMinWait, request_class.client_timeout / 10);
+  rule.backoff_max = std::min(kMaxWait, request_class.client_timeout / 4);
   switch (request_class.idempotency) {
     case Idempotency::kNone:
       rule.on = {RetryOn::kNeverSent, RetryOn::kRejected};
@@ -29,9 +29,9 @@
       // A try gets its latency objective at least: cut shorter, work that is merely slow would be done
       // several times.
       if (rule.retries > 0)
-        rule.per_try =
+        rule.per_attempt_timeout =
             std::max(request_class.latency_objective, request_class.client_timeout / (1 + rule.retries));
-      if (rule.per_try >= request_class.client_timeout) rule.per_try = 0;
+      if (rule.per_attempt_timeout >= request_class.client_timeout) rule.per_attempt_timeout = 0;
       break;
   }
   return rule;
--- /dev/null
+++ b/src/routing/server_status.cpp
@@ -0,0 +1,30 @@
+// The wording of server states, and sums over one report.
+#include "routing/server_status.h"
+
+#include <algorithm>
+
+namespace myrtlecroft::routing {
+
+const char* name_of(ServerState state) {
+  constexpr const char* names[kStates] = {"assumed healthy", "slow start",   "serving", "draining",
+                                          "unhealthy",       "unresponsive", "lost"};
+  return names[static_cast<std::size_t>(state)];
+}
+
+ReportTotals totals_of(const report::LoadReport& report) {
+  ReportTotals out;
+  for (const report::RequestClassCounts& counts : report.request_classes) {
+    out.received += counts.read;
+    out.rejected += counts.rejected;
+    out.answered += counts.rejected + counts.completed + counts.terminated;
+    out.in_time += counts.in_time;
+  }
+  return out;
+}
+
+std::uint64_t unanswered(const report::LoadReport& report) {
+  ReportTotals totals = totals_of(report);
+  return totals.received - std::min(totals.received, totals.answered);
+}
+
+}  // namespace myrtlecroft::routing
--- a/src/routing/shards.cpp
+++ b/src/routing/shards.cpp
@@ -1,26 +1,29 @@
+// The table of shard states and the step that walks it for each shard.
 #include "routing/shards.h"
 
 #include <algorithm>
 
 namespace myrtlecroft::routing {
+namespace {
 
-const char* name_of(ShardState state) {
-  constexpr const char* names[] = {"owned", "closing", "cooling"};
-  return names[static_cast<std::size_t>(state)];
+const ServerStatus* server_at(const std::vector<ServerStatus>& servers, int place) {
+  return place == kNobody ? nullptr : &servers[static_cast<std::size_t>(place)];
 }
 
-// An owner that is only unheard of, and comes back as the life it was, still knows its keys: the shard opens
-// at once. One that lost them is treated like any other server.
-const std::vector<Shards::Step> Shards::kSteps = {
-    {ShardState::kOwned, Input::kOwnerOut, ShardState::kClosing, &Shards::close},
-    {ShardState::kOwned, Input::kEvenOut, ShardState::kClosing, &Shards::move},
-    {ShardState::kClosing, Input::kOwnerBack, ShardState::kOwned, &Shards::reopen},
-    {ShardState::kClosing, Input::kAllApplied, ShardState::kQuarantined, &Shards::cool},
-    {ShardState::kQuarantined, Input::kOwnerBack, ShardState::kOwned, &Shards::reopen},
-    {ShardState::kQuarantined, Input::kCooled, ShardState::kOwned, &Shards::hand_over},
+}  // namespace
+
+// An owner that was only silent, and comes back as the same incarnation, still knows its keys: the shard
+// opens at once. One that lost them is treated like any other server.
+const std::vector<Shards::Row> Shards::kRows = {
+    {ShardState::kOwned, Event::kOwnerOut, ShardState::kClosing, &Shards::close},
+    {ShardState::kOwned, Event::kRebalance, ShardState::kClosing, &Shards::close_to_migrate},
+    {ShardState::kClosing, Event::kOwnerBack, ShardState::kOwned, &Shards::reopen},
+    {ShardState::kClosing, Event::kAppliedByAll, ShardState::kQuarantined, &Shards::quarantine},
+    {ShardState::kQuarantined, Event::kOwnerBack, ShardState::kOwned, &Shards::reopen},
+    {ShardState::kQuarantined, Event::kQuarantineOver, ShardState::kOwned, &Shards::transfer},
 };
 
-// Owners are kept by name where they are agreed on or kept on disk, and looked up once for each fleet file.
+// Owners are agreed on and stored by name, and looked up once for each fleet file.
 void Shards::find_owners(const ServerRegistry& registry) {
   if (layout_ == registry.layout()) return;
   layout_ = registry.layout();
@@ -29,56 +32,57 @@
   }
 }
 
-Shards::Input Shards::input_of(std::size_t at, const std::vector<ServerStatus>& registry,
-                               const Terms& options, std::uint64_t applied) {
+// An incarnation that is learned only now is the one that has had the shard from the start.
+void Shards::learn_incarnation(std::size_t at, const Servers& servers) {
+  const ServerStatus* owner = server_at(servers, owners_[at]);
   Shard& shard = shards_[at];
-  auto server = [&](int place) {
-    return place == kNobody ? nullptr : &registry[static_cast<std::size_t>(place)];
-  };
-  const ServerStatus* owner = server(owners_[at]);
-  successor_place_ = winners_.winner(at);
-  successor_ = server(successor_place_);
-  // A life that is learned of only now is the one that had the shard from the start.
   if (owner && shard.incarnation == 0 && shard.state == ShardState::kOwned)
     shard.incarnation = owner->incarnation;
-  bool knows_keys =
-      owner && owner->in_service() && shard.incarnation != 0 && owner->incarnation == shard.incarnation;
-  switch (shard.state) {
-    case ShardState::kOwned: {
-      if (!owner || !owner->in_service() ||
-          (shard.incarnation != 0 && owner->incarnation != shard.incarnation)) {
-        return Input::kOwnerOut;
-      }
-      // One whose load is still cut for being new or cold takes no more over.
-      bool ready = successor_ && successor_ != owner && successor_->state == ServerState::kServing;
-      auto max = static_cast<std::size_t>(options.max_migrating * static_cast<double>(shards_.size()));
-      return ready && moving_ < max ? Input::kEvenOut : Input::kNone;
-    }
-    case ShardState::kClosing:
-      if (knows_keys && !shard.moves) return Input::kOwnerBack;
-      return shard.closed_in != 0 && applied >= shard.closed_in ? Input::kAllApplied : Input::kNone;
-    case ShardState::kQuarantined:
-      if (knows_keys && !shard.moves) return Input::kOwnerBack;
-      if (now_ - shard.since < options.window) return Input::kNone;
-      return successor_ ? Input::kCooled : Input::kNone;
+}
+
+Shards::Event Shards::event_of(std::size_t at, const Servers& servers, const StepOptions& options) const {
+  const Shard& shard = shards_[at];
+  const ServerStatus* owner = server_at(servers, owners_[at]);
+  const ServerStatus* successor = server_at(servers, winners_.winner(at));
+  const bool in_service = owner && owner->in_service();
+  const bool same_incarnation = owner && owner->incarnation == shard.incarnation;
+  if (shard.state == ShardState::kOwned) {
+    if (!in_service || (shard.incarnation != 0 && !same_incarnation)) return Event::kOwnerOut;
+    // A successor whose weight is still reduced, in slow start or warming up, gets no shards from others.
+    bool ready = successor && successor != owner && successor->state == ServerState::kServing;
+    auto max = static_cast<std::size_t>(options.max_migrating * static_cast<double>(shards_.size()));
+    return ready && migrating_ < max ? Event::kRebalance : Event::kNone;
+  }
+  const bool has_keys = in_service && shard.incarnation != 0 && same_incarnation;
+  if (has_keys && !shard.migrating) return Event::kOwnerBack;
+  if (shard.state == ShardState::kClosing) {
+    bool applied = shard.closed_in != 0 && options.applied >= shard.closed_in;
+    return applied ? Event::kAppliedByAll : Event::kNone;
   }
-  return Input::kNone;
+  bool over = now_ - shard.since >= options.quarantine;
+  return over && successor ? Event::kQuarantineOver : Event::kNone;
 }
 
-void Shards::close(Shard& shard) { shard.closed_in = 0; }
+void Shards::close(std::size_t at, const Servers&) { shards_[at].closed_in = 0; }
 
-void Shards::move(Shard& shard) {
-  shard.closed_in = 0;
-  shard.moves = true;
-  ++moving_;
+void Shards::close_to_migrate(std::size_t at, const Servers&) {
+  shards_[at].closed_in = 0;
+  shards_[at].migrating = true;
+  ++migrating_;
 }
 
-void Shards::hand_over(Shard& shard) {
-  owners_[static_cast<std::size_t>(&shard - shards_.data())] = successor_place_;
-  shard.owner = successor_->node.name;
-  shard.incarnation = successor_->incarnation;
+void Shards::reopen(std::size_t at, const Servers&) { shards_[at].closed_in = 0; }
+
+void Shards::quarantine(std::size_t, const Servers&) {}
+
+void Shards::transfer(std::size_t at, const Servers& servers) {
+  Shard& shard = shards_[at];
+  owners_[at] = winners_.winner(at);
+  const ServerStatus& successor = servers[static_cast<std::size_t>(owners_[at])];
+  shard.owner = successor.node.name;
+  shard.incarnation = successor.incarnation;
   shard.closed_in = 0;
-  shard.moves = false;
+  shard.migrating = false;
 }
 
 void Shards::reset(std::size_t count) {
@@ -90,34 +94,32 @@
   layout_ = 0;
 }
 
-void Shards::first_owners(const ServerRegistry& registry) {
+void Shards::assign_initial_owners(const ServerRegistry& registry) {
   find_owners(registry);
   winners_.follow(registry);
   for (std::size_t at = 0; at < shards_.size(); ++at) {
-    successor_place_ = winners_.winner(at);
-    if (successor_place_ == kNobody) continue;
-    successor_ = &registry.all()[static_cast<std::size_t>(successor_place_)];
-    hand_over(shards_[at]);
+    if (winners_.winner(at) != kNobody) transfer(at, registry.all());
   }
 }
 
-bool Shards::step(const ServerRegistry& registry, const Terms& options, std::uint64_t applied, Nanos now) {
-  now_ = std::max(now_, now);
+bool Shards::step(const ServerRegistry& registry, const StepOptions& options) {
+  now_ = std::max(now_, options.now);
   find_owners(registry);
-  if (options.window == 0) return false;
-  moving_ = static_cast<std::size_t>(
-      std::count_if(shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.moves; }));
+  if (options.quarantine == 0) return false;
+  migrating_ = static_cast<std::size_t>(
+      std::count_if(shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.migrating; }));
   winners_.follow(registry);
   bool changed = false;
   for (std::size_t at = 0; at < shards_.size(); ++at) {
-    Input input = input_of(at, registry.all(), options, applied);
+    learn_incarnation(at, registry.all());
+    Event event = event_of(at, registry.all(), options);
+    if (event == Event::kNone) continue;
     Shard& shard = shards_[at];
-    if (input == Input::kNone) continue;
-    for (const Step& row : kSteps) {
-      if (row.state != shard.state || row.input != input) continue;
+    for (const Row& row : kRows) {
+      if (row.state != shard.state || row.event != event) continue;
       shard.state = row.next;
       shard.since = now_;
-      (this->*row.idempotency)(shard);
+      (this->*row.action)(at, registry.all());
       changed = true;
       break;
     }
@@ -131,7 +133,7 @@
   }
 }
 
-const std::string* Shards::open_at(std::size_t at) const {
+const std::string* Shards::open_owner(std::size_t at) const {
   const Shard& shard = shards_[at];
   return shard.state == ShardState::kOwned && !shard.owner.empty() ? &shard.owner : nullptr;
 }
--- a/src/routing/snapshot.cpp
+++ b/src/routing/snapshot.cpp
@@ -1,3 +1,4 @@
+// The check of a snapshot before it is served, and the wording of its errors.
 #include "routing/snapshot.h"
 
 #include <algorithm>
@@ -7,18 +8,64 @@
 namespace myrtlecroft::routing {
 namespace {
 
-// What makes a group's servers unfit, as one line; empty when nothing does.
-std::string fault_of_servers(const RequestClassRoute& request_class, std::size_t nodes) {
-  if (request_class.idempotency == Idempotency::kKeyed &&
-      (!request_class.servers.all() || request_class.subset_size > 0)) {
-    return "group " + request_class.name + " has owners and servers of its own";
+using Kind = SnapshotError::Kind;
+
+std::optional<SnapshotError> find_error_in(const std::vector<NodeRoute>& nodes) {
+  std::set<std::string> names;
+  bool any_healthy = false;
+  for (const NodeRoute& node : nodes) {
+    bool healthy = node.health == Health::kHealthy;
+    if (!names.insert(node.name).second) return SnapshotError{Kind::kDuplicateServer, node.name};
+    if (node.host.empty() || node.port == 0) return SnapshotError{Kind::kServerWithoutAddress, node.name};
+    if (healthy && node.weight == 0) return SnapshotError{Kind::kServerWithoutWeight, node.name};
+    any_healthy = any_healthy || healthy;
   }
-  if (request_class.servers.all()) return "";
+  if (!any_healthy) return SnapshotError{Kind::kNoHealthyServer};
+  return std::nullopt;
+}
+
+std::optional<Kind> find_error_in_servers(const RequestClassRoute& request_class, std::size_t nodes) {
+  bool has_owners = request_class.idempotency == Idempotency::kKeyed;
+  if (has_owners && (!request_class.servers.all() || request_class.subset_size > 0)) {
+    return Kind::kKeyedClassWithServers;
+  }
+  if (request_class.servers.all()) return std::nullopt;
   const fleet::ServerList::Places& places = *request_class.servers.places;
-  if (places.empty()) return "group " + request_class.name + " runs nowhere";
+  if (places.empty()) return Kind::kRequestClassWithoutServers;
   bool ascending = std::adjacent_find(places.begin(), places.end(), std::greater_equal<>()) == places.end();
-  if (!ascending || places.back() >= nodes) return "group " + request_class.name + " runs on no known node";
-  return "";
+  if (!ascending || places.back() >= nodes) return Kind::kUnknownServer;
+  return std::nullopt;
+}
+
+std::optional<Kind> find_error_in_retries(const RequestClassRoute& request_class) {
+  const RetryPolicy& policy = request_class.retry_policy;
+  bool may_have_run = std::any_of(policy.on.begin(), policy.on.end(),
+                                  [](RetryOn on) { return on == RetryOn::kReset || on == RetryOn::kLate; });
+  if (may_have_run && request_class.idempotency != Idempotency::kIdempotent) return Kind::kUnsafeRetry;
+  if (request_class.idempotency == Idempotency::kKeyed && !policy.same_node && policy.retries > 0) {
+    return Kind::kRetryAtAnotherServer;
+  }
+  return std::nullopt;
+}
+
+std::optional<Kind> find_error_in(const RequestClassRoute& request_class, const Snapshot& snapshot) {
+  if (std::optional<Kind> error = find_error_in_servers(request_class, snapshot.nodes.size())) return error;
+  if (snapshot.service_listeners && request_class.name == snapshot.listener) return Kind::kNamedLikeListener;
+  if (request_class.timeout <= 0) return Kind::kNoTimeout;
+  return find_error_in_retries(request_class);
+}
+
+std::optional<SnapshotError> find_error_in_shards(const Snapshot& snapshot) {
+  if (snapshot.shards.size() != std::size_t{1} << (4 * snapshot.shard_digits)) {
+    return SnapshotError{Kind::kMissingShards};
+  }
+  for (int owner : snapshot.shards) {
+    if (owner == kClosed) continue;
+    if (owner < 0 || static_cast<std::size_t>(owner) >= snapshot.nodes.size()) {
+      return SnapshotError{Kind::kUnknownShardOwner};
+    }
+  }
+  return std::nullopt;
 }
 
 }  // namespace
@@ -28,43 +75,60 @@
   return names[static_cast<std::size_t>(health)];
 }
 
-std::string fault_of(const Snapshot& snapshot) {
-  if (snapshot.listener.empty()) return "no listener";
-  if (snapshot.request_classes.empty()) return "no endpoint group";
-  std::set<std::string> names;
-  bool healthy = false;
-  for (const NodeRoute& node : snapshot.nodes) {
-    if (!names.insert(node.name).second) return "node " + node.name + " stands in it twice";
-    if (node.host.empty() || node.port == 0) return "node " + node.name + " has no address";
-    if (node.health == Health::kHealthy && node.weight == 0) return "node " + node.name + " has no weight";
-    healthy = healthy || node.health == Health::kHealthy;
+std::string SnapshotError::message() const {
+  const std::string server = "server " + subject;
+  const std::string request_class = "request class " + subject;
+  switch (kind) {
+    case Kind::kNoListener:
+      return "no listener";
+    case Kind::kNoRequestClass:
+      return "no request class";
+    case Kind::kNoHealthyServer:
+      return "no server is healthy";
+    case Kind::kDuplicateServer:
+      return server + " is listed twice";
+    case Kind::kServerWithoutAddress:
+      return server + " has no address";
+    case Kind::kServerWithoutWeight:
+      return server + " is healthy and has no weight";
+    case Kind::kDuplicateRequestClass:
+      return request_class + " is listed twice";
+    case Kind::kKeyedClassWithServers:
+      return request_class + " has key owners, and servers or subsets of its own";
+    case Kind::kRequestClassWithoutServers:
+      return request_class + " has no servers";
+    case Kind::kUnknownServer:
+      return request_class + " lists an unknown server";
+    case Kind::kNamedLikeListener:
+      return request_class + " has the listener's name";
+    case Kind::kNoTimeout:
+      return request_class + " has no timeout";
+    case Kind::kUnsafeRetry:
+      return request_class + " would retry requests that may have run";
+    case Kind::kRetryAtAnotherServer:
+      return request_class + " would retry at a server that does not own the key";
+    case Kind::kMissingShards:
+      return "shards are missing";
+    case Kind::kUnknownShardOwner:
+      return "the owner of a shard is not a server";
   }
-  if (!healthy) return "no node is healthy";
+  return "unknown error";
+}
+
+std::optional<SnapshotError> find_error(const Snapshot& snapshot) {
+  if (snapshot.listener.empty()) return SnapshotError{Kind::kNoListener};
+  if (snapshot.request_classes.empty()) return SnapshotError{Kind::kNoRequestClass};
+  if (std::optional<SnapshotError> error = find_error_in(snapshot.nodes)) return error;
+  std::set<std::string> names;
   for (const RequestClassRoute& request_class : snapshot.request_classes) {
-    if (!names.insert("group " + request_class.name).second)
-      return "group " + request_class.name + " stands in it twice";
-    if (std::string fault = fault_of_servers(request_class, snapshot.nodes.size()); !fault.empty())
-      return fault;
-    if (snapshot.service_listeners && request_class.name == snapshot.listener) {
-      return "group " + request_class.name + " has the listener's name";
-    }
-    if (request_class.timeout <= 0) return "group " + request_class.name + " has no time limit";
-    const RetryPolicy& rule = request_class.retry_policy;
-    bool may_have_run = std::any_of(rule.on.begin(), rule.on.end(),
-                                    [](RetryOn on) { return on == RetryOn::kReset || on == RetryOn::kLate; });
-    if (may_have_run && request_class.idempotency != Idempotency::kIdempotent) {
-      return "group " + request_class.name + " would repeat what may have run";
+    if (!names.insert(request_class.name).second) {
+      return SnapshotError{Kind::kDuplicateRequestClass, request_class.name};
     }
-    if (request_class.idempotency == Idempotency::kKeyed && !rule.same_node && rule.retries > 0) {
-      return "group " + request_class.name + " would repeat at another node";
+    if (std::optional<Kind> error = find_error_in(request_class, snapshot)) {
+      return SnapshotError{*error, request_class.name};
     }
   }
-  if (snapshot.shards.size() != std::size_t{1} << (4 * snapshot.shard_digits)) return "shards are missing";
-  for (int owner : snapshot.shards) {
-    if (owner == kClosed) continue;
-    if (owner < 0 || static_cast<std::size_t>(owner) >= snapshot.nodes.size()) return "a shard has no node";
-  }
-  return "";
+  return find_error_in_shards(snapshot);
 }
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/snapshot.h
+++ b/src/routing/snapshot.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <cstdint>
-#include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -39,9 +39,9 @@
   std::vector<RetryOn> on;
   int retries = 0;
   bool same_node = false;
-  Nanos per_try = 0;   // 0 = as long as the whole request
-  Nanos wait_min = 0;  // before a repeat
-  Nanos wait_max = 0;
+  Nanos per_attempt_timeout = 0;  // 0 = as long as the whole request
+  Nanos backoff_min = 0;          // before a repeat
+  Nanos backoff_max = 0;
 
   bool operator==(const RetryPolicy&) const = default;
 };
@@ -63,7 +63,7 @@
 
 struct TenantQuota {
   std::string name;
-  std::uint32_t share = 0;  // of ten thousand
+  std::uint32_t quota = 0;  // of ten thousand
 
   bool operator==(const TenantQuota&) const = default;
 };
@@ -75,7 +75,7 @@
   int shard_digits = 2;
   double retry_budget = 0;  // repeats, as a share of what is in flight
   int expected_proxies = 1;
-  Nanos closed_for = 0;  // how long a closed shard may stay so: told with the answer
+  Nanos closed_retry_after = 0;  // how long a closed shard may stay so: told with the answer
   std::vector<NodeRoute> nodes;
   std::vector<RequestClassRoute> request_classes;
   std::vector<TenantQuota> tenants;
@@ -86,12 +86,40 @@
 };
 
 // A snapshot as it was published. Numbers grow by one with each that differs from the one before.
-struct Published {
+struct PublishedSnapshot {
   std::uint64_t number = 0;
   Snapshot snapshot;
 };
 
-// What makes a snapshot unfit to be served, as one line; empty when nothing does.
-std::string fault_of(const Snapshot& snapshot);
+// Why a snapshot may not be served.
+struct SnapshotError {
+  enum class Kind {
+    kNoListener,
+    kNoRequestClass,
+    kNoHealthyServer,
+    kDuplicateServer,        // `subject` is a server
+    kServerWithoutAddress,   // the same
+    kServerWithoutWeight,    // the same; it is healthy
+    kDuplicateRequestClass,  // `subject` is a request class, here and below
+    kKeyedClassWithServers,  // its keys have owners among all servers, and it names servers or a subset size
+    kRequestClassWithoutServers,
+    kUnknownServer,  // its server list has a place that is no server's, or is not ascending
+    kNamedLikeListener,
+    kNoTimeout,
+    kUnsafeRetry,           // it would retry a request that may have run, and is not idempotent
+    kRetryAtAnotherServer,  // it has owners, and would retry at a server that is not the key's owner
+    kMissingShards,
+    kUnknownShardOwner,
+  };
+  Kind kind;
+  std::string subject = {};  // a name, or empty
+
+  bool operator==(const SnapshotError&) const = default;
+  // One line for the log.
+  std::string message() const;
+};
+
+// The first error found; nothing where the snapshot may be served.
+std::optional<SnapshotError> find_error(const Snapshot& snapshot);
 
 }  // namespace myrtlecroft::routing
--- a/src/routing_state/saved_state.h
+++ b/src/routing_state/saved_state.h
@@ -1,4 +1,8 @@
-// The last good state of a control service that decides alone, as bytes (docs/design/control-xds.md).
+// What a control service that decides alone must know again after a restart, as the bytes of one store record
+// (docs/design/control-xds.md).
+//
+// Called by control, before a snapshot is served and at start; agreement uses the conversion of one server.
+// No state; any thread.
 #pragma once
 
 #include <optional>
@@ -7,22 +11,20 @@
 
 #include "routing/router.h"
 #include "routing_state.pb.h"
+#include "routing_state/snapshot_codec.h"
 
 namespace myrtlecroft::routing_state {
 
 struct SavedState {
-  routing::PersistedState memory;
-  std::vector<std::string> proxies;  // that may still send by what they were served
+  routing::PersistedState routing;
+  std::vector<std::string> proxies;  // ids of those that may still send by a snapshot they were served
 };
 
-Snapshot to_proto(const routing::Snapshot& snapshot);
-// False where a number names nothing.
-bool from_proto(const Snapshot& in, routing::Snapshot& out);
-NodeMemory to_proto(const routing::PersistedState::Node& node);
-routing::PersistedState::Node from_proto(const NodeMemory& in);
+PersistedNode to_proto(const routing::PersistedState::Node& node);
+routing::PersistedState::Node from_proto(const PersistedNode& message);
 
-// As a record of the store, and back. Nothing where the bytes make no sense to this version.
-std::string packed(const SavedState& state);
-std::optional<SavedState> unpacked(const std::string& bytes);
+std::string serialize(const SavedState& state);
+// Nothing where the bytes are not a state that this version can read.
+std::optional<SavedState> parse_saved_state(const std::string& bytes);
 
 }  // namespace myrtlecroft::routing_state
--- /dev/null
+++ b/src/routing_state/stored_names.cpp
@@ -0,0 +1,46 @@
+// The tables of stored names; each is in the order of its enumeration.
+#include "routing_state/stored_names.h"
+
+#include <array>
+
+namespace myrtlecroft::routing_state {
+namespace {
+
+constexpr std::array<const char*, routing::kStates> kServerStates = {
+    "presumed",  // kAssumedHealthy
+    "ramping",   // kSlowStart
+    "serving",   // kServing
+    "leaving",   // kDraining
+    "sick",      // kUnhealthy
+    "mute",      // kUnresponsive
+    "silent",    // kLost
+};
+constexpr std::array<const char*, 3> kViews = {"restoring", "clear", "isolated"};
+constexpr std::array<const char*, 3> kHealths = {"healthy", "draining", "out"};
+
+// The enumerator whose name is in the table, else `otherwise`.
+template <class Enum, std::size_t count>
+Enum enumerator_named(const std::array<const char*, count>& names, std::string_view name, Enum otherwise) {
+  for (std::size_t at = 0; at < count; ++at) {
+    if (name == names[at]) return static_cast<Enum>(at);
+  }
+  return otherwise;
+}
+
+}  // namespace
+
+const char* stored_name(routing::ServerState state) { return kServerStates[static_cast<std::size_t>(state)]; }
+
+const char* stored_name(routing::View view) { return kViews[static_cast<std::size_t>(view)]; }
+
+const char* stored_name(routing::Health health) { return kHealths[static_cast<std::size_t>(health)]; }
+
+routing::ServerState server_state_named(std::string_view name) {
+  return enumerator_named(kServerStates, name, routing::ServerState::kLost);
+}
+
+routing::Health health_named(std::string_view name) {
+  return enumerator_named(kHealths, name, routing::Health::kOut);
+}
+
+}  // namespace myrtlecroft::routing_state
--- a/src/xds/resources.h
+++ b/src/xds/resources.h
@@ -69,7 +69,7 @@
 
 // What did not change since `before` is taken over from there: the set is the same as one made from nothing,
 // but only what changed is made.
-std::shared_ptr<const ResourceSet> make_resources(const routing::Published& published,
+std::shared_ptr<const ResourceSet> make_resources(const routing::PublishedSnapshot& published,
                                                   const ResourceSet* before);
 
 // What makes a set unfit to be served, as one line; empty when nothing does. It looks at what was serialised,
--- a/src/xds/route_messages.cpp
+++ b/src/xds/route_messages.cpp
@@ -86,9 +86,9 @@
     }
     retry.set_retry_on(on);
     retry.mutable_num_retries()->set_value(static_cast<std::uint32_t>(rule.retries));
-    if (rule.per_try > 0) set_duration(*retry.mutable_per_try_timeout(), rule.per_try);
-    set_duration(*retry.mutable_retry_back_off()->mutable_base_interval(), rule.wait_min);
-    set_duration(*retry.mutable_retry_back_off()->mutable_max_interval(), rule.wait_max);
+    if (rule.per_attempt_timeout > 0) set_duration(*retry.mutable_per_try_timeout(), rule.per_attempt_timeout);
+    set_duration(*retry.mutable_retry_back_off()->mutable_base_interval(), rule.backoff_min);
+    set_duration(*retry.mutable_retry_back_off()->mutable_max_interval(), rule.backoff_max);
   }
 
   void set_action(route::Route& out, const routing::RequestClassRoute& request_class, const std::string& to) {
@@ -148,7 +148,7 @@
     route::Route& rest = *host.add_routes();
     rest.set_name(request_class.name + "/closed");
     rest.mutable_match()->set_path(request_class.path);
-    answer_directly(rest, kTerminated, from_.closed_for);
+    answer_directly(rest, kTerminated, from_.closed_retry_after);
   }
 
   const routing::Snapshot& from_;
@@ -205,7 +205,7 @@
       add_fraction(kRuntimeName + "." + request_class.name, request_class.admitted);
   }
   for (const routing::TenantQuota& tenant : snapshot.tenants) {
-    add_fraction("share." + tenant.name, tenant.share);
+    add_fraction("share." + tenant.name, tenant.quota);
   }
   return out;
 }
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -21,7 +21,7 @@
     begin.set_first_start(true);
     begin.set_window_ns(1000 * kMs);
     for (std::uint32_t shard : {0u, 1u}) hand_over(begin, shard, "n1", 7);
-    routing_state::NodeMemory& node = *begin.add_nodes();
+    routing_state::PersistedNode& node = *begin.add_nodes();
     node.set_name("n1");
     node.set_life(7);
     show(begin, {0, 0});
@@ -184,7 +184,7 @@
 TEST(FenceStory, NothingIsItsOwnBeforeAnOrder) {
   FencingGuard fence;
   EXPECT_FALSE(fence.admits("3f"));
-  EXPECT_EQ(fence.take({{1, 1}, 9, 1, {3}}, 9), FencingGuard::Verdict::kTaken);
+  EXPECT_EQ(fence.accept({{1, 1}, 9, 1, {3}}, 9), FencingGuard::Verdict::kAccepted);
   EXPECT_TRUE(fence.admits("3f"));
   EXPECT_TRUE(fence.admits("3F"));
   EXPECT_FALSE(fence.admits("4f"));
@@ -194,16 +194,16 @@
 
 TEST(FenceStory, AnInstanceLeftBehindIsNotHeeded) {
   FencingGuard fence;
-  fence.take({{2, 10}, 9, 1, {3}}, 9);
-  EXPECT_EQ(fence.take({{1, 9}, 9, 1, {4}}, 9), FencingGuard::Verdict::kOld);
-  EXPECT_EQ(fence.take({{2, 10}, 9, 1, {4}}, 9), FencingGuard::Verdict::kKnown);
+  fence.accept({{2, 10}, 9, 1, {3}}, 9);
+  EXPECT_EQ(fence.accept({{1, 9}, 9, 1, {4}}, 9), FencingGuard::Verdict::kStale);
+  EXPECT_EQ(fence.accept({{2, 10}, 9, 1, {4}}, 9), FencingGuard::Verdict::kDuplicate);
   EXPECT_TRUE(fence.admits("3"));
   EXPECT_FALSE(fence.admits("4"));
 }
 
 TEST(FenceStory, AnOrderForAnEarlierLifeOpensNothing) {
   FencingGuard fence;
-  EXPECT_EQ(fence.take({{2, 10}, 8, 1, {3}}, 9), FencingGuard::Verdict::kOtherIncarnation);
+  EXPECT_EQ(fence.accept({{2, 10}, 8, 1, {3}}, 9), FencingGuard::Verdict::kOtherIncarnation);
   EXPECT_FALSE(fence.admits("3"));
 }
 
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -22,6 +22,7 @@
 
 #include "control/control.h"
 #include "net/address.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::control {
 
@@ -93,7 +94,7 @@
   std::string state_of(const std::string& node) {
     return look([&](Control& control) -> std::string {
       for (const routing::ServerStatus& server : control.router().registry().all()) {
-        if (server.node.name == node) return routing::name_of(server.state);
+        if (server.node.name == node) return routing_state::stored_name(server.state);
       }
       return "unknown";
     });
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -57,14 +57,14 @@
 SavedState some_state() {
   routing::FleetWorld world;
   world.run(3 * kSecond);
-  return {world.router.memory(), {"p1", "p2"}};
+  return {world.router.persisted_state(), {"p1", "p2"}};
 }
 
 TEST(SavedState, IsReadBackAsItWas) {
   SavedState state = some_state();
-  auto back = routing_state::unpacked(routing_state::packed(state));
+  auto back = routing_state::parse_saved_state(routing_state::serialize(state));
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->memory, state.memory);
+  EXPECT_EQ(back->routing, state.routing);
   EXPECT_EQ(back->proxies, state.proxies);
 }
 
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -98,20 +98,20 @@
   store.open();
   std::optional<store::Record> record = store.get("state");
   ASSERT_TRUE(record);
-  std::optional<routing_state::SavedState> state = routing_state::unpacked(record->value);
+  std::optional<routing_state::SavedState> state = routing_state::parse_saved_state(record->value);
   ASSERT_TRUE(state);
-  EXPECT_EQ(routing_state::packed(*state), record->value);
+  EXPECT_EQ(routing_state::serialize(*state), record->value);
 
   using routing::ServerState;
   const std::vector<ServerState> states = {
       ServerState::kAssumedHealthy, ServerState::kSlowStart,    ServerState::kServing, ServerState::kDraining,
       ServerState::kUnhealthy,      ServerState::kUnresponsive, ServerState::kLost};
-  ASSERT_EQ(state->memory.nodes.size(), states.size());
+  ASSERT_EQ(state->routing.nodes.size(), states.size());
   for (std::size_t i = 0; i < states.size(); ++i) {
-    EXPECT_EQ(state->memory.nodes[i].state, states[i]);
-    EXPECT_EQ(state->memory.nodes[i].incarnation, 101 + i);
+    EXPECT_EQ(state->routing.nodes[i].state, states[i]);
+    EXPECT_EQ(state->routing.nodes[i].incarnation, 101 + i);
   }
-  const routing::Snapshot& snapshot = state->memory.snapshot;
+  const routing::Snapshot& snapshot = state->routing.snapshot;
   ASSERT_EQ(snapshot.nodes.size(), 3u);
   EXPECT_EQ(snapshot.nodes[0].health, routing::Health::kHealthy);
   EXPECT_EQ(snapshot.nodes[1].health, routing::Health::kDraining);
@@ -123,8 +123,8 @@
   using routing::RetryOn;
   EXPECT_EQ(snapshot.request_classes[0].retry_policy.on,
             (std::vector{RetryOn::kNeverSent, RetryOn::kRejected, RetryOn::kReset, RetryOn::kLate}));
-  EXPECT_EQ(snapshot.tenants[0].share, 2500u);
-  EXPECT_EQ(state->memory.shards[5].node, "");
+  EXPECT_EQ(snapshot.tenants[0].quota, 2500u);
+  EXPECT_EQ(state->routing.shards[5].node, "");
 }
 
 TEST_F(StoredFormatsTest, RaftLogIsReadAndAppliedToTheSameState) {
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -9,6 +9,7 @@
 
 #include "releases/plan.h"
 #include "releases/rollout_controller.h"
+#include "routing_state/stored_names.h"
 #include "settings/document.h"
 
 namespace myrtlecroft::releases {
@@ -31,9 +32,9 @@
   }
   out.request_classes.push_back(
       {.name = "read", .path = "/read", .latency_objective = 500 * kMs, .client_timeout = 500 * kMs});
-  out.outings.max_unavailable = max_unavailable;
-  out.outings.permit_lasts = 20 * kSecond;
-  out.bounds.dwell = out.bounds.ramp = 0;
+  out.maintenance.max_unavailable = max_unavailable;
+  out.maintenance.lease_duration = 20 * kSecond;
+  out.bounds.dwell = out.bounds.slow_start = 0;
   return out;
 }
 
@@ -68,7 +69,7 @@
     Decision begin = next();
     *begin.mutable_budgets() = budgets_of(fleet_of(4));
     for (int i = 1; i <= 4; ++i) {
-      routing_state::NodeMemory& node = *begin.add_nodes();
+      routing_state::PersistedNode& node = *begin.add_nodes();
       node.set_name("n" + std::to_string(i));
       node.set_state("serving");
       node.set_life(7);
@@ -127,7 +128,7 @@
   }
   void comes_back(const std::string& node, std::uint32_t version, const char* as = "ramping") {
     Decision decision = next();
-    routing_state::NodeMemory& memory = *decision.add_nodes();
+    routing_state::PersistedNode& memory = *decision.add_nodes();
     memory.set_name(node);
     memory.set_state(as);
     memory.set_life(8);
@@ -150,7 +151,7 @@
 
 TEST_F(RulesStory, WhatHasFailedUsesUpTheSameBudget) {
   Decision failed = next();
-  routing_state::NodeMemory& node = *failed.add_nodes();
+  routing_state::PersistedNode& node = *failed.add_nodes();
   node.set_name("n4");
   node.set_state("silent");
   ASSERT_EQ(state.apply(failed), Verdict::kTaken);
@@ -260,21 +261,21 @@
 
 routing::ServerStatus member_of(const fleet::Node& node, double asked = 1, double limit = 4) {
   routing::ServerStatus out{.node = node, .state = routing::ServerState::kServing};
-  out.heard_at = kSecond;
+  out.last_report_at = kSecond;
   out.incarnation = 1;
   out.version = 1;
   out.report.node = node.name;
   out.report.incarnation = 1;
   out.report.limit = limit;
   out.report.obeys = true;
-  out.asked.add(asked, kSecond);
-  out.reports.add(1, kSecond);
+  out.reported.occupancy.add(asked, kSecond);
+  out.reported.reports.add(1, kSecond);
   return out;
 }
 
 TEST(RoomStory, EachPartOfTheFleetHasABudgetOfItsOwn) {
   fleet::Fleet fleet = fleet_of(6, {.by_count = true, .max = 4});
-  fleet.outings.zone_max_unavailable = {.by_count = false, .max = 0.34};
+  fleet.maintenance.zone_max_unavailable = {.by_count = false, .max = 0.34};
   fleet.services.push_back(
       {.name = "ledger", .used_by = {"n1", "n2", "n4"}, .max_unavailable = {.by_count = true, .max = 1}});
   std::vector<routing::ServerStatus> servers;
@@ -481,7 +482,7 @@
   }
   void beat() {
     for (std::size_t i = 0; i < nodes.size(); ++i) live(i);
-    router.call_out(state.outings().called_out());
+    router.set_out_for_maintenance(state.outings().out_for_maintenance());
     auto next = router.step(now);
     Decision decision;
     decision.set_format(agreement::kFormat);
@@ -489,9 +490,9 @@
     decision.set_basis(state.epoch().number);
     decision.set_elapsed_ns(state.epoch().number > 0 ? 100 * kMs : 0);
     for (const routing::ServerStatus& server : router.registry().all()) {
-      routing_state::NodeMemory& node = *decision.add_nodes();
+      routing_state::PersistedNode& node = *decision.add_nodes();
       node.set_name(server.node.name);
-      node.set_state(routing::name_of(server.state));
+      node.set_state(routing_state::stored_name(server.state));
       node.set_life(server.incarnation);
       node.set_version(server.version);
     }
@@ -546,8 +547,8 @@
     report.window = 20;
     report.limit = 4;
     report.request_classes.push_back({"read", node.reads, 0, node.reads, node.in_time, 0});
-    router.report_link(name, true, now);
-    router.reported(report, now, now);
+    router.handle_report_connection(name, true, now);
+    router.handle_report(report, now, now);
   }
   void say(const std::string& text) { commands[++last_command] = text; }
   void start(std::uint32_t version, agreement::Plan plan = plan_of(0)) {
--- a/tests/routing_change_test.cpp
+++ b/tests/routing_change_test.cpp
@@ -49,16 +49,16 @@
   NodeRoute out{server.node.name, server.node.zone, server.node.host, server.node.port, server.node.priority};
   out.in_flight = was ? was->in_flight : 0;
   if (!server.in_service()) {
-    bool drains = server.called_out || server.state == ServerState::kDraining;
+    bool drains = server.out_for_maintenance || server.state == ServerState::kDraining;
     out.health = drains ? Health::kDraining : Health::kOut;
     return out;
   }
   out.health = Health::kHealthy;
   double whole = 100 * server.node.capacity;
-  double weight = 100 * server.share();
+  double weight = 100 * server.effective_capacity();
   out.weight = steady(weight, was && weight < whole ? was->weight : 0, 0.05);
   double takes = 1.5 * (server.report.window + server.report.limit) / proxies;
-  if (server.heard_at > 0) out.in_flight = steady(std::max(4.0, takes), out.in_flight, 0.25);
+  if (server.last_report_at > 0) out.in_flight = steady(std::max(4.0, takes), out.in_flight, 0.25);
   return out;
 }
 
@@ -68,7 +68,7 @@
                .shard_digits = fleet.bounds.shard_digits,
                .retry_budget = fleet.bounds.retry_budget,
                .expected_proxies = fleet.proxies,
-               .closed_for = fleet.longest_window(),
+               .closed_retry_after = fleet.longest_window(),
                .nodes = {},
                .request_classes = {},
                .tenants = {},
@@ -85,7 +85,7 @@
     out.request_classes.push_back(route);
   }
   for (const fleet::Tenant& tenant : fleet.tenants)
-    out.tenants.push_back({tenant.name, static_cast<std::uint32_t>(std::lround(tenant.share * 10'000))});
+    out.tenants.push_back({tenant.name, static_cast<std::uint32_t>(std::lround(tenant.quota * 10'000))});
   for (const Shard& shard : router.shards().all()) {
     int owner = kClosed;
     for (std::size_t place = 0; place < out.nodes.size(); ++place) {
@@ -102,10 +102,10 @@
 struct ChangingWorld {
   static fleet::Fleet first() {
     fleet::Fleet out = small_fleet(12);
-    out.bounds.settle = 0;
+    out.bounds.publish_interval = 0;
     out.bounds.shard_digits = 1;
     out.bounds.dwell = 200 * kMs;
-    out.bounds.ramp = 300 * kMs;
+    out.bounds.slow_start = 300 * kMs;
     out.bounds.max_migrating = 0.3;
     out.request_classes[2].deduplication_window = 500 * kMs;
     return out;
@@ -125,7 +125,7 @@
     if (world.published.size() > published) {
       RC_ASSERT(world.router.published()->snapshot == picture);
       RC_ASSERT(!any || picture != before);
-    } else if (fault_of(picture).empty()) {
+    } else if (!find_error(picture)) {
       RC_ASSERT(any && picture == before);
     }
   }
@@ -174,8 +174,8 @@
         if (world.reports.contains(name)) world.reports[name].draining = !world.reports[name].draining;
         return;
       case 3:
-        if (called_out.erase(name) == 0) called_out.insert(name);
-        return world.router.call_out(called_out);
+        if (out_for_maintenance.erase(name) == 0) out_for_maintenance.insert(name);
+        return world.router.set_out_for_maintenance(out_for_maintenance);
       case 4:
         if (world.reports.contains(name)) ++world.reports[name].incarnation, world.reports[name].sequence = 0;
         return;
@@ -198,7 +198,7 @@
   }
 
   FleetWorld world{first()};
-  std::set<std::string> called_out;
+  std::set<std::string> out_for_maintenance;
 };
 
 RC_GTEST_PROP(RoutingByChange, WinnersAndSnapshotsAreThoseFromNothingAfterAnyChanges, ()) {
--- a/tests/routing_fakes.h
+++ b/tests/routing_fakes.h
@@ -67,8 +67,8 @@
     report::LoadReport& told = reports.at(node);
     ++told.sequence;
     told.sent_unix = now;
-    router.report_link(node, true, now);
-    return router.reported(told, now, now);
+    router.handle_report_connection(node, true, now);
+    return router.handle_report(told, now, now);
   }
   // Each server that speaks takes some requests and answers them, a tenth of a second after the other.
   void run(Nanos time) {
@@ -82,7 +82,7 @@
         }
         report(name);
       }
-      if (follow) router.applied(router.published() ? router.published()->number : 0);
+      if (follow) router.all_proxies_applied(router.published() ? router.published()->number : 0);
       if (auto next = router.step(now)) published.push_back(next);
     }
   }
@@ -118,7 +118,7 @@
   std::map<std::string, bool> hung;   // takes and answers nothing
   std::map<std::string, std::uint64_t> denies;
   bool follow = true;  // proxies apply at once
-  std::vector<std::shared_ptr<const Published>> published;
+  std::vector<std::shared_ptr<const PublishedSnapshot>> published;
 };
 
 }  // namespace myrtlecroft::routing
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(world.router.published()->snapshot, before);
   world.quiet.clear();
   world.run(5 * kSecond);
-  EXPECT_EQ(world.router.registry().view(), View::kClear);
+  EXPECT_EQ(world.router.registry().view(), View::kConnected);
   EXPECT_EQ(world.router.published()->snapshot, before);
 }
 
@@ -58,10 +58,10 @@
 TEST(ServerRegistry, APauseOfOurOwnIsNobodysSilence) {
   FleetWorld world;
   world.run(5 * kSecond);
-  ASSERT_EQ(world.router.registry().view(), View::kClear);
+  ASSERT_EQ(world.router.registry().view(), View::kConnected);
   world.now += 3 * kSecond;
   world.router.step(world.now);
-  EXPECT_EQ(world.router.registry().view(), View::kClear);
+  EXPECT_EQ(world.router.registry().view(), View::kConnected);
   for (const ServerStatus& server : world.router.registry().all())
     EXPECT_EQ(server.state, ServerState::kServing);
   world.quiet["n1"] = true;
@@ -95,8 +95,8 @@
   world.run(3 * kSecond);
   for (int i = 0; i < 30; ++i) {
     world.run(100 * kMs);
-    world.router.proxies_say({.node = "n1", .issued = 5, .succeeded = 5}, world.now);
-    world.router.proxies_say({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
+    world.router.handle_proxy_counts({.node = "n1", .issued = 5, .succeeded = 5}, world.now);
+    world.router.handle_proxy_counts({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
   }
   EXPECT_EQ(world.server("n2").state, ServerState::kUnresponsive);
   EXPECT_EQ(world.server("n1").state, ServerState::kServing);
@@ -108,7 +108,7 @@
   world.denies["n2"] = 2;
   for (int i = 0; i < 30; ++i) {
     world.run(100 * kMs);
-    world.router.proxies_say({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
+    world.router.handle_proxy_counts({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
   }
   EXPECT_EQ(world.server("n2").state, ServerState::kServing);
 }
@@ -198,18 +198,18 @@
     report::LoadReport told = world.reports["n1"];
     told.sequence += 100 + static_cast<std::uint64_t>(i);
     told.sent_unix = world.now + kSecond * 3600;
-    EXPECT_EQ(world.router.reported(told, world.now, world.now), ServerRegistry::Verdict::kFuture);
+    EXPECT_EQ(world.router.handle_report(told, world.now, world.now), ServerRegistry::Verdict::kFuture);
     told.sent_unix = world.now;
     told.address = "127.0.0.1:9999";
-    EXPECT_EQ(world.router.reported(told, world.now, world.now), ServerRegistry::Verdict::kOtherAddress);
+    EXPECT_EQ(world.router.handle_report(told, world.now, world.now), ServerRegistry::Verdict::kOtherAddress);
     told.node = "stranger";
-    EXPECT_EQ(world.router.reported(told, world.now, world.now), ServerRegistry::Verdict::kUnknownNode);
+    EXPECT_EQ(world.router.handle_report(told, world.now, world.now), ServerRegistry::Verdict::kUnknownNode);
   }
   EXPECT_EQ(world.server("n1").state, ServerState::kLost);
   report::LoadReport old = world.reports["n2"];
   old.incarnation -= 1;
-  EXPECT_EQ(world.router.reported(old, world.now, world.now), ServerRegistry::Verdict::kStale);
-  EXPECT_EQ(world.router.reported(world.reports["n2"], world.now, world.now),
+  EXPECT_EQ(world.router.handle_report(old, world.now, world.now), ServerRegistry::Verdict::kStale);
+  EXPECT_EQ(world.router.handle_report(world.reports["n2"], world.now, world.now),
             ServerRegistry::Verdict::kStale);
 }
 
@@ -245,7 +245,7 @@
   first.run(3 * kSecond);
   first.reports["n2"].draining = true;
   first.run(3 * kSecond);
-  PersistedState memory = first.router.memory();
+  PersistedState memory = first.router.persisted_state();
   FleetWorld second(small_fleet(), memory, false);
   second.quiet = {{"n1", true}, {"n2", true}, {"n3", true}};
   second.run(60 * kSecond);
@@ -259,7 +259,7 @@
   first.run(3 * kSecond);
   fleet::Fleet fewer = small_fleet();
   fewer.nodes.erase(fewer.nodes.begin() + 1);
-  FleetWorld second(fewer, first.router.memory(), false);
+  FleetWorld second(fewer, first.router.persisted_state(), false);
   second.quiet = {{"n1", true}, {"n3", true}};
   second.run(kSecond);
   EXPECT_EQ(second.route("n1").health, Health::kHealthy);
@@ -272,8 +272,8 @@
   world.run(3 * kSecond);
   for (auto& [name, told] : world.reports) told.draining = true;
   world.run(5 * kSecond);
-  EXPECT_EQ(fault_of(world.router.published()->snapshot), "");
-  EXPECT_TRUE(world.logged("not fit to be served"));
+  EXPECT_EQ(find_error(world.router.published()->snapshot), std::nullopt);
+  EXPECT_TRUE(world.logged("snapshot rejected"));
 }
 
 // ---- Keys
@@ -365,7 +365,7 @@
   std::mt19937 random(11);
   FleetWorld world(small_fleet(5));
   world.follow = false;
-  std::vector<std::shared_ptr<const Published>> proxies(3);
+  std::vector<std::shared_ptr<const PublishedSnapshot>> proxies(3);
   std::vector<Nanos> stuck_until(3);
   std::map<std::pair<std::size_t, int>, std::tuple<std::string, std::uint64_t, Nanos>> ran;  // of a key
   std::uint64_t incarnation = 1000;
@@ -379,7 +379,7 @@
       if (world.now >= stuck_until[i] && random() % 8 == 0) proxy = world.router.published();
       applied = std::min(applied, proxy ? proxy->number : 0);
     }
-    world.router.applied(applied);
+    world.router.all_proxies_applied(applied);
     if (random() % 60 == 0) {
       std::string name = "n" + std::to_string(1 + random() % 5);
       switch (random() % 4) {
@@ -432,7 +432,7 @@
     for (RetryOn on : rule.on) risky = risky || on == RetryOn::kReset || on == RetryOn::kLate;
     EXPECT_EQ(risky, request_class.idempotency == Idempotency::kIdempotent);
     EXPECT_EQ(rule.same_node, request_class.idempotency == Idempotency::kKeyed);
-    EXPECT_LE(rule.per_try, request_class.client_timeout);
+    EXPECT_LE(rule.per_attempt_timeout, request_class.client_timeout);
   }
 }
 
--- a/tests/xds_gate_test.cpp
+++ b/tests/xds_gate_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 std::shared_ptr<const ResourceSet> set_of(int owner) {
-  routing::Published out{.number = 1, .snapshot = {}};
+  routing::PublishedSnapshot out{.number = 1, .snapshot = {}};
   routing::Snapshot& snapshot = out.snapshot;
   snapshot.listener = "fleet";
   snapshot.shard_digits = 1;
--- a/tests/xds_subsets_test.cpp
+++ b/tests/xds_subsets_test.cpp
@@ -162,7 +162,7 @@
   void gate(Wires& one, bool fresh, std::set<std::string> served) {
     std::shared_ptr<const ResourceSet> closed_set;
     if (one.set && !fresh) {
-      routing::Published closed{number, newest};
+      routing::PublishedSnapshot closed{number, newest};
       closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
       closed_set = make_resources(closed, nullptr);
     }
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -351,7 +351,7 @@
   Wires wires;
   Wires::Link link(GetParam(), "p1");
   wires.publish(picture());
-  routing::Published closed{wires.number, picture()};
+  routing::PublishedSnapshot closed{wires.number, picture()};
   closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
   SessionTable::Gate gate{.served = {"p1"}, .fresh_until = 0, .closed = make_resources(closed, nullptr)};
   wires.table.gate(gate, wires.now);
--- a/tests/xds_wires.h
+++ b/tests/xds_wires.h
@@ -21,7 +21,7 @@
   routing::Snapshot out;
   out.listener = "fleet";
   out.shard_digits = 1;
-  out.closed_for = 5 * kSecond;
+  out.closed_retry_after = 5 * kSecond;
   for (int i = first; i < first + nodes; ++i) {
     out.nodes.push_back({.name = "n" + std::to_string(i),
                          .zone = "a",
