--- a/src/releases/canary_sampler.cpp
+++ b/src/releases/canary_sampler.cpp
@@ -67,7 +67,7 @@
 }  // namespace
 
 void CanarySampler::restart(MeasurementStart& start, const routing::ServerStatus& server, Nanos now) {
-  start.in_full_service = server.whole();
+  start.in_full_service = server.at_full_capacity();
   start.since = now;
   start.report = server.report;
 }
@@ -82,9 +82,9 @@
   for (const routing::ServerStatus& server : servers) {
     MeasurementStart& start = starts_[server.node.name];
     bool same = start.report.incarnation == server.report.incarnation;
-    if (start.in_full_service && same && routing::has_failed(server.state) && !server.called_out)
+    if (start.in_full_service && same && routing::has_failed(server.state) && !server.out_for_maintenance)
       start.failed = true;
-    if (server.whole() != start.in_full_service || !same) restart(start, server, now);
+    if (server.at_full_capacity() != start.in_full_service || !same) restart(start, server, now);
   }
 }
 
--- a/src/server_program.cpp
+++ b/src/server_program.cpp
@@ -97,7 +97,7 @@
       {.report = {},
        .order = [this](const fencing::ShardAssignment& assignment) { keys_.guard.restore(assignment); }},
       malformed);
-  if (keys_.guard.order()) reporter_.acts_on(keys_.guard.order()->epoch);
+  if (keys_.guard.assignment()) reporter_.acts_on(keys_.guard.assignment()->epoch);
 }
 
 void ServerProgram::take_assignment(const fencing::ShardAssignment& assignment) {
@@ -107,11 +107,11 @@
                   std::to_string(assignment.epoch.number));
     return;
   }
-  fencing::FencingGuard::Verdict verdict = keys_.guard.take(assignment, reporter_.incarnation());
-  if (verdict == fencing::FencingGuard::Verdict::kOld) {
+  fencing::FencingGuard::Verdict verdict = keys_.guard.accept(assignment, reporter_.incarnation());
+  if (verdict == fencing::FencingGuard::Verdict::kStale) {
     log_.frequent("shard assignment ignored: too old, " + described(assignment));
   }
-  if (verdict != fencing::FencingGuard::Verdict::kTaken) return;
+  if (verdict != fencing::FencingGuard::Verdict::kAccepted) return;
   log_.frequent("shard assignment in force: " + described(assignment));
   reporter_.acts_on(assignment.epoch);
   if (idempotency_log_) idempotency_log_->save_assignment(report::encode(assignment));
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -8,6 +8,7 @@
 
 #include "releases/rollout_plan.h"
 #include "releases_fakes.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::releases {
 namespace {
@@ -42,7 +43,7 @@
   }
   void tick() {
     for (std::size_t i = 0; i < nodes.size(); ++i) simulate_server(i);
-    router.call_out(state.outings().called_out());
+    router.set_out_for_maintenance(state.outings().out_for_maintenance());
     auto next = router.step(now);
     Decision decision;
     decision.set_format(agreement::kFormat);
@@ -50,9 +51,9 @@
     decision.set_basis(state.epoch().number);
     decision.set_elapsed_ns(state.epoch().number > 0 ? 100 * kMs : 0);
     for (const routing::ServerStatus& server : router.registry().all()) {
-      routing_state::NodeMemory& node = *decision.add_nodes();
+      routing_state::PersistedNode& node = *decision.add_nodes();
       node.set_name(server.node.name);
-      node.set_state(routing::name_of(server.state));
+      node.set_state(routing_state::stored_name(server.state));
       node.set_life(server.incarnation);
       node.set_version(server.version);
     }
@@ -107,8 +108,8 @@
     report.window = 20;
     report.limit = 4;
     report.request_classes.push_back({"read", node.received, 0, node.received, node.in_time, 0});
-    router.report_link(name, true, now);
-    router.reported(report, now, now);
+    router.handle_report_connection(name, true, now);
+    router.handle_report(report, now, now);
   }
   void command(const std::string& text) { commands[++last_command] = text; }
   void start(std::uint32_t version, agreement::Plan plan = plan_of(0)) {
