--- a/tests/instances_test.cpp
+++ b/tests/instances_test.cpp
@@ -362,7 +362,7 @@
     fleet->start(at);
     ASSERT_TRUE(control::await([&] { return has_quorum(at) && leader() >= 0; }));
   }
-  ASSERT_TRUE(control::await([&] { return drain(0).find("1 nodes") != std::string::npos; })) << drain(0);
+  ASSERT_TRUE(control::await([&] { return drain(0).find("of 1 servers ") != std::string::npos; })) << drain(0);
   EXPECT_TRUE(agree({0, 1, 2}));
   // What was agreed in the newer form, an older version must not go on from.
   fleet->set_more({"--hold-format", "1"});
