--- a/src/releases/operator_commands.cpp
+++ b/src/releases/operator_commands.cpp
@@ -1,6 +1,7 @@
 #include "releases/operator_commands.h"
 
 #include <algorithm>
+#include <iterator>
 #include <optional>
 #include <sstream>
 #include <string_view>
@@ -31,35 +32,29 @@
                                             {"back", Kind::kReleaseRollback},
                                             {"end", Kind::kReleaseEnd}};
 
-// In which phases an operator may give a release an event, and what the answer says then.
+// The phases in which an operator may give a release an event, and what the answer says then.
 struct ReleaseCommandRule {
   Kind kind;
-  std::vector<Phase> phases;
+  Phase phase;
   agreement::ReleaseInput event;
   const char* answer;
 };
 
-const std::vector<ReleaseCommandRule>& release_command_rules() {
-  static const std::vector<ReleaseCommandRule> rules = {
-      {Kind::kReleaseHalt,
-       {agreement::PHASE_ROLLING, agreement::PHASE_SOAKING, agreement::PHASE_BACK},
-       agreement::RELEASE_HALT,
-       " is halted"},
-      {Kind::kReleaseResume,
-       {agreement::PHASE_HALTED, agreement::PHASE_BACK_HALTED},
-       agreement::RELEASE_RESUME,
-       " is resumed"},
-      {Kind::kReleaseRollback,
-       {agreement::PHASE_ROLLING, agreement::PHASE_SOAKING, agreement::PHASE_HALTED},
-       agreement::RELEASE_GO_BACK,
-       " is being rolled back"},
-      {Kind::kReleaseEnd,
-       {agreement::PHASE_HALTED, agreement::PHASE_BACK_HALTED},
-       agreement::RELEASE_FINISH,
-       " is ended as it is"},
-  };
-  return rules;
-}
+constexpr ReleaseCommandRule kReleaseCommandRules[] = {
+    {Kind::kReleaseHalt, agreement::PHASE_ROLLING, agreement::RELEASE_HALT, " is halted"},
+    {Kind::kReleaseHalt, agreement::PHASE_SOAKING, agreement::RELEASE_HALT, " is halted"},
+    {Kind::kReleaseHalt, agreement::PHASE_BACK, agreement::RELEASE_HALT, " is halted"},
+
+    {Kind::kReleaseResume, agreement::PHASE_HALTED, agreement::RELEASE_RESUME, " is resumed"},
+    {Kind::kReleaseResume, agreement::PHASE_BACK_HALTED, agreement::RELEASE_RESUME, " is resumed"},
+
+    {Kind::kReleaseRollback, agreement::PHASE_ROLLING, agreement::RELEASE_GO_BACK, " is being rolled back"},
+    {Kind::kReleaseRollback, agreement::PHASE_SOAKING, agreement::RELEASE_GO_BACK, " is being rolled back"},
+    {Kind::kReleaseRollback, agreement::PHASE_HALTED, agreement::RELEASE_GO_BACK, " is being rolled back"},
+
+    {Kind::kReleaseEnd, agreement::PHASE_HALTED, agreement::RELEASE_FINISH, " is ended as it is"},
+    {Kind::kReleaseEnd, agreement::PHASE_BACK_HALTED, agreement::RELEASE_FINISH, " is ended as it is"},
+};
 
 template <class Names>
 std::optional<Kind> kind_of(const Names& names, const std::string& name) {
@@ -142,10 +137,11 @@
 std::string execute_release_event(const RolloutContext& context, const OperatorCommand& command,
                                   agreement::Decision& out) {
   const agreement::Release& current = context.release;
-  const auto& rules = release_command_rules();
-  auto rule = std::find_if(rules.begin(), rules.end(),
-                           [&](const ReleaseCommandRule& one) { return one.kind == command.kind; });
-  if (std::find(rule->phases.begin(), rule->phases.end(), current.phase()) == rule->phases.end())
+  const ReleaseCommandRule* rule = std::find_if(
+      std::begin(kReleaseCommandRules), std::end(kReleaseCommandRules), [&](const ReleaseCommandRule& one) {
+        return one.kind == command.kind && one.phase == current.phase();
+      });
+  if (rule == std::end(kReleaseCommandRules))
     throw CommandError(name_of(current) + " is " + agreement::name_of(current.phase()));
   std::string reason = command.argument.empty() ? "" : ": " + command.argument.substr(0, kMaxReason);
   out.mutable_release()->set_input(rule->event);
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -31,9 +31,9 @@
 };
 
 struct RolloutControllerTest : testing::Test {
-  explicit RolloutControllerTest(fleet::Fleet of = fleet_of(10))
-      : router(of, std::nullopt, true, kSecond, [](const std::string&) {}),
-        nodes(of.nodes.size()),
+  explicit RolloutControllerTest(const fleet::Fleet& fleet = fleet_of(10))
+      : router(fleet, std::nullopt, true, kSecond, [](const std::string&) {}),
+        nodes(fleet.nodes.size()),
         rollout_controller([this](const std::string& line) { log.push_back(line); }) {}
 
   // Ten ticks a second.
@@ -43,6 +43,23 @@
   void tick() {
     for (std::size_t i = 0; i < nodes.size(); ++i) simulate_server(i);
     router.call_out(state.outings().called_out());
+    Decision decision = routing_decision();
+    std::uint64_t applied = state.published();
+    decision.set_applied(applied);
+    agreement::DecisionSection::View view{
+        state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
+    rollout_controller.watch(view);
+    if (!reports_are_lost) rollout_controller.draft(view, decision);
+    ASSERT_EQ(state.apply(decision), Verdict::kTaken);
+    std::erase_if(commands, [&](const auto& one) {
+      const agreement::CommandResult* result = state.outings().result(one.first);
+      if (result) answer = result->said();
+      return result != nullptr;
+    });
+    max_leases = std::max(max_leases, state.outings().leases().size());
+  }
+  // What routing contributes to the next decision: the servers' states, and a snapshot if it changed.
+  Decision routing_decision() {
     auto next = router.step(now);
     Decision decision;
     decision.set_format(agreement::kFormat);
@@ -56,26 +73,13 @@
       node.set_life(server.incarnation);
       node.set_version(server.version);
     }
-    if (next) {
-      decision.mutable_picture()->set_number(state.published() + 1);
-      for (const routing::NodeRoute& node : next->snapshot.nodes) {
-        decision.mutable_picture()->add_nodes()->set_name(node.name);
-        decision.mutable_picture()->mutable_nodes()->rbegin()->set_weight(node.weight);
-      }
+    if (!next) return decision;
+    decision.mutable_picture()->set_number(state.published() + 1);
+    for (const routing::NodeRoute& node : next->snapshot.nodes) {
+      decision.mutable_picture()->add_nodes()->set_name(node.name);
+      decision.mutable_picture()->mutable_nodes()->rbegin()->set_weight(node.weight);
     }
-    std::uint64_t applied = state.published();
-    decision.set_applied(applied);
-    agreement::DecisionSection::View view{
-        state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
-    rollout_controller.watch(view);
-    if (!reports_are_lost) rollout_controller.draft(view, decision);
-    ASSERT_EQ(state.apply(decision), Verdict::kTaken);
-    std::erase_if(commands, [&](const auto& one) {
-      const agreement::CommandResult* result = state.outings().result(one.first);
-      if (result) answer = result->said();
-      return result != nullptr;
-    });
-    max_leases = std::max(max_leases, state.outings().leases().size());
+    return decision;
   }
   void simulate_server(std::size_t index) {
     SimulatedServer& node = nodes[index];
