--- a/src/releases/operator_commands.cpp
+++ b/src/releases/operator_commands.cpp
@@ -83,7 +83,7 @@
   const fleet::Fleet& fleet = context.view.router.fleet();
   DisruptionBudget budget(fleet, context.all_servers(), context.leased);
   for (const std::string& node : nodes) {
-    if (auto error = budget.check(node, fleet.outings.reserve)) return error;
+    if (auto error = budget.check(node, fleet.maintenance.reserve)) return error;
     budget.mark_unavailable(node);
   }
   return std::nullopt;
@@ -124,7 +124,7 @@
   if (!plan) throw CommandError("this version can't read the plan");
   std::size_t disobedient = 0;
   for (const auto& [node, server] : context.servers)
-    disobedient += server->heard_at > 0 && !server->report.obeys;
+    disobedient += server->last_report_at > 0 && !server->report.obeys;
   if (disobedient > 0) {
     throw CommandError(std::to_string(disobedient) +
                        " servers take no orders: obey = true in their settings");
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -1,3 +1,4 @@
+// One retry policy for each kind of idempotency.
 #include "routing/retry_policy.h"
 
 #include <algorithm>
@@ -5,36 +6,43 @@
 namespace myrtlecroft::routing {
 namespace {
 
-constexpr Nanos kMinWait = 25 * kMs;
-constexpr Nanos kMaxWait = 250 * kMs;
+constexpr Nanos kBackoffMin = 25 * kMs;
+constexpr Nanos kBackoffMax = 250 * kMs;
+// A short client timeout shortens the backoff to these parts of it.
+constexpr Nanos kBackoffMinDivisor = 10;
+constexpr Nanos kBackoffMaxDivisor = 4;
+
+// An attempt gets at least its latency objective: cut shorter, work that is merely slow would be done several
+// times. 0 where it would get the whole timeout.
+Nanos per_attempt_timeout(const fleet::RequestClass& request_class, int retries) {
+  if (retries == 0) return 0;
+  Nanos even = request_class.client_timeout / (1 + retries);
+  Nanos timeout = std::max(request_class.latency_objective, even);
+  return timeout >= request_class.client_timeout ? 0 : timeout;
+}
 
 }  // namespace
 
 RetryPolicy retry_policy_for(const fleet::RequestClass& request_class, const fleet::Bounds& bounds) {
-  RetryPolicy rule;
-  rule.retries = bounds.max_retries;
-  rule.wait_min = std::min(kMinWait, request_class.client_timeout / 10);
-  rule.wait_max = std::min(kMaxWait, request_class.client_timeout / 4);
+  RetryPolicy policy;
+  policy.on = {RetryOn::kNeverSent, RetryOn::kRejected};
+  policy.retries = bounds.max_retries;
+  policy.backoff_min = std::min(kBackoffMin, request_class.client_timeout / kBackoffMinDivisor);
+  policy.backoff_max = std::min(kBackoffMax, request_class.client_timeout / kBackoffMaxDivisor);
   switch (request_class.idempotency) {
     case Idempotency::kNone:
-      rule.on = {RetryOn::kNeverSent, RetryOn::kRejected};
       break;
     case Idempotency::kKeyed:
-      rule.on = {RetryOn::kNeverSent, RetryOn::kRejected};
-      rule.retries = std::min(1, bounds.max_retries);
-      rule.same_node = true;
+      policy.retries = std::min(1, bounds.max_retries);
+      policy.same_node = true;
       break;
     case Idempotency::kIdempotent:
-      rule.on = {RetryOn::kNeverSent, RetryOn::kRejected, RetryOn::kReset, RetryOn::kLate};
-      // A try gets its latency objective at least: cut shorter, work that is merely slow would be done
-      // several times.
-      if (rule.retries > 0)
-        rule.per_try =
-            std::max(request_class.latency_objective, request_class.client_timeout / (1 + rule.retries));
-      if (rule.per_try >= request_class.client_timeout) rule.per_try = 0;
+      policy.on.push_back(RetryOn::kReset);
+      policy.on.push_back(RetryOn::kLate);
+      policy.per_attempt_timeout = per_attempt_timeout(request_class, policy.retries);
       break;
   }
-  return rule;
+  return policy;
 }
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,4 +1,6 @@
-// What proxies may try again of an request that did not end well, by how its group may repeat.
+// Which failed requests proxies may retry, by the idempotency of their request class.
+//
+// Called by snapshot_builder.cpp. A pure function; any thread.
 #pragma once
 
 #include "fleet/fleet.h"
@@ -6,10 +8,10 @@
 
 namespace myrtlecroft::routing {
 
-// Mutating: only what is proven never to have run. Deduplicated: the same, and only at the server that owns
-// the key. A broken connection is no reason to try there again either: the server may have died with the key,
-// and another incarnation of it would run the request anew. Repeatable: whatever went wrong, within the
-// fleet's budget and the caller's wait.
+// kNone: only what is proven never to have run. kKeyed: the same, and only at the server that owns the key. A
+// broken connection is no reason to retry there either: the server may have died with the key, and another
+// incarnation of it would run the request again. kIdempotent: after any failure, within the fleet's retry
+// budget and the client's timeout.
 RetryPolicy retry_policy_for(const fleet::RequestClass& request_class, const fleet::Bounds& bounds);
 
 }  // namespace myrtlecroft::routing
--- a/tests/maintenance_rules_test.cpp
+++ b/tests/maintenance_rules_test.cpp
@@ -19,7 +19,7 @@
     Decision first = next();
     *first.mutable_budgets() = budgets_of(fleet_of(4));
     for (int i = 1; i <= 4; ++i) {
-      routing_state::NodeMemory& node = *first.add_nodes();
+      routing_state::PersistedNode& node = *first.add_nodes();
       node.set_name("n" + std::to_string(i));
       node.set_state("serving");
       node.set_life(7);
@@ -78,7 +78,7 @@
   }
   void restart(const std::string& node, std::uint32_t version, const char* in_state = "ramping") {
     Decision decision = next();
-    routing_state::NodeMemory& memory = *decision.add_nodes();
+    routing_state::PersistedNode& memory = *decision.add_nodes();
     memory.set_name(node);
     memory.set_state(in_state);
     memory.set_life(8);
@@ -101,7 +101,7 @@
 
 TEST_F(MaintenanceRulesTest, FailedServerUsesUpTheBudget) {
   Decision failed = next();
-  routing_state::NodeMemory& node = *failed.add_nodes();
+  routing_state::PersistedNode& node = *failed.add_nodes();
   node.set_name("n4");
   node.set_state("silent");
   ASSERT_EQ(state.apply(failed), Verdict::kTaken);
