--- a/measure/incident.cpp
+++ b/measure/incident.cpp
@@ -10,7 +10,7 @@
 namespace myrtlecroft::rehearsal {
 namespace {
 
-using settings::Part;
+using settings::Section;
 
 constexpr std::array<std::pair<const char*, Fault>, 15> kFaults = {{{"kill", Fault::kKill},
                                                                     {"stop", Fault::kStop},
@@ -38,18 +38,18 @@
 constexpr std::array<const char*, 4> kKinds = {"leader", "instance", "node", "proxy"};
 
 template <class Table>
-auto word_in(Part& part, const std::string& name, const Table& words) {
+auto word_in(Section& part, const std::string& name, const Table& words) {
   std::string given = part.text(name);
   std::string all;
   for (const auto& [word, value] : words) {
     if (given == word) return value;
     all += (all.empty() ? "" : ", ") + std::string(word);
   }
-  part.bad(name, "is none of " + all);
+  part.fail(name, "is none of " + all);
 }
 
 // "leader", "instance 2", "server 3-7", "server all", "proxy 1".
-Who who_in(Part& part, const Incident& of) {
+Who who_in(Section& part, const Incident& of) {
   std::string given = part.text("who");
   if (given == "leader") return {};
   std::size_t space = given.find(' ');
@@ -77,12 +77,12 @@
     --out.last;
     return out;
   }
-  part.bad("who",
-           "is none of leader, instance N, node N, proxy N, with N a number, A-B or all, and no more than "
-           "there are");
+  part.fail("who",
+            "is none of leader, instance N, node N, proxy N, with N a number, A-B or all, and no more than "
+            "there are");
 }
 
-Step read_step(Part part, const Incident& of) {
+Step read_step(Section part, const Incident& of) {
   Step out;
   out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
   out.fault = word_in(part, "what", kFaults);
@@ -91,34 +91,36 @@
   if (!once) out.length = static_cast<Nanos>(part.number("for_s", 0.05, 600) * static_cast<double>(kSecond));
   bool link = on_links(out.fault);
   if (part.has("to")) {
-    if (!link) part.bad("to", "is only for what fails on links");
+    if (!link) part.fail("to", "is only for what fails on links");
     out.others = 0;
-    for (const std::string& one : part.texts("to")) {
+    for (const std::string& one : part.text_list("to")) {
       int number = 0;
       auto [past, error] = std::from_chars(one.data(), one.data() + one.size(), number);
       if (error != std::errc() || past != one.data() + one.size() || number < 1 || number > of.instances) {
-        part.bad("to", "holds what is no number of an instance: '" + one + "'");
+        part.fail("to", "holds what is no number of an instance: '" + one + "'");
       }
       out.others |= 1u << (number - 1);
     }
   }
   if (out.fault == Fault::kStall) out.way = word_in(part, "way", kWays);
-  if (out.fault == Fault::kLate || out.fault == Fault::kDiskSlow) out.by = part.millis("by_ms", 1, 60'000);
-  if (out.fault == Fault::kClock) out.by = part.whole("by_ms", -600'000, 600'000) * kMs;
+  if (out.fault == Fault::kLate || out.fault == Fault::kDiskSlow)
+    out.by = part.milliseconds("by_ms", 1, 60'000);
+  if (out.fault == Fault::kClock) out.by = part.integer("by_ms", -600'000, 600'000) * kMs;
   if (out.fault == Fault::kNoise) out.times = part.number("times", 1, 100);
   if (out.fault == Fault::kCommand) out.say = part.text("say");
   bool of_nodes = out.who.kind == Who::Kind::kNode;
   if ((out.fault == Fault::kNoise) != of_nodes &&
       (out.fault == Fault::kNoise || out.fault == Fault::kCommand))
-    part.bad("what", out.fault == Fault::kNoise ? "is for nodes only" : "is said to instances only");
-  if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(part.whole("sync", 1, 1000));
-  if (out.fault == Fault::kCutFrame) out.bytes = static_cast<std::size_t>(part.whole("bytes", 0, 10'000'000));
+    part.fail("what", out.fault == Fault::kNoise ? "is for nodes only" : "is said to instances only");
+  if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(part.integer("sync", 1, 1000));
+  if (out.fault == Fault::kCutFrame)
+    out.bytes = static_cast<std::size_t>(part.integer("bytes", 0, 10'000'000));
   if (out.who.kind == Who::Kind::kProxy && out.fault != Fault::kReset)
-    part.bad("what", "is not for proxies: their streams can only be reset");
+    part.fail("what", "is not for proxies: their streams can only be reset");
   bool disk = out.fault == Fault::kLose || out.fault == Fault::kDiskFails || out.fault == Fault::kDiskFull ||
               out.fault == Fault::kDiskSlow || out.fault == Fault::kKillAtSync;
-  if (disk && out.who.kind == Who::Kind::kNode) part.bad("what", "is not for nodes: they keep nothing here");
-  part.nothing_else();
+  if (disk && out.who.kind == Who::Kind::kNode) part.fail("what", "is not for nodes: they keep nothing here");
+  part.reject_unknown_fields();
   return out;
 }
 
@@ -146,8 +148,8 @@
 
 Incident read_incident(const std::string& path) {
   settings::Document document(path);
-  Part root = document.root();
-  root.whole("version", 1, 1);
+  Section root = document.root();
+  root.integer("version", 1, 1);
   Incident out;
   out.instances = static_cast<int>(root.integer_or("instances", out.instances, 1, 7));
   out.nodes = static_cast<int>(root.integer_or("nodes", out.nodes, 1, 300));
@@ -155,10 +157,10 @@
   out.keys_per_s = root.number_or("keys_per_s", out.keys_per_s, 1, 2000);
   out.length = static_cast<Nanos>(root.number("seconds", 1, 600) * static_cast<double>(kSecond));
   out.faults_per_s = root.number_or("faults_per_s", 0, 0, 20);
-  for (Part& part : root.list("steps")) {
+  for (Section& part : root.list("steps")) {
     out.steps.push_back(read_step(part, out));
     if (out.steps.back().at + out.steps.back().length > out.length)
-      part.bad("at_s", "with for_s ends after the incident");
+      part.fail("at_s", "with for_s ends after the incident");
   }
   std::stable_sort(out.steps.begin(), out.steps.end(),
                    [](const Step& a, const Step& b) { return a.at < b.at; });
@@ -168,19 +170,19 @@
   out.services = static_cast<int>(root.integer_or("services", out.services, 0, 50));
   out.max_unavailable = root.number_or("most_out", out.max_unavailable, 0, 1);
   out.service_max_unavailable = root.number_or("service_most_out", out.service_max_unavailable, 0, 1);
-  out.restart = root.millis_or("restart_ms", out.restart, 1, 60'000);
-  out.soak = root.millis_or("soak_ms", out.soak, 100, 600'000);
+  out.restart = root.milliseconds_or("restart_ms", out.restart, 1, 60'000);
+  out.soak = root.milliseconds_or("soak_ms", out.soak, 100, 600'000);
   out.first_nodes = static_cast<int>(root.integer_or("first_nodes", out.first_nodes, 1, 300));
-  for (Part& part : root.list("releases")) {
+  for (Section& part : root.list("releases")) {
     ReleaseWanted one;
     one.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
-    one.to = static_cast<int>(part.whole("to", 1, 99));
+    one.to = static_cast<int>(part.integer("to", 1, 99));
     if (part.has("bad")) one.bad = word_in(part, "bad", kBadWords);
     one.by = static_cast<int>(part.integer_or("by", 1, 1, out.instances)) - 1;
-    part.nothing_else();
+    part.reject_unknown_fields();
     out.releases.push_back(one);
   }
-  root.nothing_else();
+  root.reject_unknown_fields();
   return out;
 }
 
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -29,14 +29,12 @@
     65'536;  // for proxies and servers; fewer where the process may have fewer
 
 sockaddr_in address_of(const std::string& given) {
-  std::string host;
-  std::uint16_t port = 0;
-  if (!settings::split_address(given, host, port))
-    throw std::runtime_error("not an address: '" + given + "'");
+  std::optional<settings::HostAndPort> address = settings::parse_address(given);
+  if (!address) throw std::runtime_error("not an address: '" + given + "'");
   sockaddr_in out{};
   out.sin_family = AF_INET;
-  out.sin_port = htons(port);
-  inet_pton(AF_INET, host.c_str(), &out.sin_addr);
+  out.sin_port = htons(address->port);
+  inet_pton(AF_INET, address->host.c_str(), &out.sin_addr);
   return out;
 }
 
--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -21,9 +21,7 @@
   const char* id_end = text.data() + equals;
   if (std::from_chars(text.data(), id_end, id).ptr != id_end || id == 0) return std::nullopt;
   std::string address = text.substr(equals + 1);
-  std::string host;
-  std::uint16_t port = 0;
-  if (!settings::split_address(address, host, port)) return std::nullopt;
+  if (!settings::parse_address(address)) return std::nullopt;
   consensus::Server server;
   server.set_id(id);
   server.set_address(address);
--- a/src/launch.cpp
+++ b/src/launch.cpp
@@ -6,8 +6,8 @@
 #include <stdexcept>
 
 #include "net/address.h"
-#include "terms/place.h"
-#include "terms/reader.h"
+#include "service_config/error_location.h"
+#include "service_config/service_config_reader.h"
 
 namespace myrtlecroft {
 namespace {
@@ -32,7 +32,7 @@
     good = error == std::errc() && past == end && port != 0;
   }
   good = good && inet_pton(AF_INET, given.substr(0, colon).c_str(), &out.sin_addr) == 1;
-  if (!good) bad(fields, name, "is not an address: '" + given + "'");
+  if (!good) fail(fields, name, "is not an address: '" + given + "'");
   out.sin_port = htons(port);
   return out;
 }
@@ -42,7 +42,7 @@
   std::uint64_t seed = 0;
   auto [past, error] = std::from_chars(given.data(), given.data() + given.size(), seed, 16);
   if (error != std::errc() || past != given.data() + given.size())
-    bad(fields, "seed", "is not a hexadecimal number");
+    fail(fields, "seed", "is not a hexadecimal number");
   return seed;
 }
 
@@ -56,10 +56,10 @@
 
 void read_limits(object limits, Launch& launch) {
   std::int64_t descriptors = integer_or(limits, "sockets", kUsualDescriptors);
-  if (descriptors < kFewestDescriptors) bad(limits, "sockets", "is too few");
+  if (descriptors < kFewestDescriptors) fail(limits, "sockets", "is too few");
   launch.descriptors = static_cast<std::size_t>(descriptors);
   double memory_mb = number(limits, "memory_mb");
-  if (memory_mb <= 0) bad(limits, "memory_mb", "is not above 0");
+  if (memory_mb <= 0) fail(limits, "memory_mb", "is not above 0");
   launch.memory = static_cast<std::size_t>(memory_mb * 1024 * 1024);
   launch.start.result_bytes = launch.memory / kResultShare;
   launch.limits = digest(simdjson::minify(limits));
@@ -73,16 +73,14 @@
   launch.engine = address(fields, "engine");
   launch.members = address(fields, "members");
   launch.start.seed = seed_of(fields);
-  std::int64_t stop_ms = whole(fields, "stop_ms");
-  if (stop_ms <= 0 || stop_ms > kLongestStop) bad(fields, "stop_ms", "is not a time from 1 ms to a day");
+  std::int64_t stop_ms = integer(fields, "stop_ms");
+  if (stop_ms <= 0 || stop_ms > kLongestStop) fail(fields, "stop_ms", "is not a time from 1 ms to a day");
   launch.start.stop_after = stop_ms * kMs;
   read_limits(part(fields, "limits"), launch);
   object settings = part(fields, "settings");
   launch.start.config = read_config(settings);
   // A server without a shared dependency needs no address of one.
-  element named;
-  if (launch.start.config.has_dependency || find(fields, "db", named))
-    launch.database = address(fields, "db");
+  if (launch.start.config.has_dependency || find(fields, "db")) launch.database = address(fields, "db");
   launch.start.gauge_names = read_gauge_names(settings);
   launch.settings = digest(simdjson::minify(settings));
   return launch;
@@ -114,13 +112,13 @@
   simdjson::dom::parser parser;
   element value;
   if (auto error = parser.parse(bytes).get(value))
-    throw std::runtime_error(file + ":" + placed(error, bytes));
+    throw std::runtime_error(file + ":" + located(error, bytes));
   object fields;
   if (value.get(fields) != simdjson::SUCCESS) throw std::runtime_error(file + ": not an object");
   try {
     return read_fields(fields);
   } catch (const FieldError& error) {
-    throw std::runtime_error(file + ":" + placed(error, value, bytes));
+    throw std::runtime_error(file + ":" + located(error, value, bytes));
   }
 }
 
--- a/src/terms/place.cpp
+++ b/src/service_config/error_location.cpp
@@ -1,4 +1,4 @@
-#include "terms/place.h"
+#include "service_config/error_location.h"
 
 #include <algorithm>
 #include <optional>
@@ -54,7 +54,7 @@
   return line_of(place, text);
 }
 
-// Reads all of it, so that what is wrong is met. The depth is bounded by the parser.
+// Reads every value, so that the first fault is met. The depth is bounded by the parser.
 simdjson::error_code walk(ondemand::value value) {
   ondemand::json_type type{};
   if (auto error = value.type().get(type)) return error;
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-std::string placed(const FieldError& error, element root, const simdjson::padded_string& text) {
+std::string located(const FieldError& error, element root, const simdjson::padded_string& text) {
   std::optional<Step> in = error.object_mark ? find_object(root, error.object_mark, {}) : std::nullopt;
   if (!in) return std::string(" ") + error.what();
   std::optional<int> line = line_at(in->pointer + "/" + error.field, text);
@@ -97,7 +97,7 @@
   return (line ? std::to_string(*line) + ": " : " ") + path + ": " + error.fault;
 }
 
-std::string placed(simdjson::error_code error, const simdjson::padded_string& text) {
+std::string located(simdjson::error_code error, const simdjson::padded_string& text) {
   ondemand::parser parser;
   ondemand::document document;
   const char* place = nullptr;
@@ -108,7 +108,7 @@
     if (met != simdjson::SUCCESS && document.current_location().get(place) != simdjson::SUCCESS)
       place = nullptr;
   }
-  // What is found only at the end, a bracket that is never closed, is told without a line.
+  // A fault that is found only at the end, as a bracket that is never closed, has no line.
   return (place ? std::to_string(line_of(place, text)) + ": " : " ") +
          std::string(simdjson::error_message(error));
 }
--- a/src/terms/reader.cpp
+++ b/src/service_config/service_config_reader.cpp
@@ -1,4 +1,4 @@
-#include "terms/reader.h"
+#include "service_config/service_config_reader.h"
 
 #include <algorithm>
 
@@ -7,34 +7,34 @@
 
 template <class Item, class Read>
 void read_list(object fields, std::string_view name, std::vector<Item>& items, Read read) {
-  element value;
-  if (!find(fields, name, value)) return;
+  std::optional<element> value = find(fields, name);
+  if (!value) return;
   simdjson::dom::array list;
-  if (value.get(list) != simdjson::SUCCESS) bad(fields, name, "is not a list");
+  if (value->get(list) != simdjson::SUCCESS) fail(fields, name, "is not a list");
   for (element entry : list) items.push_back(read(fields, name, entry));
 }
 
 RequestClass read_request_class(object in, std::string_view name, element entry) {
   object fields;
-  if (entry.get(fields) != simdjson::SUCCESS) bad(in, name, "has an entry that is not an object");
+  if (entry.get(fields) != simdjson::SUCCESS) fail(in, name, "has an entry that is not an object");
   RequestClass request_class;
   request_class.name = text(fields, "name");
-  request_class.idempotency = word<Idempotency>(fields, "effect",
-                                                {{"idempotent", Idempotency::kIdempotent},
-                                                 {"deduplicated", Idempotency::kKeyed},
-                                                 {"at_most_once", Idempotency::kNone}},
-                                                "");
+  request_class.idempotency = enumerated<Idempotency>(fields, "effect",
+                                                      {{"idempotent", Idempotency::kIdempotent},
+                                                       {"deduplicated", Idempotency::kKeyed},
+                                                       {"at_most_once", Idempotency::kNone}},
+                                                      "");
   request_class.priority_weight = number(fields, "gain");
   request_class.late_weight_share = number_or(fields, "lateWorth", 0);
-  request_class.latency_objective = whole(fields, "goalTimeNs");
-  request_class.client_timeout = whole(fields, "hardLimitNs");
+  request_class.latency_objective = integer(fields, "goalTimeNs");
+  request_class.client_timeout = integer(fields, "hardLimitNs");
   request_class.deduplication_window = integer_or(fields, "dedupWindowNs", 0);
   return request_class;
 }
 
 Tenant read_tenant(object in, std::string_view name, element entry) {
   object fields;
-  if (entry.get(fields) != simdjson::SUCCESS) bad(in, name, "has an entry that is not an object");
+  if (entry.get(fields) != simdjson::SUCCESS) fail(in, name, "has an entry that is not an object");
   Tenant tenant;
   tenant.name = text(fields, "name");
   tenant.quota_per_s = number_or(fields, "quotaPerS", 0);
@@ -47,23 +47,23 @@
 
 void read_machine(object family, ServiceConfig& config) {
   config.callers = at_least_one(family, "senders");
-  config.cores = static_cast<int>(whole(family, "nCores"));
-  if (config.cores < 1) bad(family, "nCores", "is under 1");
+  config.cores = static_cast<int>(integer(family, "nCores"));
+  if (config.cores < 1) fail(family, "nCores", "is under 1");
   config.memory_kb = number(family, "ramKb");
   config.running_memory_factor = number_or(family, "blowup", 1);
   config.key_kb = number_or(family, "keyKb", 0);
-  config.warming_up = truth(family, "cold");
+  config.warming_up = boolean(family, "cold");
   config.max_idle_time = integer_or(family, "idleNs", 0);
   config.answer_sharing_window = integer_or(family, "freshNs", 0);
-  config.stop_mode = word<StopMode>(
+  config.stop_mode = enumerated<StopMode>(
       family, "stopMode",
       {{"off", StopMode::kNone}, {"discard", StopMode::kDiscard}, {"freeze", StopMode::kFreeze}}, "off");
-  config.advertised_capacity = word<AdvertisedCapacity>(family, "advert",
-                                                        {{"off", AdvertisedCapacity::kNone},
-                                                         {"floor", AdvertisedCapacity::kFloor},
-                                                         {"allowance", AdvertisedCapacity::kAllowance},
-                                                         {"weight", AdvertisedCapacity::kWeight}},
-                                                        "off");
+  config.advertised_capacity = enumerated<AdvertisedCapacity>(family, "advert",
+                                                              {{"off", AdvertisedCapacity::kNone},
+                                                               {"floor", AdvertisedCapacity::kFloor},
+                                                               {"allowance", AdvertisedCapacity::kAllowance},
+                                                               {"weight", AdvertisedCapacity::kWeight}},
+                                                              "off");
 }
 
 void read_dependency(object family, ServiceConfig& config) {
@@ -73,9 +73,9 @@
   config.abandoned_call_lifetime = integer_or(family, "staysForNs", 0);
   std::vector<bool> calls;
   read_list(family, "classCalls", calls, [](object in, std::string_view name, element entry) {
-    bool mark = false;
-    if (entry.get(mark) != simdjson::SUCCESS) bad(in, name, "has an entry that is not true or false");
-    return mark;
+    bool out = false;
+    if (entry.get(out) != simdjson::SUCCESS) fail(in, name, "has an entry that is not true or false");
+    return out;
   });
   std::vector<double> degraded_shares;
   read_list(family, "classSkipWorth", degraded_shares,
@@ -92,7 +92,7 @@
   config.warm_up_time = integer_or(rules, "warmWithinNs", 0);
   config.drain_grace = integer_or(rules, "drainGraceNs", 0);
   config.max_running_per_core = number(rules, "overloadFactor");
-  config.contention_window = whole(rules, "overloadForNs");
+  config.contention_window = integer(rules, "overloadForNs");
 }
 
 }  // namespace
@@ -100,7 +100,7 @@
 ServiceConfig read_config(object env) {
   ServiceConfig config;
   read_list(env, "classes", config.request_classes, read_request_class);
-  if (config.request_classes.empty()) bad(env, "classes", "is missing or empty");
+  if (config.request_classes.empty()) fail(env, "classes", "is missing or empty");
   read_list(env, "tenants", config.tenants, read_tenant);
   config.servers = at_least_one(env, "servers");
   config.over_quota_weight = number_or(env, "overShareWorth", 1);
@@ -111,7 +111,7 @@
   read_dependency(family, config);
   read_rules(part(env, "rules"), config);
   object limits = part(env, "limits");
-  if (truth(limits, "retryAfter")) config.max_retry_after = integer_or(limits, "maxRetryAfterNs", 0);
+  if (boolean(limits, "retryAfter")) config.max_retry_after = integer_or(limits, "maxRetryAfterNs", 0);
   return config;
 }
 
@@ -119,7 +119,7 @@
   std::vector<std::string> names;
   read_list(part(env, "familyInfo"), "meters", names, [](object in, std::string_view name, element entry) {
     std::string_view gauge;
-    if (entry.get(gauge) != simdjson::SUCCESS) bad(in, name, "has an entry that is not a text");
+    if (entry.get(gauge) != simdjson::SUCCESS) fail(in, name, "has an entry that is not a text");
     return std::string(gauge);
   });
   return names;
--- a/src/settings/node_settings.h
+++ b/src/settings/node_settings.h
@@ -1,4 +1,5 @@
-// A server's settings beside what the platform tells it, from a file of our own. All of it may be left out.
+// A server's settings beside those that the platform gives it, from a file of its own in which every field is
+// optional. Called by the server program at start and at a reload, on its loop's thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -12,14 +13,15 @@
 namespace myrtlecroft::settings {
 
 struct ReportSettings {
-  std::vector<sockaddr_in> to;  // control services; none: no reports
-  Nanos every = 250 * kMs;
-  bool obey =
-      false;  // of the keys, only those are run that control services, agreed among them, say are ours
+  std::vector<sockaddr_in> to;  // control services; none: no load reports
+  Nanos every = 250 * kMs;      // between two load reports
+  // Run only keys of shards that the control services have assigned to this server, and follow their orders.
+  bool obey = false;
 };
 
 struct StoreSettings {
-  std::string folder;  // on a disk that lasts; empty: what ran is remembered for the life of the process
+  // On a persistent disk; empty: idempotency records last as long as the process.
+  std::string folder;
 };
 
 struct NodeSettings {
@@ -28,8 +30,8 @@
   StoreSettings store;
 };
 
-// No path or an empty one gives the defaults. Throws std::runtime_error with a message for the operators; so
-// does any path in a build that has no reader for it.
+// No path or an empty one gives the defaults. Throws std::runtime_error with a message for the operators,
+// also for any path in a build without libconfig.
 NodeSettings read_node_settings(const char* path);
 
 }  // namespace myrtlecroft::settings
--- a/src/settings/node_settings_none.cpp
+++ b/src/settings/node_settings_none.cpp
@@ -1,4 +1,4 @@
-// For builds that need no library for documents: there are no settings but the defaults.
+// Stands in for node_settings.cpp in builds without libconfig: there are only the defaults.
 #include <stdexcept>
 
 #include "settings/node_settings.h"
--- a/src/wirehost/wire.cpp
+++ b/src/wirehost/wire.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "service/tenant_index.h"
-#include "terms/reader.h"
+#include "service_config/service_config_reader.h"
 
 namespace myrtlecroft::wirehost {
 namespace {
@@ -15,26 +15,24 @@
 using namespace config;
 
 Outcome read_outcome(object fields) {
-  return word<Outcome>(fields, "reason",
-                       {{"Ok", Outcome::kOk},
-                        {"Failed", Outcome::kFailed},
-                        {"QueueFull", Outcome::kFull},
-                        {"TimedOut", Outcome::kTimedOut},
-                        {"ConnectError", Outcome::kUnreachable},
-                        {"ResetByPeer", Outcome::kReset},
-                        {"Canceled", Outcome::kCanceled},
-                        {"Ignored", Outcome::kIgnored}},
-                       "");
+  return enumerated<Outcome>(fields, "reason",
+                             {{"Ok", Outcome::kOk},
+                              {"Failed", Outcome::kFailed},
+                              {"QueueFull", Outcome::kFull},
+                              {"TimedOut", Outcome::kTimedOut},
+                              {"ConnectError", Outcome::kUnreachable},
+                              {"ResetByPeer", Outcome::kReset},
+                              {"Canceled", Outcome::kCanceled},
+                              {"Ignored", Outcome::kIgnored}},
+                             "");
 }
 
 Gauges read_gauges(object fields) {
   Gauges gauges;
-  element value;
-  if (!find(fields, "metrics", value)) return gauges;
+  if (!find(fields, "metrics")) return gauges;
   object values = part(fields, "metrics");
   auto gauge = [&](std::string_view name, std::optional<double>& into) {
-    element reading;
-    if (find(values, name, reading)) into = number(values, name, reading);
+    if (auto reading = find(values, name)) into = number(values, name, *reading);
   };
   gauge("core_use", gauges.core_use);
   gauge("on_cores", gauges.on_cores);
@@ -44,18 +42,17 @@
 
 // Empty where the site has no tenants, which the wire may also tell by 0.
 std::string read_tenant(object fields) {
-  element tenant;
-  if (!find(fields, "tenant", tenant)) return "";
-  if (tenant.is_string()) return text(fields, "tenant");
+  std::optional<element> tenant = find(fields, "tenant");
+  if (!tenant) return "";
+  if (tenant->is_string()) return text(fields, "tenant");
   std::int64_t none = -1;
-  if (tenant.get(none) != simdjson::SUCCESS || none != 0) bad(fields, "tenant", "is neither a text nor 0");
+  if (tenant->get(none) != simdjson::SUCCESS || none != 0) fail(fields, "tenant", "is neither a text nor 0");
   return "";
 }
 
 bool has_key(object fields) {
-  element key;
-  if (!find(fields, "targetKey", key)) return false;
-  whole(fields, "targetKey");
+  if (!find(fields, "targetKey")) return false;
+  integer(fields, "targetKey");
   return true;
 }
 
@@ -86,7 +83,7 @@
 
   SimulatedRequest& add(object fields) {
     auto request = std::make_unique<SimulatedRequest>();
-    request->id = static_cast<std::uint64_t>(whole(fields, "requestId"));
+    request->id = static_cast<std::uint64_t>(integer(fields, "requestId"));
     std::string request_class = text(fields, "profile");
     for (const RequestClass& known : config_.request_classes) {
       if (known.name == request_class) request->request_class = &known;
@@ -95,7 +92,7 @@
       throw WireError("field 'profile' names the unknown class '" + request_class + "'");
     request->tenant = tenants_.find(read_tenant(fields));
     request->has_subject = has_key(fields);
-    request->writes = truth(fields, "update");
+    request->writes = boolean(fields, "update");
     request->arrived = -integer_or(fields, "ageNs", 0);  // made a clock time when it is delivered
     request->client_deadline = integer_or(fields, "giveUpAtNs", 0);
     request->work_hint = integer_or(fields, "workNs", 0);
@@ -218,7 +215,7 @@
 }
 
 Instance& Wire::instance_of(object fields) {
-  std::int64_t number = whole(fields, "server");
+  std::int64_t number = integer(fields, "server");
   auto place = instances_.find(number);
   if (place == instances_.end()) {
     throw WireError("field 'server' names " + std::to_string(number) + ", which was never started");
@@ -251,8 +248,8 @@
     if ((name == "Turn") == open) throw WireError("field 'm' names '" + name + "' in the wrong place");
     if (name == "Turn") {
       open = true;
-      now_ = whole(fields, "momentNs");
-      batch_ = whole(fields, "seq");
+      now_ = integer(fields, "momentNs");
+      batch_ = integer(fields, "seq");
     } else if (name == "EofBatch") {
       return true;
     } else {
@@ -285,7 +282,7 @@
   }
   event.instance = &instance_of(fields);
   if (event.kind == Event::Kind::kStop) {
-    end_instance(whole(fields, "server"));
+    end_instance(integer(fields, "server"));
     return;
   }
   read_details(fields, event);
@@ -293,8 +290,8 @@
 }
 
 Instance& Wire::start_instance(object fields) {
-  std::int64_t number = whole(fields, "server");
-  auto seed = static_cast<std::uint64_t>(whole(fields, "seed"));
+  std::int64_t number = integer(fields, "server");
+  auto seed = static_cast<std::uint64_t>(integer(fields, "seed"));
   end_instance(number);
   auto instance = std::make_unique<Instance>(number, read_config(part(fields, "env")), seed, reply_);
   Instance& started = *instance;
@@ -311,17 +308,17 @@
       event.request->arrived += now_;
       break;
     case Kind::kDrain:
-      event.time = whole(fields, "giveUpAtNs");
+      event.time = integer(fields, "giveUpAtNs");
       break;
     case Kind::kTimerExpired:
-      event.number = static_cast<std::uint64_t>(whole(fields, "token"));
+      event.number = static_cast<std::uint64_t>(integer(fields, "token"));
       event.gauges = read_gauges(fields);
       break;
     default:  // an event of one request
-      event.number = static_cast<std::uint64_t>(whole(fields, "requestId"));
+      event.number = static_cast<std::uint64_t>(integer(fields, "requestId"));
       if (event.kind == Kind::kCallEnded || event.kind == Kind::kRunCompleted) {
         event.outcome = read_outcome(fields);
-        event.time = whole(fields, "rttNs");
+        event.time = integer(fields, "rttNs");
       }
   }
 }
--- a/tests/conversions_sample.cpp
+++ b/tests/conversions_sample.cpp
@@ -1,5 +1,5 @@
 // Compiled by tests/conversions_test.sh alone. With ELEMENT_FOR_OBJECT it holds a line that must not compile.
-#include "terms/fields.h"
+#include "service_config/json_fields.h"
 
 namespace myrtlecroft::config {
 
