--- a/measure/agreement_world.cpp
+++ b/measure/agreement_world.cpp
@@ -30,7 +30,7 @@
     failed = false;
     return kept;
   }
-  bool well() const override { return !sick; }
+  bool is_writable() const override { return !sick; }
   bool save_vote(std::uint64_t term, consensus::InstanceId voted_for) override {
     failed = failed || sick;
     if (failed) return false;
@@ -261,14 +261,14 @@
   agreement::ReplicaOptions options;
   options.id = static_cast<std::uint64_t>(control.place + 1);
   options.address = std::to_string(control.place + 1);
-  options.log.fleet = "world";
-  options.log.snapshot_after = 40;  // so that snapshots come often
-  options.log.snapshot_trailing = 10;
+  options.raft.fleet = "world";
+  options.raft.snapshot_after = 40;  // so that snapshots come often
+  options.raft.snapshot_trailing = 10;
   control.instance = std::make_unique<ControlReplica>(
       options, *control.disk, *control.line, fleet(), true, [this, &control] { return now_ + control.ahead; },
       random_(), [](const std::string&) {});
   control.conductor = std::make_unique<releases::RolloutController>([](const std::string&) {});
-  control.instance->set_chapter(control.conductor.get());
+  control.instance->set_section(control.conductor.get());
   control.instance->start();
   control.up_since = now_;
   int incarnation = ++control.incarnation;
@@ -309,7 +309,7 @@
     words.rbegin()->set_applied(stream.applied);
     words.rbegin()->set_here(true);
   }
-  control.instance->proxies(std::move(words));
+  control.instance->set_local_proxies(std::move(words));
   control.instance->tick();
   if (!control.instance->fault().empty()) {
     ++result_.refused_folders;
@@ -364,9 +364,9 @@
 // ---- Releases
 
 void World::follow_trips(const agreement::ReplicatedState& state) {
-  const agreement::MaintenanceState& outings = state.outings();
+  const agreement::MaintenanceState& outings = state.maintenance();
   for (const auto& [node, trip] : outings.leases()) {
-    if (trip.place == agreement::MaintenancePhase::kOrdered) let_go_[node] = now_;
+    if (trip.phase == agreement::MaintenancePhase::kRestarting) let_go_[node] = now_;
   }
   result_.releases = std::max(result_.releases, static_cast<int>(outings.release().id()));
   bool finished = outings.release().phase() == agreement::PHASE_DONE && outings.release().reason().empty();
@@ -408,17 +408,17 @@
   });
   Control& one = *controls_[static_cast<std::size_t>(pick(options_.instances))];
   if (!one.instance || !one.instance->has_quorum()) return;
-  const agreement::MaintenanceState& outings = one.instance->agreed().outings();
+  const agreement::MaintenanceState& outings = one.instance->agreed().maintenance();
   if (chance() < 0.15) {
     std::string node = nodes_[static_cast<std::size_t>(pick(options_.nodes))]->name;
-    one.instance->command((outings.drains().empty() ? "drain " : "undrain ") +
-                          (outings.drains().empty() ? node : *outings.drains().begin()));
+    one.instance->submit_command((outings.drains().empty() ? "drain " : "undrain ") +
+                                 (outings.drains().empty() ? node : *outings.drains().begin()));
     return;
   }
-  if (outings.under_way()) {
+  if (outings.release_in_progress()) {
     constexpr const char* kSaid[] = {"release halt", "release resume", "release back", "release resume",
                                      "release end"};
-    one.instance->command(kSaid[pick(5)]);
+    one.instance->submit_command(kSaid[pick(5)]);
     return;
   }
   agreement::Plan plan;
@@ -442,7 +442,7 @@
   plan.set_alarm(900);
   plan.set_alarm_for_ns(3 * kSecond);
   if (chance() < 0.3) bad_.insert(plan.version());
-  one.instance->command(releases::start_command(plan));
+  one.instance->submit_command(releases::start_command(plan));
 }
 
 // ---- Servers and proxies
@@ -473,7 +473,7 @@
       to.instance->router().report_link(node.name, true, now_ + to.ahead);
       to.instance->router().reported(report, now_ + to.ahead, kUnixStart + now_);
       if (to.instance->agreed().epoch().number >= agreed_) follow_trips(to.instance->agreed());
-      ShardAssignment order = to.instance->order_for(node.name);
+      ShardAssignment order = to.instance->assignment_for(node.name);
       if (order.restart_as && !to.instance->has_quorum()) return;
       deliver(to.place, node.place, [this, &node, order, asked_at, incarnation = report.incarnation] {
         if (!node.alive || node.incarnation != incarnation) return;
@@ -587,7 +587,7 @@
     case 0: {
       Control* leader = &one;
       for (auto& control : controls_) {
-        if (control->instance && control->instance->decides()) leader = control.get();
+        if (control->instance && control->instance->is_deciding()) leader = control.get();
       }
       kill_for(*leader, length);
       break;
@@ -675,7 +675,7 @@
       // Put back from an older copy, once, while the others run: it has to find out, and is taken out by its
       // operators.
       bool all_up = std::all_of(controls_.begin(), controls_.end(), [&](const auto& control) {
-        return control->instance && control->paused_until <= now_ && control->instance->proven() &&
+        return control->instance && control->paused_until <= now_ && control->instance->storage_verified() &&
                control->up_since + kSecond < now_;
       });
       if (put_back_ || !all_up) break;
@@ -747,8 +747,8 @@
   for (auto& control : controls_) {
     if (control->retired) continue;
     const ControlReplica& instance = *control->instance;
-    leaders += instance.decides();
-    result_.wrong_drafts += static_cast<int>(instance.wrong_drafts());
+    leaders += instance.is_deciding();
+    result_.wrong_drafts += static_cast<int>(instance.invalid_proposals());
     std::string who = "instance " + std::to_string(control->place + 1);
     if (!instance.has_quorum())
       violate(result_.not_back,
@@ -756,7 +756,8 @@
     if (instance.agreed().epoch().number + 3 < agreed_)
       violate(result_.lost_entries, who + " lacks what was agreed");
     // Operators may have left servers out.
-    std::size_t closed = instance.agreed().outings().leases().empty() ? instance.agreed().closed() : 0;
+    std::size_t closed =
+        instance.agreed().maintenance().leases().empty() ? instance.agreed().closed_shards() : 0;
     if (closed > 0)
       violate(result_.not_back, who + " has " + std::to_string(closed) + " shards closed after the quiet");
   }
--- a/measure/capacity/log_slopes.cpp
+++ b/measure/capacity/log_slopes.cpp
@@ -35,9 +35,9 @@
 double apply_ms(const std::string& image, const std::string& entry) {
   agreement::ReplicatedState state;
   if (!state.restore(image)) throw std::runtime_error("an image is not taken");
-  agreement::Verdict verdict{};
+  agreement::ApplyResult verdict{};
   double cost = cpu_ms_of([&] { verdict = state.apply(entry); });
-  if (verdict != agreement::Verdict::kTaken) throw std::runtime_error(name_of(verdict));
+  if (verdict != agreement::ApplyResult::kApplied) throw std::runtime_error(name_of(verdict));
   return cost;
 }
 
--- a/measure/capacity/logged_instance.cpp
+++ b/measure/capacity/logged_instance.cpp
@@ -17,9 +17,9 @@
   agreement::ReplicaOptions out;
   out.id = kId;
   out.address = "alone";
-  out.log.fleet = "capacity";
-  out.log.snapshot_after = snapshot_after;
-  out.log.snapshot_trailing = snapshot_after / 2;
+  out.raft.fleet = "capacity";
+  out.raft.snapshot_after = snapshot_after;
+  out.raft.snapshot_trailing = snapshot_after / 2;
   return out;
 }
 
--- a/measure/capacity/logged_instance.h
+++ b/measure/capacity/logged_instance.h
@@ -16,7 +16,7 @@
 class MemoryLog final : public consensus::RaftStorage {
  public:
   consensus::PersistentState load() override { return kept_; }
-  bool well() const override { return true; }
+  bool is_writable() const override { return true; }
   bool save_vote(std::uint64_t term, consensus::InstanceId voted_for) override;
   void append(std::uint64_t first, std::vector<consensus::LogEntry> entries, Done done) override;
   void truncate(std::uint64_t) override {}
--- a/src/agreement/control_replica.cpp
+++ b/src/agreement/control_replica.cpp
@@ -8,8 +8,8 @@
 namespace myrtlecroft::agreement {
 namespace {
 
-constexpr Nanos kRejoinEvery = 500 * kMs;    // after a failure of the disk
-constexpr Nanos kVouchedAfter = 3000 * kMs;  // where not all others speak, a majority does
+constexpr Nanos kRejoinEvery = 500 * kMs;             // after a failure of the disk
+constexpr Nanos kMajorityConfirmsAfter = 3000 * kMs;  // where not all others speak, a majority does
 constexpr Nanos kMaxBelieved = 600 * kMs;  // of the time between two decisions: windows are longer by as much
 constexpr Nanos kPassEvery = 200 * kMs;    // a command, until its result is agreed
 constexpr std::size_t kMaxCommands = 16;   // that wait
@@ -29,8 +29,8 @@
       random_(seed),
       router_(std::move(fleet), std::nullopt, first_start, clock_(), log_),
       state_(options.format),
-      contact_(options.id, options.lease_duration),
-      book_(options.lease_duration) {
+      lease_(options.id, options.lease_duration),
+      proxies_(options.lease_duration) {
   // An instance may be wrong about being in touch for twice as long as contact lasts, and no shard moves in
   // that time.
   router_.quarantine_at_least(3 * options_.lease_duration, kMaxBelieved);
@@ -45,7 +45,7 @@
 
 void ControlReplica::join() {
   raft_node_ = std::make_unique<consensus::RaftNode>(
-      options_.id, options_.address, options_.log, storage_, transport_, *this,
+      options_.id, options_.address, options_.raft, storage_, transport_, *this,
       [this] { return static_cast<std::uint64_t>(clock_() / kMs); }, random_());
 }
 
@@ -54,8 +54,8 @@
   applied_at_ = started_at_ = now();
   // One that is alone, new, or only back after a failure of its disk has nobody to ask, or nothing to be
   // asked about.
-  proven_ =
-      proven_ || raft_node_->voters() < 2 || raft_node_->last_index() == 0 || !raft_node_->votes(options_.id);
+  storage_verified_ = storage_verified_ || raft_node_->voters() < 2 || raft_node_->last_index() == 0 ||
+                      !raft_node_->is_voter(options_.id);
 }
 
 // A folder that was put back from an older copy lacks entries which this instance said it had, and which the
@@ -64,7 +64,7 @@
 // gone. Not found where those who remember are gone or restarted at the same time: that is a second fault at
 // once, which three instances don't stand.
 void ControlReplica::prove(const consensus::PeerMessage& message) {
-  if (!raft_node_->votes(message.from())) return;
+  if (!raft_node_->is_voter(message.from())) return;
   if (message.word().your_kept() > raft_node_->last_index()) {
     if (fault_.empty()) {
       fault_ = "this folder is older than what instance " + std::to_string(message.from()) +
@@ -73,18 +73,18 @@
     }
     return;
   }
-  vouched_.insert(message.from());
+  confirmed_by_.insert(message.from());
   std::size_t others = raft_node_->voters() - 1;
-  bool enough =
-      vouched_.size() >= others || (2 * vouched_.size() >= others && now() - started_at_ >= kVouchedAfter);
-  proven_ = enough && fault_.empty();
+  bool enough = confirmed_by_.size() >= others ||
+                (2 * confirmed_by_.size() >= others && now() - started_at_ >= kMajorityConfirmsAfter);
+  storage_verified_ = enough && fault_.empty();
 }
 
 // After the disk has failed: what is there is read again, and the log is followed from there. Until it has
 // caught up with what was served here already, nothing older is.
 void ControlReplica::rejoin() {
   rejoin_at_ = now() + kRejoinEvery;
-  if (!storage_.well()) return;
+  if (!storage_.is_writable()) return;
   leading_ = false;
   asked_ = 0;
   changing_ = false;
@@ -97,9 +97,9 @@
 }
 
 bool ControlReplica::tick() {
-  if (proven_) raft_node_->tick();
-  if (proven_ && raft_node_->applied_index() <= raft_node_->stored_index())
-    kept_ = raft_node_->applied_index();
+  if (storage_verified_) raft_node_->tick();
+  if (storage_verified_ && raft_node_->applied_index() <= raft_node_->stored_index())
+    stored_decision_ = raft_node_->applied_index();
   follow_target();
   if (!raft_node_->fault().empty() && fault_.empty()) {
     fault_ = raft_node_->fault();
@@ -110,7 +110,7 @@
       log_("the disk fails: no part in votes until it is well; the last agreed set is served on");
     rejoin();
   }
-  if (now() - said_at_ >= options_.say_every) say();
+  if (now() - said_at_ >= options_.heartbeat_interval) say();
   pass_commands();
   if (!raft_node_->ready()) {
     changing_ = false;
@@ -119,8 +119,8 @@
     asked_ = 0;
   }
   if (now() >= due_at_) {
-    due_at_ = now() + options_.beat;
-    if (chapter_) chapter_->watch(view(state_.time(), 0));
+    due_at_ = now() + options_.decision_interval;
+    if (section_) section_->observe(view(state_.time(), 0));
     if (raft_node_->ready() && has_quorum()) {
       decide();
     } else {
@@ -141,16 +141,16 @@
 bool ControlReplica::received(const consensus::PeerMessage& message) {
   // One whose fleet is another's, or that was never let in or is let in no more, is not listened to. An
   // instance that is new itself knows nobody yet.
-  bool known = raft_node_->servers().empty() || raft_node_->part_of(message.from());
-  if (message.fleet() != options_.log.fleet || message.to() != options_.id || message.from() == options_.id ||
-      !known)
+  bool known = raft_node_->servers().empty() || raft_node_->role_of(message.from());
+  if (message.fleet() != options_.raft.fleet || message.to() != options_.id ||
+      message.from() == options_.id || !known)
     return false;
   if (message.what_case() == consensus::PeerMessage::kWord) {
     hear(message);
   } else if (message.what_case() == consensus::PeerMessage::kCommand) {
-    if (raft_node_->leads() && commands_.size() < kMaxCommands)
+    if (raft_node_->is_leader() && commands_.size() < kMaxCommands)
       commands_[message.command().id()] = message.command().text();
-  } else if (proven_) {
+  } else if (storage_verified_) {
     raft_node_->received(message);
   }
   return std::exchange(new_, false);
@@ -158,7 +158,7 @@
 
 consensus::PeerMessage ControlReplica::message_to(consensus::InstanceId id) const {
   consensus::PeerMessage out;
-  out.set_fleet(options_.log.fleet);
+  out.set_fleet(options_.raft.fleet);
   out.set_from(options_.id);
   out.set_to(id);
   out.set_address(options_.address);
@@ -171,40 +171,40 @@
     if (server.id() == options_.id) continue;
     consensus::PeerMessage message = message_to(server.id());
     consensus::Heartbeat& word = *message.mutable_word();
-    contact_.fill(server.id(), raft_node_->term(), raft_node_->leader(), now(), word);
-    word.set_confirmed(raft_node_->leads() && has_quorum());
+    lease_.fill_stamps(server.id(), raft_node_->term(), raft_node_->leader(), now(), word);
+    word.set_confirmed(raft_node_->is_leader() && has_quorum());
     word.set_applied(state_.epoch().number);
-    word.set_kept(kept_);
-    word.set_your_kept(said_by(server.id()).kept);
+    word.set_kept(stored_decision_);
+    word.set_your_kept(peer_status(server.id()).stored);
     word.set_format(options_.format);
-    word.set_settings(options_.settings);
-    *word.mutable_proxies() = here_;
+    word.set_settings(options_.settings_hash);
+    *word.mutable_proxies() = local_proxies_;
     transport_.send(message, server.address());
   }
 }
 
 void ControlReplica::hear(const consensus::PeerMessage& message) {
   const consensus::Heartbeat& word = message.word();
-  if (!proven_) prove(message);
-  if (raft_node_->votes(message.from()))
-    contact_.heard(message.from(), word, raft_node_->term(), raft_node_->leader());
+  if (!storage_verified_) prove(message);
+  if (raft_node_->is_voter(message.from()))
+    lease_.receive(message.from(), word, raft_node_->term(), raft_node_->leader());
   if (target_at_ == 0 && message.from() == raft_node_->leader() && word.term() == raft_node_->term() &&
       word.confirmed()) {
     target_ = word.applied();
     target_at_ = static_cast<Nanos>(word.your_stamp());
   }
   follow_target();
-  book_.told(message.from(), word.proxies(), now());
-  Said& said = heard_[message.from()];
-  said = {word.applied(), now(), std::max(said.kept, word.kept()), {word.format(), word.settings()}};
+  proxies_.update(message.from(), word.proxies(), now());
+  PeerStatus& said = peers_[message.from()];
+  said = {word.applied(), now(), std::max(said.stored, word.kept()), {word.format(), word.settings()}};
 }
 
-Nanos ControlReplica::fresh_for() const {
+Nanos ControlReplica::lease_remaining() const {
   if (raft_node_->disk_failed() || state_.epoch().number < seen_) return 0;
-  Nanos touch = contact_.holds_for(raft_node_->term(), raft_node_->leader(), raft_node_->voters(), now());
+  Nanos touch = lease_.remaining(raft_node_->term(), raft_node_->leader(), raft_node_->voters(), now());
   // A new leader, or one back from the dead, may not have applied all that was agreed before; nor may whoever
   // follows.
-  if (raft_node_->leads()) return raft_node_->ready() ? touch : 0;
+  if (raft_node_->is_leader()) return raft_node_->ready() ? touch : 0;
   return caught_up_at_ == 0
              ? 0
              : std::min(touch, std::max<Nanos>(0, options_.lease_duration - (now() - caught_up_at_)));
@@ -217,14 +217,14 @@
   target_at_ = 0;
 }
 
-void ControlReplica::proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here) {
-  here_ = std::move(here);
-  book_.told(options_.id, here_, now());
+void ControlReplica::set_local_proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here) {
+  local_proxies_ = std::move(here);
+  proxies_.update(options_.id, local_proxies_, now());
 }
 
 bool ControlReplica::may_serve(const std::string& proxy) const {
   auto found = state_.proxies().find(proxy);
-  return found != state_.proxies().end() && found->second == kHere;
+  return found != state_.proxies().end() && found->second == kConnected;
 }
 
 // ---- Deciding
@@ -260,23 +260,23 @@
   return {state_, router_, commands_, applied, time, now()};
 }
 
-std::uint64_t ControlReplica::command(const std::string& text) {
+std::uint64_t ControlReplica::submit_command(const std::string& text) {
   std::uint64_t id = std::uint64_t{random_()} << 32 | random_();
   own_commands_[id] = text;
   passed_at_ = 0;
-  soon();
+  decide_soon();
   return id;
 }
 
-// Said again until its result is agreed: a leader that dies with it has done nothing, or has it agreed.
+// Sent again until its result is agreed: a leader that dies with it has done nothing, or has it agreed.
 void ControlReplica::pass_commands() {
-  auto known = [&](const auto& one) { return state_.outings().result(one.first) != nullptr; };
+  auto known = [&](const auto& one) { return state_.maintenance().result(one.first) != nullptr; };
   std::erase_if(own_commands_, known);
   std::erase_if(commands_, known);
-  if (!raft_node_->leads()) commands_.clear();
+  if (!raft_node_->is_leader()) commands_.clear();
   if (own_commands_.empty() || now() - passed_at_ < kPassEvery) return;
   passed_at_ = now();
-  if (raft_node_->leads()) commands_.insert(own_commands_.begin(), own_commands_.end());
+  if (raft_node_->is_leader()) commands_.insert(own_commands_.begin(), own_commands_.end());
   for (const consensus::Server& server : raft_node_->servers()) {
     if (server.id() != raft_node_->leader() || server.id() == options_.id) continue;
     for (const auto& [id, text] : own_commands_) {
@@ -296,35 +296,35 @@
     take_up();
   }
   promote_who_caught_up();
-  Leading leading;
+  ProposalContext leading;
   leading.router = &router_;
-  leading.proxies = &book_;
+  leading.proxies = &proxies_;
   leading.first_start = first_start_;
-  leading.applied = book_.applied_by_all(state_, now());
+  leading.applied = proxies_.applied_by_all(state_, now());
   for (const consensus::Server& server : raft_node_->servers()) {
     leading.members.insert(server.id());
-    auto said = heard_.find(server.id());
-    if (said != heard_.end()) leading.instances[server.id()] = said->second.of_itself;
+    auto said = peers_.find(server.id());
+    if (said != peers_.end()) leading.instances[server.id()] = said->second.record;
   }
-  leading.instances[options_.id] = {options_.format, options_.settings};
+  leading.instances[options_.id] = {options_.format, options_.settings_hash};
 
   router_.applied(leading.applied);
   Nanos since = elapsed();
   std::shared_ptr<const routing::Published> next = router_.step(now(), state_.time() + since);
   leading.next = next.get();
   leading.format = format_of_all();
-  Decision decision = draft(state_, leading);
-  if (chapter_ && leading.format >= kOutingsFormat && state_.epoch().number > 0 &&
+  Decision decision = build_proposal(state_, leading);
+  if (section_ && leading.format >= kMaintenanceFormat && state_.epoch().number > 0 &&
       decision.begin_shards() == 0)
-    chapter_->draft(view(state_.time() + since, leading.applied), decision);
-  if (!says_something(decision) && now() - proposed_at_ < options_.time_every) return;
+    section_->append_steps(view(state_.time() + since, leading.applied), decision);
+  if (!has_changes(decision) && now() - proposed_at_ < options_.time_entry_interval) return;
   decision.set_elapsed_ns(since);
   propose(std::move(decision));
 }
 
-std::string ControlReplica::let_in(consensus::InstanceId id, const std::string& address) {
+std::string ControlReplica::add_member(consensus::InstanceId id, const std::string& address) {
   if (!raft_node_->ready()) return "this instance does not lead";
-  if (raft_node_->part_of(id))
+  if (raft_node_->role_of(id))
     return "instance " + std::to_string(id) + " belongs already; a replaced one gets a new id";
   if (changing_) return "another change of who belongs is under way";
   changing_ = true;
@@ -333,9 +333,9 @@
   return "";
 }
 
-std::string ControlReplica::let_out(consensus::InstanceId id) {
+std::string ControlReplica::remove_member(consensus::InstanceId id) {
   if (!raft_node_->ready()) return "this instance does not lead";
-  if (!raft_node_->part_of(id)) return "no instance " + std::to_string(id) + " belongs";
+  if (!raft_node_->role_of(id)) return "no instance " + std::to_string(id) + " belongs";
   if (id == options_.id) return "it leads: hand on first";
   if (changing_) return "another change of who belongs is under way";
   changing_ = true;
@@ -343,9 +343,9 @@
   raft_node_->remove(id, [this, id](bool good) {
     changing_ = false;
     if (!good) return;
-    contact_.gone(id);
-    book_.gone(id);
-    heard_.erase(id);
+    lease_.remove(id);
+    proxies_.remove(id);
+    peers_.erase(id);
   });
   return "";
 }
@@ -353,8 +353,8 @@
 void ControlReplica::promote_who_caught_up() {
   if (changing_) return;
   for (const consensus::Server& server : raft_node_->servers()) {
-    Said said = said_by(server.id());
-    bool caught_up = said.at > 0 && now() - said.at < options_.lease_duration &&
+    PeerStatus said = peer_status(server.id());
+    bool caught_up = said.received_at > 0 && now() - said.received_at < options_.lease_duration &&
                      said.applied + kCaughtUp >= state_.epoch().number;
     if (server.role() == RAFT_VOTER || !caught_up) continue;
     changing_ = true;
@@ -379,7 +379,7 @@
     if (asked_ != number) return;
     asked_ = 0;
     bool taken = agreed && state_.epoch().number == basis + 1;
-    if (agreed && !taken) ++wrong_drafts_;
+    if (agreed && !taken) ++invalid_proposals_;
     // What the router has concluded beyond what is agreed is given up.
     if (!taken || begins) leading_ = false;
     if (raft_node_->ready() && !leading_) take_up();
@@ -389,9 +389,9 @@
 // ---- What is agreed
 
 bool ControlReplica::apply(std::uint64_t, std::string_view entry) {
-  Verdict verdict = state_.apply(entry);
-  if (verdict == Verdict::kNewer) return false;
-  if (verdict != Verdict::kTaken) {
+  ApplyResult verdict = state_.apply(entry);
+  if (verdict == ApplyResult::kUnknownFormat) return false;
+  if (verdict != ApplyResult::kApplied) {
     log_(std::string("a decision is refused: ") + name_of(verdict) + ", epoch " +
          std::to_string(state_.epoch().number));
     return true;
@@ -410,10 +410,10 @@
   applied_at_ = now();
   new_ = true;
   seen_ = std::max(seen_, state_.epoch().number);
-  router_.call_out(state_.outings().called_out());
+  router_.call_out(state_.maintenance().servers_out_of_rotation());
   if (state_.published() == 0 || (published_ && published_->number >= state_.published())) return;
   routing::Published next{.number = state_.published(), .snapshot = {}};
-  if (!routing_state::from_proto(state_.picture(), next.snapshot)) return;
+  if (!routing_state::from_proto(state_.snapshot(), next.snapshot)) return;
   published_ = std::make_shared<const routing::Published>(std::move(next));
 }
 
@@ -429,7 +429,7 @@
   }
 }
 
-ShardAssignment ControlReplica::order_for(const std::string& node) {
+ShardAssignment ControlReplica::assignment_for(const std::string& node) {
   ShardAssignment out;
   out.epoch = state_.owners_epoch();
   auto known = state_.nodes().find(node);
@@ -443,14 +443,14 @@
       if (shard.incarnation == 0 || shard.incarnation == out.incarnation) out.shards.push_back(at);
     }
   }
-  const MaintenanceLease* lease = state_.outings().lease(node);
-  if (lease && lease->place == MaintenancePhase::kOrdered && lease->incarnation == out.incarnation)
+  const MaintenanceLease* lease = state_.maintenance().lease(node);
+  if (lease && lease->phase == MaintenancePhase::kRestarting && lease->incarnation == out.incarnation)
     out.restart_as = static_cast<std::uint8_t>(lease->version);
   return out;
 }
 
 void ControlReplica::fleet_changed(fleet::Fleet fleet, std::uint64_t settings) {
-  options_.settings = settings;
+  options_.settings_hash = settings;
   router_.fleet_changed(std::move(fleet), now());
 }
 
--- a/src/agreement/control_replica.h
+++ b/src/agreement/control_replica.h
@@ -27,12 +27,12 @@
 struct ReplicaOptions {
   consensus::InstanceId id = 0;
   std::string address;  // where other instances reach it
-  consensus::RaftOptions log;
-  Nanos beat = 100 * kMs;        // between decisions, where nothing presses
-  Nanos time_every = 500 * kMs;  // a decision of nothing but time, at least so often
-  Nanos say_every = 100 * kMs;   // words to the others
+  consensus::RaftOptions raft;
+  Nanos decision_interval = 100 * kMs;    // between decisions, where nothing presses
+  Nanos time_entry_interval = 500 * kMs;  // a decision of nothing but time, at least so often
+  Nanos heartbeat_interval = 100 * kMs;   // words to the others
   Nanos lease_duration = 1000 * kMs;
-  std::uint64_t settings = 0;  // hash of the fleet file
+  std::uint64_t settings_hash = 0;  // hash of the fleet file
   std::uint32_t format = kFormat;
 };
 
@@ -49,8 +49,8 @@
     Nanos now = 0;
   };
   // Each beat, whoever decides: so that whoever leads next has measured already.
-  virtual void watch(const View& view) = 0;
-  virtual void draft(const View& view, Decision& out) = 0;
+  virtual void observe(const View& view) = 0;
+  virtual void append_steps(const View& view, Decision& out) = 0;
 };
 
 class ControlReplica final : public consensus::StateMachine {
@@ -67,52 +67,52 @@
   bool received(const consensus::PeerMessage& message);
   void fleet_changed(fleet::Fleet fleet, std::uint64_t settings);
   // All proxies that are served here now.
-  void proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here);
+  void set_local_proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> proxies);
   // They are the same, and have applied the same, as in the last call.
-  void proxies_unchanged() { book_.told_again(options_.id, now()); }
+  void local_proxies_unchanged() { proxies_.refresh(options_.id, now()); }
   // Outlives this instance; nullptr: none.
-  void set_chapter(DecisionSection* chapter) { chapter_ = chapter; }
+  void set_section(DecisionSection* section) { section_ = section; }
   // From operators. Its result is agreed, or it comes to nothing: the id under which it is to be found.
-  std::uint64_t command(const std::string& text);
+  std::uint64_t submit_command(const std::string& text);
   void forget_command(std::uint64_t id) { own_commands_.erase(id); }
   // Not left to the beat.
-  void soon() { due_at_ = 0; }
+  void decide_soon() { due_at_ = 0; }
 
   const ReplicatedState& agreed() const { return state_; }
   // The snapshot in force, made once for each; nullptr: none was ever agreed.
   std::shared_ptr<const routing::Published> published() const { return published_; }
   // For how long it is certain that nobody else has decided what is not known here; 0: it is not.
-  Nanos fresh_for() const;
-  bool has_quorum() const { return fresh_for() > 0; }
+  Nanos lease_remaining() const;
+  bool has_quorum() const { return lease_remaining() > 0; }
   // A proxy that the fleet has agreed may be served: until then, a shard could be moved without knowing of
   // it.
   bool may_serve(const std::string& proxy) const;
-  ShardAssignment order_for(const std::string& node);
-  bool decides() const { return leading_; }
-  std::uint64_t applied_by_all() { return book_.applied_by_all(state_, now()); }
+  ShardAssignment assignment_for(const std::string& node);
+  bool is_deciding() const { return leading_; }
+  std::uint64_t applied_by_all() { return proxies_.applied_by_all(state_, now()); }
   // What another instance said last of itself.
-  struct Said {
+  struct PeerStatus {
     std::uint64_t applied = 0;
-    Nanos at = 0;
-    std::uint64_t kept = 0;
-    AgreedInstance of_itself;
+    Nanos received_at = 0;
+    std::uint64_t stored = 0;
+    AgreedInstance record;
   };
-  Said said_by(consensus::InstanceId id) const {
-    auto found = heard_.find(id);
-    return found == heard_.end() ? Said{} : found->second;
+  PeerStatus peer_status(consensus::InstanceId id) const {
+    auto found = peers_.find(id);
+    return found == peers_.end() ? PeerStatus{} : found->second;
   }
   // Where it leads: lets a new instance in, which votes once it has caught up; and one out for good. The word
   // says what came of it at once; empty: it is under way.
-  std::string let_in(consensus::InstanceId id, const std::string& address);
-  std::string let_out(consensus::InstanceId id);
+  std::string add_member(consensus::InstanceId id, const std::string& address);
+  std::string remove_member(consensus::InstanceId id);
 
   routing::Router& router() { return router_; }
   const routing::Router& router() const { return router_; }
   consensus::RaftNode& raft_node() { return *raft_node_; }
   const consensus::RaftNode& raft_node() const { return *raft_node_; }
   const std::string& fault() const { return fault_; }
-  bool proven() const { return proven_; }
-  std::uint64_t wrong_drafts() const { return wrong_drafts_; }
+  bool storage_verified() const { return storage_verified_; }
+  std::uint64_t invalid_proposals() const { return invalid_proposals_; }
 
   // consensus::Machine
   bool apply(std::uint64_t index, std::string_view entry) override;
@@ -148,17 +148,17 @@
   std::mt19937 random_;
   routing::Router router_;
   ReplicatedState state_;
-  LeaderLease contact_;
-  ProxyRegistry book_;
+  LeaderLease lease_;
+  ProxyRegistry proxies_;
   std::unique_ptr<consensus::RaftNode> raft_node_;
   std::shared_ptr<const routing::Published> published_;
-  std::map<consensus::InstanceId, Said> heard_;
-  std::set<consensus::InstanceId> vouched_;  // others that know of nothing here that the folder lacks
-  bool proven_ = false;
+  std::map<consensus::InstanceId, PeerStatus> peers_;
+  std::set<consensus::InstanceId> confirmed_by_;  // others that know of nothing here that the folder lacks
+  bool storage_verified_ = false;
   Nanos started_at_ = 0;
-  std::uint64_t kept_ = 0;
+  std::uint64_t stored_decision_ = 0;
   bool changing_ = false;  // who belongs
-  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here_;
+  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> local_proxies_;
   std::unordered_map<std::string, std::vector<std::uint16_t>>
       owned_;             // by each server, as agreed; only looked up
   Epoch owned_at_;        // the decision that `owned_` is of
@@ -173,14 +173,14 @@
   std::uint64_t seen_ = 0;   // the highest decision that was applied here, also by an earlier part in the log
   std::uint64_t asked_ = 0;  // the proposal that is out; 0: none
   std::uint64_t asks_ = 0;
-  DecisionSection* chapter_ = nullptr;
+  DecisionSection* section_ = nullptr;
   std::map<std::uint64_t, std::string> own_commands_;  // asked here
   std::map<std::uint64_t, std::string> commands_;      // to be decided, where this one leads
   Nanos passed_at_ = 0;
   bool leading_ = false;
   bool new_ = false;
   bool was_in_touch_ = false;
-  std::uint64_t wrong_drafts_ = 0;  // refused by the rules though nobody else had decided meanwhile
+  std::uint64_t invalid_proposals_ = 0;  // refused by the rules though nobody else had decided meanwhile
   std::string fault_;
 };
 
--- a/src/agreement/leader_lease.cpp
+++ b/src/agreement/leader_lease.cpp
@@ -6,8 +6,8 @@
 
 namespace myrtlecroft::agreement {
 
-void LeaderLease::fill(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader, Nanos now,
-                       consensus::Heartbeat& word) const {
+void LeaderLease::fill_stamps(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader,
+                              Nanos now, consensus::Heartbeat& word) const {
   word.set_term(term);
   word.set_leader(leader);
   word.set_stamp(static_cast<std::uint64_t>(now));
@@ -15,8 +15,8 @@
   if (found != peers_.end()) word.set_your_stamp(found->second.their_stamp);
 }
 
-void LeaderLease::heard(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
-                        consensus::InstanceId leader) {
+void LeaderLease::receive(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
+                          consensus::InstanceId leader) {
   Peer& peer = peers_[from];
   peer.their_stamp = std::max(peer.their_stamp, word.stamp());
   if (word.term() != term) return;
--- a/src/agreement/leader_lease.h
+++ b/src/agreement/leader_lease.h
@@ -17,23 +17,23 @@
   LeaderLease(consensus::InstanceId self, Nanos lasts) : self_(self), lasts_(lasts) {}
 
   // The stamps of a word to another instance, and whom we follow.
-  void fill(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader, Nanos now,
-            consensus::Heartbeat& word) const;
+  void fill_stamps(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader, Nanos now,
+                   consensus::Heartbeat& word) const;
   // A word that came. `term` and `leader` are ours at this moment.
-  void heard(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
-             consensus::InstanceId leader);
-  void gone(consensus::InstanceId one) { peers_.erase(one); }
+  void receive(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
+               consensus::InstanceId leader);
+  void remove(consensus::InstanceId one) { peers_.erase(one); }
 
   // The latest time at which a majority was certainly behind whom we follow, or behind us; 0: never. At least
   // this long ago nobody else could decide.
   Nanos certain_at(std::uint64_t term, consensus::InstanceId leader, std::size_t voters) const;
   // For how long that still holds; 0: no longer.
-  Nanos holds_for(std::uint64_t term, consensus::InstanceId leader, std::size_t voters, Nanos now) const {
+  Nanos remaining(std::uint64_t term, consensus::InstanceId leader, std::size_t voters, Nanos now) const {
     Nanos at = certain_at(term, leader, voters);
     return at > 0 && now - at < lasts_ ? std::min(lasts_, lasts_ - (now - at)) : 0;
   }
   bool has_quorum(std::uint64_t term, consensus::InstanceId leader, std::size_t voters, Nanos now) const {
-    return holds_for(term, leader, voters, now) > 0;
+    return remaining(term, leader, voters, now) > 0;
   }
 
  private:
--- a/src/agreement/maintenance_state.cpp
+++ b/src/agreement/maintenance_state.cpp
@@ -10,47 +10,48 @@
 constexpr std::uint64_t kOne = 1000;     // thousandths
 constexpr std::size_t kMaxResults = 32;  // of commands, that are still known
 
-struct TripRule {
-  MaintenancePhase place;
+struct MaintenanceRule {
+  MaintenancePhase phase;
   MaintenanceInput input;
   MaintenancePhase next;
 };
 
 // A grant, a server that is warm, an extension and giving up have no row: they begin, end or keep a place.
-constexpr TripRule kTripRules[] = {
-    {MaintenancePhase::kEmptying, TRIP_EMPTIED, MaintenancePhase::kEmpty},
-    {MaintenancePhase::kEmpty, TRIP_ORDER, MaintenancePhase::kOrdered},
-    {MaintenancePhase::kOrdered, TRIP_CAME_BACK, MaintenancePhase::kWarming},
-    {MaintenancePhase::kEmptying, TRIP_CALL_BACK, MaintenancePhase::kReturning},
-    {MaintenancePhase::kEmpty, TRIP_CALL_BACK, MaintenancePhase::kReturning},
-    {MaintenancePhase::kOrdered, TRIP_CALL_BACK, MaintenancePhase::kReturning},
-    {MaintenancePhase::kReturning, TRIP_CAME_BACK, MaintenancePhase::kWarming},  // it had gone all the same
+constexpr MaintenanceRule kMaintenanceRules[] = {
+    {MaintenancePhase::kDraining, MAINTENANCE_DRAINED, MaintenancePhase::kDrained},
+    {MaintenancePhase::kDrained, MAINTENANCE_RESTART, MaintenancePhase::kRestarting},
+    {MaintenancePhase::kRestarting, MAINTENANCE_RESTARTED, MaintenancePhase::kSlowStart},
+    {MaintenancePhase::kDraining, MAINTENANCE_CANCEL, MaintenancePhase::kCancelling},
+    {MaintenancePhase::kDrained, MAINTENANCE_CANCEL, MaintenancePhase::kCancelling},
+    {MaintenancePhase::kRestarting, MAINTENANCE_CANCEL, MaintenancePhase::kCancelling},
+    {MaintenancePhase::kCancelling, MAINTENANCE_RESTARTED,
+     MaintenancePhase::kSlowStart},  // it had gone all the same
 };
 
 struct ReleaseRule {
-  Phase phase;
+  ReleasePhase phase;
   ReleaseInput input;
-  Phase next;
+  ReleasePhase next;
 };
 
 constexpr ReleaseRule kReleaseRules[] = {
     {PHASE_NONE, RELEASE_START, PHASE_ROLLING},
     {PHASE_DONE, RELEASE_START, PHASE_ROLLING},
-    {PHASE_TAKEN_BACK, RELEASE_START, PHASE_ROLLING},
-    {PHASE_ROLLING, RELEASE_WAVE_BACK, PHASE_SOAKING},
+    {PHASE_ROLLED_BACK, RELEASE_START, PHASE_ROLLING},
+    {PHASE_ROLLING, RELEASE_WAVE_UPDATED, PHASE_SOAKING},
     {PHASE_SOAKING, RELEASE_NEXT_WAVE, PHASE_ROLLING},
     {PHASE_SOAKING, RELEASE_FINISH, PHASE_DONE},
     {PHASE_ROLLING, RELEASE_HALT, PHASE_HALTED},
     {PHASE_SOAKING, RELEASE_HALT, PHASE_HALTED},
     {PHASE_HALTED, RELEASE_RESUME, PHASE_ROLLING},
     {PHASE_HALTED, RELEASE_FINISH, PHASE_DONE},  // left as it is
-    {PHASE_ROLLING, RELEASE_GO_BACK, PHASE_BACK},
-    {PHASE_SOAKING, RELEASE_GO_BACK, PHASE_BACK},
-    {PHASE_HALTED, RELEASE_GO_BACK, PHASE_BACK},
-    {PHASE_BACK, RELEASE_IS_BACK, PHASE_TAKEN_BACK},
-    {PHASE_BACK, RELEASE_HALT, PHASE_BACK_HALTED},
-    {PHASE_BACK_HALTED, RELEASE_RESUME, PHASE_BACK},
-    {PHASE_BACK_HALTED, RELEASE_FINISH, PHASE_TAKEN_BACK},
+    {PHASE_ROLLING, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
+    {PHASE_SOAKING, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
+    {PHASE_HALTED, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
+    {PHASE_ROLLING_BACK, RELEASE_ROLLED_BACK, PHASE_ROLLED_BACK},
+    {PHASE_ROLLING_BACK, RELEASE_HALT, PHASE_ROLLBACK_HALTED},
+    {PHASE_ROLLBACK_HALTED, RELEASE_RESUME, PHASE_ROLLING_BACK},
+    {PHASE_ROLLBACK_HALTED, RELEASE_FINISH, PHASE_ROLLED_BACK},
 };
 
 bool serves(const routing_state::NodeMemory& node) {
@@ -59,12 +60,12 @@
 
 }  // namespace
 
-const char* name_of(MaintenancePhase place) {
-  constexpr const char* names[kTripPlaces] = {"emptying", "empty", "ordered", "warming", "returning"};
-  return names[static_cast<std::size_t>(place)];
+const char* name_of(MaintenancePhase phase) {
+  constexpr const char* names[kMaintenancePhases] = {"emptying", "empty", "ordered", "warming", "returning"};
+  return names[static_cast<std::size_t>(phase)];
 }
 
-const char* name_of(Phase phase) {
+const char* name_of(ReleasePhase phase) {
   switch (phase) {
     case PHASE_ROLLING:
       return "rolling";
@@ -72,20 +73,20 @@
       return "soaking";
     case PHASE_HALTED:
       return "halted";
-    case PHASE_BACK:
+    case PHASE_ROLLING_BACK:
       return "going back";
-    case PHASE_BACK_HALTED:
+    case PHASE_ROLLBACK_HALTED:
       return "halted on the way back";
     case PHASE_DONE:
       return "done";
-    case PHASE_TAKEN_BACK:
+    case PHASE_ROLLED_BACK:
       return "taken back";
     default:
       return "none";
   }
 }
 
-bool MaintenanceState::says_something(const Decision& decision) {
+bool MaintenanceState::has_changes(const Decision& decision) {
   return decision.has_budgets() || decision.trips_size() > 0 || decision.drains_size() > 0 ||
          decision.has_release() || decision.results_size() > 0;
 }
@@ -101,8 +102,9 @@
     if (one.wanted() == drains_.contains(one.node())) return false;
     one.wanted() ? void(drains_.insert(one.node())) : void(drains_.erase(one.node()));
     auto lease = leases_.find(one.node());
-    bool ends = !one.wanted() && lease != leases_.end() && lease->second.why == WHY_DRAIN;
-    if (ends && lease->second.gets_nothing()) enter(lease->second, MaintenancePhase::kReturning, around);
+    bool ends = !one.wanted() && lease != leases_.end() && lease->second.reason == REASON_DRAIN;
+    if (ends && lease->second.is_out_of_rotation())
+      enter(lease->second, MaintenancePhase::kCancelling, around);
   }
   if (decision.has_release() && !step(decision.release(), around)) return false;
   for (const MaintenanceStep& one : decision.trips()) {
@@ -111,8 +113,9 @@
   // What is shown out from now on is out in this publication.
   for (const routing_state::NodeRoute& node : around.picture.nodes()) {
     auto lease = leases_.find(node.name());
-    if (lease == leases_.end() || lease->second.shown_in != 0 || !lease->second.gets_nothing()) continue;
-    if (node.weight() == 0) lease->second.shown_in = around.picture.number();
+    if (lease == leases_.end() || lease->second.published_in != 0 || !lease->second.is_out_of_rotation())
+      continue;
+    if (node.weight() == 0) lease->second.published_in = around.picture.number();
   }
   std::vector<std::string> over;
   for (const auto& [node, lease] : leases_) {
@@ -129,12 +132,12 @@
 
 // ---- Servers that are out
 
-void MaintenanceState::enter(MaintenanceLease& lease, MaintenancePhase place, const Around& around) {
-  if (lease.place == MaintenancePhase::kOrdered && place == MaintenancePhase::kReturning)
-    lease.recalled = around.number;
-  orders_changed_ =
-      orders_changed_ || lease.place == MaintenancePhase::kOrdered || place == MaintenancePhase::kOrdered;
-  lease.place = place;
+void MaintenanceState::enter(MaintenanceLease& lease, MaintenancePhase phase, const Around& around) {
+  if (lease.phase == MaintenancePhase::kRestarting && phase == MaintenancePhase::kCancelling)
+    lease.cancelled_in = around.number;
+  orders_changed_ = orders_changed_ || lease.phase == MaintenancePhase::kRestarting ||
+                    phase == MaintenancePhase::kRestarting;
+  lease.phase = phase;
   lease.since = around.time;
 }
 
@@ -146,8 +149,8 @@
 
 void MaintenanceState::end(const std::string& node, const std::string& failed) {
   const MaintenanceLease& lease = leases_.at(node);
-  orders_changed_ = orders_changed_ || lease.place == MaintenancePhase::kOrdered;
-  if (!failed.empty() && lease.why != WHY_DRAIN) mark_failed(node, failed);
+  orders_changed_ = orders_changed_ || lease.phase == MaintenancePhase::kRestarting;
+  if (!failed.empty() && lease.reason != REASON_DRAIN) mark_failed(node, failed);
   leases_.erase(node);
 }
 
@@ -161,7 +164,7 @@
   return leases_.contains(node) || known == nodes.end() || !serves(known->second);
 }
 
-std::uint64_t MaintenanceState::out_of(const Budget& budget, const Nodes& nodes) const {
+std::uint64_t MaintenanceState::unavailable_capacity(const Budget& budget, const Nodes& nodes) const {
   std::uint64_t out = 0;
   for (const std::string& node : budget.nodes()) {
     if (is_out(node, nodes)) out += budget.by_count() ? kOne : capacity_of(node);
@@ -171,7 +174,7 @@
 
 // One that is out for its health, and would not come back by itself, takes nothing more; one that is on its
 // way back counts like any other. Where nothing may be out, nothing goes by choice.
-const Budget* MaintenanceState::bound_by(const std::string& node, const Nodes& nodes) const {
+const Budget* MaintenanceState::exceeded_budget(const std::string& node, const Nodes& nodes) const {
   bool already = is_out(node, nodes);
   auto known = nodes.find(node);
   bool stuck = known != nodes.end() &&
@@ -180,7 +183,8 @@
   for (const Budget& budget : budgets_.budgets()) {
     if (std::find(budget.nodes().begin(), budget.nodes().end(), node) == budget.nodes().end()) continue;
     std::uint64_t more = already ? 0 : budget.by_count() ? kOne : capacity_of(node);
-    if (budget.most() == 0 || (!stuck && out_of(budget, nodes) + more > budget.most())) return &budget;
+    if (budget.most() == 0 || (!stuck && unavailable_capacity(budget, nodes) + more > budget.most()))
+      return &budget;
   }
   return nullptr;
 }
@@ -188,13 +192,13 @@
 bool MaintenanceState::grant(const MaintenanceStep& step, const Around& around) {
   auto known = around.nodes.find(step.node());
   if (leases_.contains(step.node()) || known == around.nodes.end() || step.for_ns() <= 0) return false;
-  if (capacity_of(step.node()) == 0 || bound_by(step.node(), around.nodes)) return false;
-  const UpdatedServer* before = taken(step.node());
+  if (capacity_of(step.node()) == 0 || exceeded_budget(step.node(), around.nodes)) return false;
+  const UpdatedServer* before = updated_server(step.node());
   switch (step.why()) {
-    case WHY_DRAIN:
+    case REASON_DRAIN:
       if (!drains_.contains(step.node())) return false;
       break;
-    case WHY_RELEASE:
+    case REASON_RELEASE:
       if (release_.phase() != PHASE_ROLLING || step.version() != release_.plan().version()) return false;
       if (before) {
         if (!before->failed().empty()) return false;
@@ -205,18 +209,19 @@
         now.set_wave(release_.wave());
       }
       break;
-    case WHY_BACK:
-      if (release_.phase() != PHASE_BACK || !before || step.version() != before->from_version()) return false;
+    case REASON_ROLLBACK:
+      if (release_.phase() != PHASE_ROLLING_BACK || !before || step.version() != before->from_version())
+        return false;
       break;
     default:
       return false;
   }
-  leases_[step.node()] = {.place = MaintenancePhase::kEmptying,
-                          .why = step.why(),
+  leases_[step.node()] = {.phase = MaintenancePhase::kDraining,
+                          .reason = step.why(),
                           .version = step.version(),
                           .incarnation = known->second.life(),
-                          .shown_in = 0,
-                          .recalled = 0,
+                          .published_in = 0,
+                          .cancelled_in = 0,
                           .granted = around.time,
                           .since = around.time,
                           .until = around.time + step.for_ns()};
@@ -224,7 +229,7 @@
 }
 
 bool MaintenanceState::step(const MaintenanceStep& step, const Around& around) {
-  if (step.input() == TRIP_GRANT) return grant(step, around);
+  if (step.input() == MAINTENANCE_GRANT) return grant(step, around);
   auto found = leases_.find(step.node());
   if (found == leases_.end()) return false;
   MaintenanceLease& lease = found->second;
@@ -232,54 +237,55 @@
   std::uint64_t incarnation = known == around.nodes.end() ? 0 : known->second.life();
   bool serving = known != around.nodes.end() && serves(known->second);
   switch (step.input()) {
-    case TRIP_EXTEND:
+    case MAINTENANCE_EXTEND:
       if (step.for_ns() <= 0) return false;
       lease.until = around.time + step.for_ns();
       return true;
-    case TRIP_GIVE_UP:
+    case MAINTENANCE_FAIL:
       end(step.node(), step.reason());
       return true;
-    case TRIP_WARM: {
-      bool stayed = lease.place == MaintenancePhase::kReturning && incarnation == lease.incarnation;
-      if (!serving || !(stayed || lease.place == MaintenancePhase::kWarming)) return false;
+    case MAINTENANCE_COMPLETE: {
+      bool stayed = lease.phase == MaintenancePhase::kCancelling && incarnation == lease.incarnation;
+      if (!serving || !(stayed || lease.phase == MaintenancePhase::kSlowStart)) return false;
       end(step.node(), "");
       return true;
     }
-    case TRIP_EMPTIED:
-      if (lease.shown_in == 0 || around.applied < lease.shown_in) return false;
+    case MAINTENANCE_DRAINED:
+      if (lease.published_in == 0 || around.applied < lease.published_in) return false;
       break;
-    case TRIP_ORDER:
-      if (lease.why == WHY_DRAIN || incarnation != lease.incarnation) return false;
+    case MAINTENANCE_RESTART:
+      if (lease.reason == REASON_DRAIN || incarnation != lease.incarnation) return false;
       break;
-    case TRIP_CAME_BACK:
+    case MAINTENANCE_RESTARTED:
       if (incarnation == lease.incarnation) return false;
-      if (lease.place == MaintenancePhase::kOrdered && known->second.version() != lease.version) return false;
+      if (lease.phase == MaintenancePhase::kRestarting && known->second.version() != lease.version)
+        return false;
       break;
-    case TRIP_CALL_BACK:
-      if (!step.reason().empty() && lease.why != WHY_DRAIN) mark_failed(step.node(), step.reason());
+    case MAINTENANCE_CANCEL:
+      if (!step.reason().empty() && lease.reason != REASON_DRAIN) mark_failed(step.node(), step.reason());
       break;
     default:
       return false;
   }
-  for (const TripRule& rule : kTripRules) {
-    if (rule.place != lease.place || rule.input != step.input()) continue;
+  for (const MaintenanceRule& rule : kMaintenanceRules) {
+    if (rule.phase != lease.phase || rule.input != step.input()) continue;
     enter(lease, rule.next, around);
     return true;
   }
   return false;
 }
 
-std::set<std::string> MaintenanceState::called_out() const {
+std::set<std::string> MaintenanceState::servers_out_of_rotation() const {
   std::set<std::string> out;
   for (const auto& [node, lease] : leases_) {
-    if (lease.gets_nothing()) out.insert(node);
+    if (lease.is_out_of_rotation()) out.insert(node);
   }
   return out;
 }
 
 // ---- A release
 
-const UpdatedServer* MaintenanceState::taken(const std::string& node) const {
+const UpdatedServer* MaintenanceState::updated_server(const std::string& node) const {
   for (const UpdatedServer& one : release_.taken()) {
     if (one.node() == node) return &one;
   }
@@ -287,9 +293,10 @@
 }
 
 // At once, also those that have their order: a later one says that they may stay.
-void MaintenanceState::call_back(Why why, const Around& around) {
+void MaintenanceState::call_back(MaintenanceReason reason, const Around& around) {
   for (auto& [node, lease] : leases_) {
-    if (lease.why == why && lease.gets_nothing()) enter(lease, MaintenancePhase::kReturning, around);
+    if (lease.reason == reason && lease.is_out_of_rotation())
+      enter(lease, MaintenancePhase::kCancelling, around);
   }
 }
 
@@ -310,10 +317,10 @@
         release_.set_wave(release_.wave() + 1);
         break;
       case RELEASE_HALT:
-        call_back(rule.phase == PHASE_BACK ? WHY_BACK : WHY_RELEASE, around);
+        call_back(rule.phase == PHASE_ROLLING_BACK ? REASON_ROLLBACK : REASON_RELEASE, around);
         break;
-      case RELEASE_GO_BACK:
-        call_back(WHY_RELEASE, around);
+      case RELEASE_ROLL_BACK:
+        call_back(REASON_RELEASE, around);
         [[fallthrough]];
       case RELEASE_RESUME:
         for (UpdatedServer& one : *release_.mutable_taken()) one.clear_failed();
@@ -343,12 +350,12 @@
   for (const auto& [node, lease] : leases_) {
     MaintenanceLeaseRecord& to = *out.add_trips();
     to.set_node(node);
-    to.set_place(static_cast<std::uint32_t>(lease.place));
-    to.set_why(lease.why);
+    to.set_place(static_cast<std::uint32_t>(lease.phase));
+    to.set_why(lease.reason);
     to.set_version(lease.version);
     to.set_life(lease.incarnation);
-    to.set_shown_in(lease.shown_in);
-    to.set_recalled(lease.recalled);
+    to.set_shown_in(lease.published_in);
+    to.set_recalled(lease.cancelled_in);
     to.set_granted_ns(lease.granted);
     to.set_since_ns(lease.since);
     to.set_until_ns(lease.until);
@@ -362,13 +369,13 @@
   budgets_ = in.budgets();
   for (const Capacity& one : budgets_.capacities()) capacities_[one.node()] = one.capacity();
   for (const MaintenanceLeaseRecord& lease : in.trips()) {
-    if (lease.place() >= kTripPlaces) return false;
-    leases_[lease.node()] = {.place = static_cast<MaintenancePhase>(lease.place()),
-                             .why = lease.why(),
+    if (lease.place() >= kMaintenancePhases) return false;
+    leases_[lease.node()] = {.phase = static_cast<MaintenancePhase>(lease.place()),
+                             .reason = lease.why(),
                              .version = lease.version(),
                              .incarnation = lease.life(),
-                             .shown_in = lease.shown_in(),
-                             .recalled = lease.recalled(),
+                             .published_in = lease.shown_in(),
+                             .cancelled_in = lease.recalled(),
                              .granted = lease.granted_ns(),
                              .since = lease.since_ns(),
                              .until = lease.until_ns()};
--- a/src/agreement/maintenance_state.h
+++ b/src/agreement/maintenance_state.h
@@ -16,33 +16,33 @@
 
 // Where a server that may be out by choice stands (docs/design/releases.md has the table).
 enum class MaintenancePhase {
-  kEmptying,  // it gets nothing new, and its keys close
-  kEmpty,     // no proxy sends to it, and it holds nothing
-  kOrdered,   // told to end and to come back in another version
-  kWarming,   // back, and let in by degrees
-  kReturning  // called back
+  kDraining,    // it gets nothing new, and its keys close
+  kDrained,     // no proxy sends to it, and it holds nothing
+  kRestarting,  // told to end and to come back in another version
+  kSlowStart,   // back, and let in by degrees
+  kCancelling   // called back
 };
-constexpr int kTripPlaces = 5;
-const char* name_of(MaintenancePhase place);
-const char* name_of(Phase phase);
+constexpr int kMaintenancePhases = 5;
+const char* name_of(MaintenancePhase phase);
+const char* name_of(ReleasePhase phase);
 
 struct MaintenanceLease {
-  MaintenancePhase place = MaintenancePhase::kEmptying;
-  Why why = WHY_DRAIN;
-  std::uint32_t version = 0;      // to come back in; of no use in a drain
-  std::uint64_t incarnation = 0;  // that was let out
-  std::uint64_t shown_in = 0;     // the publication that first showed it out; 0: none yet
+  MaintenancePhase phase = MaintenancePhase::kDraining;
+  MaintenanceReason reason = REASON_DRAIN;
+  std::uint32_t version = 0;       // to come back in; of no use in a drain
+  std::uint64_t incarnation = 0;   // that was let out
+  std::uint64_t published_in = 0;  // the publication that first showed it out; 0: none yet
   // The decision that called it back once it had its order: until it says that it acts on that one or a
   // later, it may yet go by the order. 0: it had none.
-  std::uint64_t recalled = 0;
+  std::uint64_t cancelled_in = 0;
   // Agreed times. Over `until` the permit has run out, and the server counts by what it is.
   Nanos granted = 0;
   Nanos since = 0;
   Nanos until = 0;
 
-  bool gets_nothing() const {
-    return place == MaintenancePhase::kEmptying || place == MaintenancePhase::kEmpty ||
-           place == MaintenancePhase::kOrdered;
+  bool is_out_of_rotation() const {
+    return phase == MaintenancePhase::kDraining || phase == MaintenancePhase::kDrained ||
+           phase == MaintenancePhase::kRestarting;
   }
 };
 
@@ -59,7 +59,7 @@
   };
   // False: some step breaks a rule, and what is left in here is of no use.
   bool apply(const Decision& decision, const Around& around);
-  static bool says_something(const Decision& decision);
+  static bool has_changes(const Decision& decision);
 
   void fill(MaintenanceImage& out) const;
   bool restore(const MaintenanceImage& in);
@@ -71,20 +71,20 @@
   }
   const std::set<std::string>& drains() const { return drains_; }
   const Release& release() const { return release_; }
-  bool under_way() const { return is_under_way(release_.phase()); }
-  static bool is_under_way(Phase phase) {
-    return phase != PHASE_NONE && phase != PHASE_DONE && phase != PHASE_TAKEN_BACK;
+  bool release_in_progress() const { return is_release_in_progress(release_.phase()); }
+  static bool is_release_in_progress(ReleasePhase phase) {
+    return phase != PHASE_NONE && phase != PHASE_DONE && phase != PHASE_ROLLED_BACK;
   }
   const Budgets& budgets() const { return budgets_; }
   const CommandResult* result(std::uint64_t id) const;
-  const UpdatedServer* taken(const std::string& node) const;
+  const UpdatedServer* updated_server(const std::string& node) const;
 
   // Servers that proxies are to send nothing.
-  std::set<std::string> called_out() const;
+  std::set<std::string> servers_out_of_rotation() const;
   // Capacity in thousandths that is out of a budget, by choice or not.
-  std::uint64_t out_of(const Budget& budget, const Nodes& nodes) const;
+  std::uint64_t unavailable_capacity(const Budget& budget, const Nodes& nodes) const;
   // The budget that would be broken if this server went out too; nullptr: none.
-  const Budget* bound_by(const std::string& node, const Nodes& nodes) const;
+  const Budget* exceeded_budget(const std::string& node, const Nodes& nodes) const;
   // Whether orders to servers are others than before the last decision.
   bool orders_changed() const { return orders_changed_; }
 
@@ -92,8 +92,8 @@
   bool step(const MaintenanceStep& step, const Around& around);
   bool grant(const MaintenanceStep& step, const Around& around);
   bool step(const ReleaseStep& step, const Around& around);
-  void enter(MaintenanceLease& lease, MaintenancePhase place, const Around& around);
-  void call_back(Why why, const Around& around);
+  void enter(MaintenanceLease& lease, MaintenancePhase phase, const Around& around);
+  void call_back(MaintenanceReason reason, const Around& around);
   void end(const std::string& node, const std::string& failed);
   void mark_failed(const std::string& node, const std::string& failed);
   std::uint64_t capacity_of(const std::string& node) const;
--- a/src/agreement/proposal.cpp
+++ b/src/agreement/proposal.cpp
@@ -15,26 +15,26 @@
 constexpr double kWeightWorthAgreeing = 0.05;  // it is for the next leader to start from, not to be followed
 
 // By which step one state follows from another; none where none leads there.
-Step step_between(const Shard& from, const Shard& to) {
+ShardTransition step_between(const Shard& from, const Shard& to) {
   if (from.state == to.state) {
     return to.state == ShardState::kOwned && from.owner == to.owner && from.incarnation == 0 &&
                    to.incarnation != 0
-               ? STEP_LEARN
+               ? STEP_SET_INCARNATION
                : STEP_NONE;
   }
   switch (to.state) {
     case ShardState::kClosing:
       return STEP_CLOSE;
     case ShardState::kQuarantined:
-      return STEP_COOL;
+      return STEP_QUARANTINE;
     case ShardState::kOwned:
       return from.owner == to.owner && from.incarnation == to.incarnation && !from.moves ? STEP_REOPEN
-                                                                                         : STEP_HAND_OVER;
+                                                                                         : STEP_ASSIGN;
   }
   return STEP_NONE;
 }
 
-void draft_shards(const ReplicatedState& agreed, const Leading& leading, Decision& out) {
+void draft_shards(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
   const std::vector<Shard>& wanted = leading.router->shards().all();
   bool begins = agreed.shards().size() != wanted.size();
   if (begins) {
@@ -43,8 +43,8 @@
     if (!out.first_start()) return;  // the next decision goes on from there
   }
   for (std::size_t at = 0; at < wanted.size(); ++at) {
-    Step step = begins ? (wanted[at].owner.empty() ? STEP_NONE : STEP_HAND_OVER)
-                       : step_between(agreed.shards()[at], wanted[at]);
+    ShardTransition step = begins ? (wanted[at].owner.empty() ? STEP_NONE : STEP_ASSIGN)
+                                  : step_between(agreed.shards()[at], wanted[at]);
     if (step == STEP_NONE) continue;
     ShardStep& to = *out.add_shards();
     to.set_shard(static_cast<std::uint32_t>(at));
@@ -55,19 +55,19 @@
   }
 }
 
-void draft_nodes(const ReplicatedState& agreed, const Leading& leading, Decision& out) {
+void draft_nodes(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
   const routing::ServerRegistry& members = leading.router->registry();
   for (const routing::ServerStatus& server : members.all()) {
     auto known = agreed.nodes().find(server.node.name);
     const char* state = routing::name_of(server.state);
     bool same = known != agreed.nodes().end() && known->second.state() == state &&
                 known->second.life() == server.incarnation && known->second.flaps() == server.flaps &&
-                (known->second.version() == server.version || leading.format < kOutingsFormat) &&
+                (known->second.version() == server.version || leading.format < kMaintenanceFormat) &&
                 std::abs(known->second.weight() - server.weight) < kWeightWorthAgreeing;
     if (same) continue;
-    *out.add_nodes() = routing_state::to_proto(
-        routing::PersistedState::Node{server.node.name, server.state, server.incarnation, server.weight,
-                                      server.flaps, leading.format < kOutingsFormat ? 0 : server.version});
+    *out.add_nodes() = routing_state::to_proto(routing::PersistedState::Node{
+        server.node.name, server.state, server.incarnation, server.weight, server.flaps,
+        leading.format < kMaintenanceFormat ? 0 : server.version});
   }
   for (const auto& [name, node] : agreed.nodes()) {
     if (!members.server(name)) out.add_nodes_gone(name);
@@ -79,13 +79,13 @@
   auto known = agreed.proxies().begin();
   const auto end = agreed.proxies().end();
   auto pass = [&] {
-    if (known->second == kHere) out.add_proxies_gone(known->first);
+    if (known->second == kConnected) out.add_proxies_gone(known->first);
     ++known;
   };
   for (const std::string& id : here) {
     while (known != end && known->first < id) pass();
     bool same = known != end && known->first == id;
-    if (!same || known->second != kHere) out.add_proxies_here(id);
+    if (!same || known->second != kConnected) out.add_proxies_here(id);
     if (same) ++known;
   }
   while (known != end) pass();
@@ -102,11 +102,11 @@
 
 }  // namespace
 
-void ProxyRegistry::told(consensus::InstanceId by,
-                         const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies,
-                         Nanos now) {
+void ProxyRegistry::update(consensus::InstanceId by,
+                           const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies,
+                           Nanos now) {
   auto before = by_instance_.find(by);
-  if (before != by_instance_.end() && say_the_same(before->second.words, proxies)) return told_again(by, now);
+  if (before != by_instance_.end() && say_the_same(before->second.words, proxies)) return refresh(by, now);
   ++revision_;
   Told next{.at = now, .words = proxies, .proxies = {}};
   for (const consensus::ProxyStatus& proxy : proxies) next.proxies[proxy.id()] = proxy;
@@ -165,7 +165,7 @@
   return here_;
 }
 
-Decision draft(const ReplicatedState& agreed, const Leading& leading) {
+Decision build_proposal(const ReplicatedState& agreed, const ProposalContext& leading) {
   Decision out;
   out.set_format(leading.format);
   const fleet::Fleet& fleet = leading.router->fleet();
@@ -196,11 +196,11 @@
   return out;
 }
 
-bool says_something(const Decision& decision) {
+bool has_changes(const Decision& decision) {
   return decision.begin_shards() > 0 || decision.window_ns() > 0 || decision.forget_proxies_ns() > 0 ||
          decision.nodes_size() > 0 || decision.nodes_gone_size() > 0 || decision.shards_size() > 0 ||
          decision.has_picture() || decision.proxies_here_size() > 0 || decision.proxies_gone_size() > 0 ||
-         MaintenanceState::says_something(decision) || decision.instances_size() > 0 ||
+         MaintenanceState::has_changes(decision) || decision.instances_size() > 0 ||
          decision.instances_gone_size() > 0;
 }
 
--- a/src/agreement/proposal.h
+++ b/src/agreement/proposal.h
@@ -24,11 +24,11 @@
   explicit ProxyRegistry(Nanos fresh_for) : fresh_for_(fresh_for) {}
 
   // All that one instance says of its proxies.
-  void told(consensus::InstanceId by,
-            const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies, Nanos now);
+  void update(consensus::InstanceId by,
+              const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies, Nanos now);
   // It says the same as before.
-  void told_again(consensus::InstanceId by, Nanos now) { by_instance_[by].at = now; }
-  void gone(consensus::InstanceId one) {
+  void refresh(consensus::InstanceId by, Nanos now) { by_instance_[by].at = now; }
+  void remove(consensus::InstanceId one) {
     by_instance_.erase(one);
     ++revision_;
   }
@@ -66,7 +66,7 @@
   std::set<std::string> here_;
 };
 
-struct Leading {
+struct ProposalContext {
   const routing::Router* router = nullptr;
   const routing::Published* next = nullptr;  // where the snapshot changed
   ProxyRegistry* proxies = nullptr;
@@ -79,8 +79,8 @@
 
 // The parts of a decision that differ from the agreed state; basis, term and time are the proposer's to fill
 // in.
-Decision draft(const ReplicatedState& agreed, const Leading& leading);
+Decision build_proposal(const ReplicatedState& agreed, const ProposalContext& leading);
 // Whether there is anything in it but time.
-bool says_something(const Decision& decision);
+bool has_changes(const Decision& decision);
 
 }  // namespace myrtlecroft::agreement
--- a/src/agreement/replicated_state.cpp
+++ b/src/agreement/replicated_state.cpp
@@ -13,43 +13,43 @@
 
 struct ShardRule {
   ShardState state;
-  Step step;
+  ShardTransition step;
   ShardState next;
 };
 
 constexpr ShardRule kShardRules[] = {
-    {ShardState::kOwned, STEP_LEARN, ShardState::kOwned},
+    {ShardState::kOwned, STEP_SET_INCARNATION, ShardState::kOwned},
     {ShardState::kOwned, STEP_CLOSE, ShardState::kClosing},
     {ShardState::kClosing, STEP_REOPEN, ShardState::kOwned},
-    {ShardState::kClosing, STEP_COOL, ShardState::kQuarantined},
+    {ShardState::kClosing, STEP_QUARANTINE, ShardState::kQuarantined},
     {ShardState::kQuarantined, STEP_REOPEN, ShardState::kOwned},
-    {ShardState::kQuarantined, STEP_HAND_OVER, ShardState::kOwned},
+    {ShardState::kQuarantined, STEP_ASSIGN, ShardState::kOwned},
 };
 
 constexpr std::uint32_t kMaxShards = 1 << 12;
 
 }  // namespace
 
-const char* name_of(Verdict verdict) {
+const char* name_of(ApplyResult verdict) {
   constexpr const char* names[] = {"taken",   "old basis", "old term", "time",       "shards",
                                    "picture", "outings",   "proxies",  "unreadable", "newer"};
   return names[static_cast<std::size_t>(verdict)];
 }
 
-Verdict ReplicatedState::apply(std::string_view entry) {
+ApplyResult ReplicatedState::apply(std::string_view entry) {
   Decision decision;
   if (!decision.ParseFromArray(entry.data(), static_cast<int>(entry.size()))) {
     ++refused_;
-    return Verdict::kUnreadable;
+    return ApplyResult::kUnreadable;
   }
   return apply(decision);
 }
 
-Verdict ReplicatedState::apply(const Decision& decision) {
-  if (decision.format() > knows_) return Verdict::kNewer;
+ApplyResult ReplicatedState::apply(const Decision& decision) {
+  if (decision.format() > knows_) return ApplyResult::kUnknownFormat;
   ReplicatedState next = *this;
-  Verdict verdict = next.check_and_apply(decision);
-  if (verdict == Verdict::kTaken) {
+  ApplyResult verdict = next.check_and_apply(decision);
+  if (verdict == ApplyResult::kApplied) {
     *this = std::move(next);
   } else {
     ++refused_;
@@ -57,10 +57,10 @@
   return verdict;
 }
 
-Verdict ReplicatedState::check_and_apply(const Decision& decision) {
-  if (decision.term() < epoch_.term) return Verdict::kOldTerm;
-  if (decision.basis() != epoch_.number) return Verdict::kOldBasis;
-  if (decision.elapsed_ns() < 0 || decision.elapsed_ns() > kMaxElapsed) return Verdict::kTime;
+ApplyResult ReplicatedState::check_and_apply(const Decision& decision) {
+  if (decision.term() < epoch_.term) return ApplyResult::kStaleTerm;
+  if (decision.basis() != epoch_.number) return ApplyResult::kStaleBasis;
+  if (decision.elapsed_ns() < 0 || decision.elapsed_ns() > kMaxElapsed) return ApplyResult::kInvalidTime;
   epoch_ = {decision.term(), epoch_.number + 1};
   form_ = std::max(form_, decision.format());
   time_ += decision.elapsed_ns();
@@ -76,21 +76,21 @@
   for (const routing_state::NodeMemory& node : decision.nodes()) nodes_[node.name()] = node;
   for (const std::string& name : decision.nodes_gone()) nodes_.erase(name);
 
-  if (decision.begin_shards() > kMaxShards) return Verdict::kShards;
+  if (decision.begin_shards() > kMaxShards) return ApplyResult::kInvalidShards;
   if (decision.begin_shards() > 0) {
     // What ran where is not known, unless nothing ever ran.
-    if (decision.first_start() && epoch_.number != 1) return Verdict::kShards;
+    if (decision.first_start() && epoch_.number != 1) return ApplyResult::kInvalidShards;
     Shard unknown;
     unknown.state = decision.first_start() ? ShardState::kQuarantined : ShardState::kClosing;
     unknown.since = time_;
     shards_.assign(decision.begin_shards(), unknown);
   }
   for (const ShardStep& step : decision.shards()) {
-    if (Verdict verdict = step_shard(step, decision); verdict != Verdict::kTaken) return verdict;
+    if (ApplyResult verdict = step_shard(step, decision); verdict != ApplyResult::kApplied) return verdict;
   }
   if (decision.has_picture()) {
-    if (decision.picture().number() != picture_->number() + 1) return Verdict::kPicture;
-    if (!shows_what_is_agreed(decision.picture())) return Verdict::kPicture;
+    if (decision.picture().number() != picture_->number() + 1) return ApplyResult::kInvalidSnapshot;
+    if (!shows_what_is_agreed(decision.picture())) return ApplyResult::kInvalidSnapshot;
     picture_ = std::make_shared<const routing_state::Snapshot>(decision.picture());
   }
   // What is closed in what is served from now on is closed in this publication.
@@ -103,40 +103,40 @@
     }
   }
 
-  for (const std::string& id : decision.proxies_here()) proxies_[id] = kHere;
+  for (const std::string& id : decision.proxies_here()) proxies_[id] = kConnected;
   for (const std::string& id : decision.proxies_gone()) {
     auto found = proxies_.find(id);
-    if (found == proxies_.end()) return Verdict::kProxies;
-    if (found->second == kHere) found->second = time_;
+    if (found == proxies_.end()) return ApplyResult::kInvalidProxies;
+    if (found->second == kConnected) found->second = time_;
   }
   // Forgotten by agreed time, the same on every instance.
   std::size_t forgotten = std::erase_if(proxies_, [&](const auto& one) {
-    return one.second != kHere && forget_proxies_ > 0 && time_ - one.second >= forget_proxies_;
+    return one.second != kConnected && forget_proxies_ > 0 && time_ - one.second >= forget_proxies_;
   });
   if (decision.proxies_here_size() > 0 || decision.proxies_gone_size() > 0 || forgotten > 0)
     proxies_epoch_ = epoch_;
 
-  if (MaintenanceState::says_something(decision) && decision.format() < kOutingsFormat)
-    return Verdict::kOutings;
-  if (!outings_.apply(decision, {nodes_, *picture_, decision.applied(), time_, epoch_.number}))
-    return Verdict::kOutings;
-  if (outings_.orders_changed()) owners_epoch_ = epoch_;
+  if (MaintenanceState::has_changes(decision) && decision.format() < kMaintenanceFormat)
+    return ApplyResult::kInvalidMaintenance;
+  if (!maintenance_.apply(decision, {nodes_, *picture_, decision.applied(), time_, epoch_.number}))
+    return ApplyResult::kInvalidMaintenance;
+  if (maintenance_.orders_changed()) owners_epoch_ = epoch_;
   for (const InstanceRecord& one : decision.instances())
     instances_[one.id()] = {one.format(), one.settings()};
   for (std::uint64_t id : decision.instances_gone()) instances_.erase(id);
-  return Verdict::kTaken;
+  return ApplyResult::kApplied;
 }
 
-Verdict ReplicatedState::step_shard(const ShardStep& step, const Decision& decision) {
-  if (step.shard() >= shards_.size()) return Verdict::kShards;
+ApplyResult ReplicatedState::step_shard(const ShardStep& step, const Decision& decision) {
+  if (step.shard() >= shards_.size()) return ApplyResult::kInvalidShards;
   Shard& shard = shards_[step.shard()];
   for (const ShardRule& rule : kShardRules) {
     if (rule.state != shard.state || rule.step != step.step()) continue;
     switch (rule.step) {
-      case STEP_LEARN:
-        if (shard.incarnation != 0 || step.life() == 0) return Verdict::kShards;
+      case STEP_SET_INCARNATION:
+        if (shard.incarnation != 0 || step.life() == 0) return ApplyResult::kInvalidShards;
         shard.incarnation = step.life();
-        return Verdict::kTaken;  // since when it is owned stays
+        return ApplyResult::kApplied;  // since when it is owned stays
       case STEP_CLOSE:
         shard.closed_in = 0;
         shard.moves = step.moves();
@@ -145,16 +145,17 @@
         // Who ran its keys goes on with them: nobody else did meanwhile.
         if (shard.owner.empty() || shard.moves || step.owner() != shard.owner ||
             step.life() != shard.incarnation) {
-          return Verdict::kShards;
+          return ApplyResult::kInvalidShards;
         }
         shard.closed_in = 0;
         break;
-      case STEP_COOL:
-        if (shard.closed_in == 0 || decision.applied() < shard.closed_in) return Verdict::kShards;
+      case STEP_QUARANTINE:
+        if (shard.closed_in == 0 || decision.applied() < shard.closed_in) return ApplyResult::kInvalidShards;
         break;
-      case STEP_HAND_OVER: {
+      case STEP_ASSIGN: {
         bool first = epoch_.number == 1 && decision.first_start();
-        if (step.owner().empty() || (!first && time_ - shard.since < window_)) return Verdict::kShards;
+        if (step.owner().empty() || (!first && time_ - shard.since < window_))
+          return ApplyResult::kInvalidShards;
         shard.owner = step.owner();
         shard.incarnation = step.life();
         shard.closed_in = 0;
@@ -162,13 +163,13 @@
         break;
       }
       default:
-        return Verdict::kShards;
+        return ApplyResult::kInvalidShards;
     }
     shard.state = rule.next;
     shard.since = time_;
-    return Verdict::kTaken;
+    return ApplyResult::kApplied;
   }
-  return Verdict::kShards;
+  return ApplyResult::kInvalidShards;
 }
 
 bool ReplicatedState::shows_what_is_agreed(const routing_state::Snapshot& picture) const {
@@ -208,7 +209,7 @@
     out.add_proxies()->set_id(id);
     out.mutable_proxies()->rbegin()->set_gone_since_ns(gone);
   }
-  if (form_ >= kOutingsFormat) outings_.fill(*out.mutable_outings());
+  if (form_ >= kMaintenanceFormat) maintenance_.fill(*out.mutable_outings());
   for (const auto& [id, instance] : instances_) {
     InstanceRecord& to = *out.add_instances();
     to.set_id(id);
@@ -241,14 +242,14 @@
   }
   out.picture_ = std::make_shared<const routing_state::Snapshot>(in.picture());
   for (const ProxyState& proxy : in.proxies()) out.proxies_[proxy.id()] = proxy.gone_since_ns();
-  if (!out.outings_.restore(in.outings())) return false;
+  if (!out.maintenance_.restore(in.outings())) return false;
   for (const InstanceRecord& one : in.instances()) out.instances_[one.id()] = {one.format(), one.settings()};
   out.refused_ = refused_;
   *this = std::move(out);
   return true;
 }
 
-std::size_t ReplicatedState::closed() const {
+std::size_t ReplicatedState::closed_shards() const {
   return static_cast<std::size_t>(std::count_if(
       shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.state != ShardState::kOwned; }));
 }
--- a/src/agreement/replicated_state.h
+++ b/src/agreement/replicated_state.h
@@ -24,23 +24,23 @@
 
 using fencing::Epoch;
 
-constexpr std::uint32_t kFormat = 2;         // of entries and images, that this version knows
-constexpr std::uint32_t kOutingsFormat = 2;  // from which on there are permits, releases and commands
-constexpr Nanos kMaxElapsed = 2000 * kMs;    // of one entry: a clock that jumps shortens no window by more
+constexpr std::uint32_t kFormat = 2;             // of entries and images, that this version knows
+constexpr std::uint32_t kMaintenanceFormat = 2;  // from which on there are permits, releases and commands
+constexpr Nanos kMaxElapsed = 2000 * kMs;  // of one entry: a clock that jumps shortens no window by more
 
-enum class Verdict {
-  kTaken,
-  kOldBasis,  // drawn from another state than this
-  kOldTerm,   // of an earlier leader
-  kTime,      // time that goes back, or leaps
-  kShards,    // a step that the table below does not have, or too early
-  kPicture,   // shows a shard open to another than its owner, or is not the next one
-  kOutings,   // a server, a release or a command takes a step that it does not have
-  kProxies,   // forgets one that may still send
+enum class ApplyResult {
+  kApplied,
+  kStaleBasis,          // drawn from another state than this
+  kStaleTerm,           // of an earlier leader
+  kInvalidTime,         // time that goes back, or leaps
+  kInvalidShards,       // a step that the table below does not have, or too early
+  kInvalidSnapshot,     // shows a shard open to another than its owner, or is not the next one
+  kInvalidMaintenance,  // a server, a release or a command takes a step that it does not have
+  kInvalidProxies,      // forgets one that may still send
   kUnreadable,
-  kNewer  // of a form this version does not know: nothing further can be applied here
+  kUnknownFormat  // of a form this version does not know: nothing further can be applied here
 };
-const char* name_of(Verdict verdict);
+const char* name_of(ApplyResult verdict);
 
 struct AgreedInstance {
   std::uint32_t format = 0;
@@ -48,15 +48,15 @@
   bool operator==(const AgreedInstance&) const = default;
 };
 
-constexpr Nanos kHere = -1;  // of a proxy that is not known to be gone
+constexpr Nanos kConnected = -1;  // of a proxy that is not known to be gone
 
 class ReplicatedState {
  public:
   // `knows`: the newest form of entries that it takes.
   explicit ReplicatedState(std::uint32_t knows = kFormat) : knows_(knows) {}
 
-  Verdict apply(std::string_view entry);
-  Verdict apply(const Decision& decision);
+  ApplyResult apply(std::string_view entry);
+  ApplyResult apply(const Decision& decision);
 
   std::string image() const;
   // False, and nothing changes, where it is of a form this version does not know.
@@ -68,21 +68,23 @@
   Nanos window() const { return window_; }
   Nanos forget_proxies() const { return forget_proxies_; }
   const std::vector<routing::Shard>& shards() const { return shards_; }
-  std::size_t closed() const;  // shards that nobody may run
-  const routing_state::Snapshot& picture() const { return *picture_; }
+  std::size_t closed_shards() const;  // shards that nobody may run
+  const routing_state::Snapshot& snapshot() const { return *picture_; }
   std::uint64_t published() const { return picture_->number(); }
   const std::map<std::string, routing_state::NodeMemory>& nodes() const { return nodes_; }
-  const std::map<std::string, Nanos>& proxies() const { return proxies_; }  // since when gone, or kHere
+  const std::map<std::string, Nanos>& proxies() const { return proxies_; }  // since when gone, or kConnected
   Epoch proxies_epoch() const { return proxies_epoch_; }  // the last that changed proxies(), or a later one
-  const MaintenanceState& outings() const { return outings_; }
+  const MaintenanceState& maintenance() const { return maintenance_; }
   const std::map<std::uint64_t, AgreedInstance>& instances() const { return instances_; }
-  std::uint64_t refused() const { return refused_; }  // entries without effect, by this instance's count
+  std::uint64_t rejected_entries() const {
+    return refused_;
+  }  // entries without effect, by this instance's count
   // Two instances at one epoch have the same.
   std::uint64_t digest() const;
 
  private:
-  Verdict check_and_apply(const Decision& decision);
-  Verdict step_shard(const ShardStep& step, const Decision& decision);
+  ApplyResult check_and_apply(const Decision& decision);
+  ApplyResult step_shard(const ShardStep& step, const Decision& decision);
   bool shows_what_is_agreed(const routing_state::Snapshot& picture) const;
 
   std::uint32_t knows_;
@@ -98,7 +100,7 @@
   std::shared_ptr<const routing_state::Snapshot> picture_ = std::make_shared<const routing_state::Snapshot>();
   std::map<std::string, Nanos> proxies_;
   Epoch proxies_epoch_;
-  MaintenanceState outings_;
+  MaintenanceState maintenance_;
   std::map<std::uint64_t, AgreedInstance> instances_;
   std::uint64_t refused_ = 0;
 };
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -365,7 +365,7 @@
 
 // A new leader may not know how far those before it got: what it asks for now comes behind all of it.
 void RaftNode::ask_ready() {
-  if (!leads() || asked_term_ == term()) return;
+  if (!is_leader() || asked_term_ == term()) return;
   asked_term_ = term();
   Ask* ask = Ask::make(*this, {});
   ask->committed = [this, ask](bool good) {
@@ -416,7 +416,7 @@
   return out;
 }
 
-std::optional<int> RaftNode::part_of(InstanceId id) const {
+std::optional<int> RaftNode::role_of(InstanceId id) const {
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     if (raft_.configuration.servers[i].id == id) return raft_.configuration.servers[i].role;
   }
@@ -469,7 +469,7 @@
   Ask* ask = Ask::make(*this, std::move(committed));
   int code = raft_transfer(&raft_, &ask->transfer, 0, [](struct raft_transfer* of) {
     Ask* done = static_cast<Ask*>(of->data);
-    Ask::end(done, !done->member->leads());
+    Ask::end(done, !done->member->is_leader());
   });
   if (code != 0) Ask::end_later(*this, ask);
   io_->run_waiting();
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -39,7 +39,7 @@
   using Done = std::function<void(bool durable)>;
   virtual ~RaftStorage() = default;
   virtual PersistentState load() = 0;
-  virtual bool well() const = 0;  // the disk takes writes, as far as is known
+  virtual bool is_writable() const = 0;  // the disk takes writes, as far as is known
   // On the disk when it returns true. False: the disk is sick, and this instance does not vote.
   virtual bool save_vote(std::uint64_t term, InstanceId voted_for) = 0;
   virtual void append(std::uint64_t first, std::vector<LogEntry> entries, Done done) = 0;
@@ -101,7 +101,7 @@
   void received(const PeerMessage& message);
 
   Role role() const;
-  bool leads() const { return role() == Role::kLeader; }
+  bool is_leader() const { return role() == Role::kLeader; }
   InstanceId id() const { return id_; }
   InstanceId leader() const;  // 0: not known
   std::uint64_t term() const { return raft_.current_term; }
@@ -110,9 +110,9 @@
   std::uint64_t last_index() const { return raft_last_index(const_cast<raft*>(&raft_)); }
   std::vector<Server> servers() const;
   std::size_t voters() const;
-  std::optional<int> part_of(
+  std::optional<int> role_of(
       InstanceId id) const;  // its role as the library has it; none: it does not belong
-  bool votes(InstanceId id) const { return part_of(id) == RAFT_VOTER; }
+  bool is_voter(InstanceId id) const { return role_of(id) == RAFT_VOTER; }
   // Something was not kept: this instance neither votes nor says that it has anything, and its place is taken
   // by a new Member on the same keeper once that is well.
   bool disk_failed() const;
@@ -121,7 +121,7 @@
 
   // Only where it leads. Once it has led for a moment, `ready` says that all that was agreed before is
   // applied here.
-  bool ready() const { return leads() && ready_term_ == term(); }
+  bool ready() const { return is_leader() && ready_term_ == term(); }
   void propose(std::string entry, CommitCallback committed);
   // Changes of who belongs: one at a time.
   void add(InstanceId id, const std::string& address, CommitCallback committed);  // hears, does not vote
--- a/src/consensus/store_raft_storage.cpp
+++ b/src/consensus/store_raft_storage.cpp
@@ -96,7 +96,7 @@
   }
 }
 
-void StoreRaftStorage::belong_to(InstanceId id) {
+void StoreRaftStorage::set_owner(InstanceId id) {
   std::string value;
   store::put_number(value, id);
   if (!put_and_wait(kOwnerKey, value)) throw std::runtime_error(kUnwritable);
@@ -129,7 +129,7 @@
   return kept_;
 }
 
-bool StoreRaftStorage::well() const { return committer_->health() != store::Health::kSick; }
+bool StoreRaftStorage::is_writable() const { return committer_->health() != store::Health::kSick; }
 
 void StoreRaftStorage::put(const std::string& key, const std::string& value, std::function<void(bool)> done) {
   committer_->put(key, value, 0, std::move(done));
--- a/src/consensus/store_raft_storage.h
+++ b/src/consensus/store_raft_storage.h
@@ -24,10 +24,10 @@
   void take_done();
   // Who the folder belongs to: an instance whose id is another's must not use it. 0: nobody yet.
   InstanceId owner() const { return owner_; }
-  void belong_to(InstanceId id);
+  void set_owner(InstanceId id);
 
   PersistentState load() override;
-  bool well() const override;
+  bool is_writable() const override;
   bool save_vote(std::uint64_t term, InstanceId voted_for) override;
   void append(std::uint64_t first, std::vector<LogEntry> entries, Done done) override;
   void truncate(std::uint64_t from) override;
--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -14,8 +14,8 @@
 
 double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
 
-const char* name_of(agreement::Why why) {
-  return why == agreement::WHY_DRAIN ? "drain" : why == agreement::WHY_RELEASE ? "release" : "way back";
+const char* name_of(agreement::MaintenanceReason why) {
+  return why == agreement::REASON_DRAIN ? "drain" : why == agreement::REASON_RELEASE ? "release" : "way back";
 }
 
 }  // namespace
@@ -60,10 +60,10 @@
     return finish(
         one, releases::kRefused + "this instance is out of touch with a majority, and nothing is permitted");
   for (const auto& [other, known] : instance.agreed().instances()) {
-    if (known.format < agreement::kOutingsFormat)
+    if (known.format < agreement::kMaintenanceFormat)
       return finish(one, releases::kRefused + "instance " + std::to_string(other) + " knows no releases yet");
   }
-  one.command = instance.command(command);
+  one.command = instance.submit_command(command);
   waiting_[id] = std::move(one);
 }
 
@@ -77,7 +77,7 @@
 void AdminCommands::tick() {
   for (auto one = waiting_.begin(); one != waiting_.end();) {
     const agreement::CommandResult* result =
-        agreed_.instance().agreed().outings().result(one->second.command);
+        agreed_.instance().agreed().maintenance().result(one->second.command);
     if (!result && loop_.now() < one->second.until) {
       ++one;
       continue;
@@ -95,14 +95,14 @@
 void AdminCommands::fill(AdminAnswer& answer) const {
   const agreement::ControlReplica& instance = agreed_.instance();
   const agreement::ReplicatedState& state = instance.agreed();
-  const agreement::MaintenanceState& outings = state.outings();
+  const agreement::MaintenanceState& outings = state.maintenance();
   std::set<std::string> chosen;
   for (const auto& [node, trip] : outings.leases()) {
     chosen.insert(node);
     TripRow& row = *answer.add_trips();
     row.set_node(node);
-    row.set_why(name_of(trip.why));
-    row.set_place(agreement::name_of(trip.place));
+    row.set_why(name_of(trip.reason));
+    row.set_place(agreement::name_of(trip.phase));
     row.set_version(trip.version);
     row.set_in_place_s(seconds(state.time() - trip.since));
     row.set_permit_s(seconds(trip.until - state.time()));
@@ -143,8 +143,9 @@
   for (const agreement::UpdatedServer& one : release.taken()) {
     if (!one.failed().empty()) row.add_failed(one.node() + ": " + one.failed());
   }
-  row.set_outlook(outings.under_way() ? agreed_.conductor().outlook() : "");
-  row.set_left_s(outings.under_way() ? left_s(row, release.phase() == agreement::PHASE_BACK) : -1);
+  row.set_outlook(outings.release_in_progress() ? agreed_.conductor().outlook() : "");
+  row.set_left_s(outings.release_in_progress() ? left_s(row, release.phase() == agreement::PHASE_ROLLING_BACK)
+                                               : -1);
 }
 
 // As fast as it went so far; before the first server is there nobody knows.
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -201,12 +201,12 @@
   answer.set_epoch(instance.agreed().epoch().number);
   answer.set_in_touch(instance.has_quorum());
   answer.set_digest(xds::hex(instance.agreed().digest()));
-  answer.set_refused(instance.agreed().refused());
+  answer.set_refused(instance.agreed().rejected_entries());
   answer.set_left_out(agreed_->links().left_out());
   answer.set_agreed_time_s(seconds(instance.agreed().time()));
   answer.set_disk_fails(replica.disk_failed());
   answer.set_published(instance.agreed().published());
-  answer.set_shards_closed(static_cast<std::uint32_t>(instance.agreed().closed()));
+  answer.set_shards_closed(static_cast<std::uint32_t>(instance.agreed().closed_shards()));
   for (const consensus::Server& server : replica.servers()) {
     InstanceRow& row = *answer.add_instances();
     row.set_id(server.id());
@@ -216,9 +216,9 @@
                                                  : "named only");
     row.set_leads(server.id() == replica.leader());
     row.set_here(server.id() == replica.id());
-    agreement::ControlReplica::Said said = instance.said_by(server.id());
+    agreement::ControlReplica::PeerStatus said = instance.peer_status(server.id());
     row.set_applied(row.here() ? answer.epoch() : said.applied);
-    row.set_heard_s_ago(row.here() ? 0 : said.at > 0 ? seconds(loop_.now() - said.at) : -1);
+    row.set_heard_s_ago(row.here() ? 0 : said.received_at > 0 ? seconds(loop_.now() - said.received_at) : -1);
     auto agreed = instance.agreed().instances().find(server.id());
     if (agreed == instance.agreed().instances().end()) continue;
     row.set_format(agreed->second.format);
@@ -233,11 +233,11 @@
   std::uint64_t id = 0;
   std::string address;
   words >> word >> id >> address;
-  if (word == "let-in" && id > 0 && !address.empty()) return agreed_->instance().let_in(id, address);
-  if (word == "let-out" && id > 0) return agreed_->instance().let_out(id);
+  if (word == "let-in" && id > 0 && !address.empty()) return agreed_->instance().add_member(id, address);
+  if (word == "let-out" && id > 0) return agreed_->instance().remove_member(id);
   if (word != "hand-on")
     return "unknown question; there are nodes, proxies, snapshot, instances, outings and release status";
-  if (!agreed_->instance().raft_node().leads()) return "this instance does not lead";
+  if (!agreed_->instance().raft_node().is_leader()) return "this instance does not lead";
   agreed_->transfer_leadership([] {});
   return "";
 }
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -178,7 +178,7 @@
     // A change of what a server says of itself is not left to wait for the beat.
     std::string word = std::string(name_of(report.mode)) + (report.draining ? " leaving" : "");
     if (std::exchange(words_[report.node], word) != word) {
-      if (agreed_) agreed_->instance().soon();
+      if (agreed_) agreed_->instance().decide_soon();
       again_.set(0);
     }
     if (agreed_ && report.obeys) order(connection, report);
@@ -215,9 +215,9 @@
   // All are looked at only where one of them has said something; before they are, so that nothing is missed.
   std::uint64_t changes = discovery_.changes();
   if (std::exchange(heard_changes_, changes) == changes) {
-    agreed_->instance().proxies_unchanged();
+    agreed_->instance().local_proxies_unchanged();
   } else {
-    agreed_->instance().proxies(proxy_words());
+    agreed_->instance().set_local_proxies(proxy_words());
   }
   applied_ = agreed_->instance().applied_by_all();
 }
@@ -237,7 +237,7 @@
 
 // To a server that acts on an older order, or on none.
 void Control::order(net::Connection& connection, const report::LoadReport& report) {
-  fencing::ShardAssignment order = agreed_->instance().order_for(report.node);
+  fencing::ShardAssignment order = agreed_->instance().assignment_for(report.node);
   if (order.epoch.number == 0 || order.incarnation != report.incarnation || report.epoch >= order.epoch)
     return;
   // Nobody goes out on the word of an instance that does not know whether it still holds.
@@ -251,7 +251,7 @@
   operators_->tick();
   auto published = instance.published();
   if (published && (!served_ || served_->number != published->number)) publish(*published);
-  Nanos fresh = instance.fresh_for();
+  Nanos fresh = instance.lease_remaining();
   // Made only when it is needed: until then a stream that is new gets nothing.
   if (fresh == 0 && published && (!closed_ || closed_->number != published->number)) {
     routing::Published closed = *published;
@@ -270,7 +270,7 @@
   }
   xds::SessionTable::Gate gate{.served = {}, .fresh_until = fresh_until, .closed = closed_};
   for (const auto& [id, gone] : agreed.proxies()) {
-    if (gone == agreement::kHere) gate.served.insert(gate.served.end(), id);
+    if (gone == agreement::kConnected) gate.served.insert(gate.served.end(), id);
   }
   discovery_.gate(std::move(gate));
 }
--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -58,18 +58,18 @@
     throw std::runtime_error(options.folder + " holds a log already: --begin is for the first start only");
   }
   if (empty) {
-    storage_->belong_to(options.id);
+    storage_->set_owner(options.id);
     if (!options.begin.empty()) consensus::RaftNode::bootstrap(*storage_, options.begin);
   }
   agreement::ReplicaOptions replica_options;
   replica_options.id = options.id;
   replica_options.address = options.address;
-  replica_options.log.fleet = fleet.listener;
-  replica_options.log.snapshot_after = options.snapshot_after;
-  replica_options.log.snapshot_trailing =
-      std::min(replica_options.log.snapshot_trailing, options.snapshot_after / 4);
+  replica_options.raft.fleet = fleet.listener;
+  replica_options.raft.snapshot_after = options.snapshot_after;
+  replica_options.raft.snapshot_trailing =
+      std::min(replica_options.raft.snapshot_trailing, options.snapshot_after / 4);
   replica_options.format = options.format;
-  replica_options.settings = settings;
+  replica_options.settings_hash = settings;
   std::map<consensus::InstanceId, std::string> reach;
   for (const consensus::Server& other : options.reach) reach[other.id()] = other.address();
   links_ = std::make_unique<PeerLinks>(loop, options.address, std::move(reach),
@@ -79,7 +79,7 @@
   instance_ = std::make_unique<agreement::ControlReplica>(
       replica_options, *storage_, *links_, std::move(fleet), first_start, [&loop] { return loop.now(); },
       std::random_device()(), [&log](const std::string& line) { log.line(line); });
-  instance_->set_chapter(&conductor_);
+  instance_->set_section(&conductor_);
   instance_->start();
   again_.set(kBeat);
 }
@@ -96,7 +96,7 @@
 }
 
 void ReplicatedControl::transfer_leadership(std::function<void()> then) {
-  if (!instance_->raft_node().leads() || instance_->raft_node().voters() < 2) return then();
+  if (!instance_->raft_node().is_leader() || instance_->raft_node().voters() < 2) return then();
   log_.line("handing on before the stop");
   instance_->raft_node().transfer_leadership([then = std::move(then)](bool) { then(); });
 }
--- a/src/releases/rollout_controller.cpp
+++ b/src/releases/rollout_controller.cpp
@@ -15,9 +15,9 @@
 using agreement::MaintenanceLease;
 using agreement::MaintenancePhase;
 using agreement::MaintenanceState;
-using agreement::Phase;
 using agreement::Plan;
 using agreement::Release;
+using agreement::ReleasePhase;
 using agreement::UpdatedServer;
 using routing::ServerStatus;
 
@@ -53,7 +53,7 @@
 
 struct RolloutController::RolloutContext {
   explicit RolloutContext(const View& of)
-      : view(of), outings(of.agreed.outings()), release(outings.release()), plan(release.plan()) {
+      : view(of), outings(of.agreed.maintenance()), release(outings.release()), plan(release.plan()) {
     for (const ServerStatus& server : of.router.registry().all()) servers[server.node.name] = &server;
     for (const auto& [node, lease] : outings.leases()) chosen.insert(node);
     for (const UpdatedServer& one : release.taken()) taken[one.node()] = &one;
@@ -64,9 +64,9 @@
   }
   Nanos in_place(const MaintenanceLease& lease) const { return view.time - lease.since; }
   bool has_version(const ServerStatus& server) const { return server.version == plan.version(); }
-  bool any_out(agreement::Why why) const {
+  bool any_out(agreement::MaintenanceReason why) const {
     return std::any_of(outings.leases().begin(), outings.leases().end(),
-                       [why](const auto& one) { return one.second.why == why; });
+                       [why](const auto& one) { return one.second.reason == why; });
   }
 
   const View& view;
@@ -81,23 +81,26 @@
 // ---- A server that is out: the first row that applies is taken
 
 const std::vector<RolloutController::TripRow> RolloutController::kTrips = {
-    {MaintenancePhase::kEmptying, &RolloutController::other_incarnation, agreement::TRIP_CALL_BACK, ""},
-    {MaintenancePhase::kEmptying, &RolloutController::emptied, agreement::TRIP_EMPTIED, ""},
-    {MaintenancePhase::kEmptying, &RolloutController::empty_late, agreement::TRIP_CALL_BACK,
+    {MaintenancePhase::kDraining, &RolloutController::other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
+    {MaintenancePhase::kDraining, &RolloutController::emptied, agreement::MAINTENANCE_DRAINED, ""},
+    {MaintenancePhase::kDraining, &RolloutController::empty_late, agreement::MAINTENANCE_CANCEL,
      "not empty in time"},
-    {MaintenancePhase::kEmpty, &RolloutController::other_incarnation, agreement::TRIP_CALL_BACK, ""},
-    {MaintenancePhase::kEmpty, &RolloutController::to_be_ordered, agreement::TRIP_ORDER, ""},
-    {MaintenancePhase::kOrdered, &RolloutController::back_as_wanted, agreement::TRIP_CAME_BACK, ""},
-    {MaintenancePhase::kOrdered, &RolloutController::other_incarnation, agreement::TRIP_GIVE_UP,
+    {MaintenancePhase::kDrained, &RolloutController::other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
+    {MaintenancePhase::kDrained, &RolloutController::to_be_ordered, agreement::MAINTENANCE_RESTART, ""},
+    {MaintenancePhase::kRestarting, &RolloutController::back_as_wanted, agreement::MAINTENANCE_RESTARTED, ""},
+    {MaintenancePhase::kRestarting, &RolloutController::other_incarnation, agreement::MAINTENANCE_FAIL,
      "back in another version"},
-    {MaintenancePhase::kOrdered, &RolloutController::back_late_but_there, agreement::TRIP_CALL_BACK,
+    {MaintenancePhase::kRestarting, &RolloutController::back_late_but_there, agreement::MAINTENANCE_CANCEL,
      "did not go"},
-    {MaintenancePhase::kOrdered, &RolloutController::back_late, agreement::TRIP_GIVE_UP, "did not come back"},
-    {MaintenancePhase::kWarming, &RolloutController::serving, agreement::TRIP_WARM, ""},
-    {MaintenancePhase::kWarming, &RolloutController::warm_late, agreement::TRIP_GIVE_UP, "not warm in time"},
-    {MaintenancePhase::kReturning, &RolloutController::other_incarnation, agreement::TRIP_CAME_BACK, ""},
-    {MaintenancePhase::kReturning, &RolloutController::stayed, agreement::TRIP_WARM, ""},
-    {MaintenancePhase::kReturning, &RolloutController::warm_late, agreement::TRIP_GIVE_UP,
+    {MaintenancePhase::kRestarting, &RolloutController::back_late, agreement::MAINTENANCE_FAIL,
+     "did not come back"},
+    {MaintenancePhase::kSlowStart, &RolloutController::serving, agreement::MAINTENANCE_COMPLETE, ""},
+    {MaintenancePhase::kSlowStart, &RolloutController::warm_late, agreement::MAINTENANCE_FAIL,
+     "not warm in time"},
+    {MaintenancePhase::kCancelling, &RolloutController::other_incarnation, agreement::MAINTENANCE_RESTARTED,
+     ""},
+    {MaintenancePhase::kCancelling, &RolloutController::stayed, agreement::MAINTENANCE_COMPLETE, ""},
+    {MaintenancePhase::kCancelling, &RolloutController::warm_late, agreement::MAINTENANCE_FAIL,
      "called back, and not in service"},
 };
 
@@ -111,20 +114,20 @@
 bool RolloutController::emptied(const RolloutContext& context, const std::string& node,
                                 const MaintenanceLease& lease) const {
   const ServerStatus* server = context.server(node);
-  bool told = lease.shown_in != 0 && context.view.applied >= lease.shown_in;
+  bool told = lease.published_in != 0 && context.view.applied >= lease.published_in;
   return told && server && server->heard_at > 0 && server->report.held == 0 && server->report.running == 0;
 }
 
 bool RolloutController::empty_late(const RolloutContext& context, const std::string&,
                                    const MaintenanceLease& lease) const {
   // What operators want empty stays called out: only a release goes on without it.
-  return lease.why != agreement::WHY_DRAIN && context.in_place(lease) >= context.plan.empty_within_ns();
+  return lease.reason != agreement::REASON_DRAIN && context.in_place(lease) >= context.plan.empty_within_ns();
 }
 
 bool RolloutController::to_be_ordered(const RolloutContext& context, const std::string& node,
                                       const MaintenanceLease& lease) const {
   const ServerStatus* server = context.server(node);
-  return lease.why != agreement::WHY_DRAIN && server && server->report.obeys;
+  return lease.reason != agreement::REASON_DRAIN && server && server->report.obeys;
 }
 
 bool RolloutController::back_as_wanted(const RolloutContext& context, const std::string& node,
@@ -154,13 +157,13 @@
 // One that had its order may be on its way out without anybody knowing yet.
 bool RolloutController::stayed(const RolloutContext& context, const std::string& node,
                                const MaintenanceLease& lease) const {
-  return serving(context, node, lease) && context.server(node)->report.epoch.number >= lease.recalled;
+  return serving(context, node, lease) && context.server(node)->report.epoch.number >= lease.cancelled_in;
 }
 
 bool RolloutController::warm_late(const RolloutContext& context, const std::string&,
                                   const MaintenanceLease& lease) const {
-  Nanos limit = lease.why == agreement::WHY_DRAIN ? context.view.router.fleet().outings.permit_lasts
-                                                  : context.plan.warm_within_ns();
+  Nanos limit = lease.reason == agreement::REASON_DRAIN ? context.view.router.fleet().outings.permit_lasts
+                                                        : context.plan.warm_within_ns();
   return context.in_place(lease) >= limit;
 }
 
@@ -169,17 +172,18 @@
   for (const auto& [node, lease] : context.outings.leases()) {
     agreement::MaintenanceStep step;
     for (const TripRow& row : kTrips) {
-      if (row.place != lease.place || !(this->*row.when)(context, node, lease)) continue;
+      if (row.place != lease.phase || !(this->*row.when)(context, node, lease)) continue;
       step.set_input(row.input);
       step.set_reason(row.reason);
       break;
     }
-    bool drained = lease.why == agreement::WHY_DRAIN && context.outings.drains().contains(node);
-    if (step.input() == agreement::TRIP_NONE && drained && lease.until - context.view.time < lasts / 2) {
-      step.set_input(agreement::TRIP_EXTEND);
+    bool drained = lease.reason == agreement::REASON_DRAIN && context.outings.drains().contains(node);
+    if (step.input() == agreement::MAINTENANCE_NONE && drained &&
+        lease.until - context.view.time < lasts / 2) {
+      step.set_input(agreement::MAINTENANCE_EXTEND);
       step.set_for_ns(lasts);
     }
-    if (step.input() == agreement::TRIP_NONE) continue;
+    if (step.input() == agreement::MAINTENANCE_NONE) continue;
     step.set_node(node);
     *out.add_trips() = step;
   }
@@ -189,24 +193,24 @@
 
 const std::vector<RolloutController::ReleaseRow> RolloutController::kReleases = {
     {agreement::PHASE_ROLLING, &RolloutController::no_majority_for_long, agreement::RELEASE_HALT},
-    {agreement::PHASE_ROLLING, &RolloutController::bad_goes_back, agreement::RELEASE_GO_BACK},
+    {agreement::PHASE_ROLLING, &RolloutController::bad_goes_back, agreement::RELEASE_ROLL_BACK},
     {agreement::PHASE_ROLLING, &RolloutController::bad_halts, agreement::RELEASE_HALT},
-    {agreement::PHASE_ROLLING, &RolloutController::failed_goes_back, agreement::RELEASE_GO_BACK},
+    {agreement::PHASE_ROLLING, &RolloutController::failed_goes_back, agreement::RELEASE_ROLL_BACK},
     {agreement::PHASE_ROLLING, &RolloutController::failed_halts, agreement::RELEASE_HALT},
     {agreement::PHASE_ROLLING, &RolloutController::alarm_below, agreement::RELEASE_HALT},
     {agreement::PHASE_ROLLING, &RolloutController::starved, agreement::RELEASE_HALT},
-    {agreement::PHASE_ROLLING, &RolloutController::wave_is_back, agreement::RELEASE_WAVE_BACK},
+    {agreement::PHASE_ROLLING, &RolloutController::wave_is_back, agreement::RELEASE_WAVE_UPDATED},
 
     {agreement::PHASE_SOAKING, &RolloutController::no_majority_for_long, agreement::RELEASE_HALT},
-    {agreement::PHASE_SOAKING, &RolloutController::bad_goes_back, agreement::RELEASE_GO_BACK},
+    {agreement::PHASE_SOAKING, &RolloutController::bad_goes_back, agreement::RELEASE_ROLL_BACK},
     {agreement::PHASE_SOAKING, &RolloutController::bad_halts, agreement::RELEASE_HALT},
     {agreement::PHASE_SOAKING, &RolloutController::alarm_below, agreement::RELEASE_HALT},
     {agreement::PHASE_SOAKING, &RolloutController::good_and_last, agreement::RELEASE_FINISH},
     {agreement::PHASE_SOAKING, &RolloutController::good, agreement::RELEASE_NEXT_WAVE},
     {agreement::PHASE_SOAKING, &RolloutController::not_known_for_long, agreement::RELEASE_HALT},
 
-    {agreement::PHASE_BACK, &RolloutController::no_majority_for_long, agreement::RELEASE_HALT},
-    {agreement::PHASE_BACK, &RolloutController::all_went_back, agreement::RELEASE_IS_BACK},
+    {agreement::PHASE_ROLLING_BACK, &RolloutController::no_majority_for_long, agreement::RELEASE_HALT},
+    {agreement::PHASE_ROLLING_BACK, &RolloutController::all_went_back, agreement::RELEASE_ROLLED_BACK},
 };
 
 std::optional<std::string> RolloutController::no_majority_for_long(const RolloutContext&) {
@@ -285,14 +289,14 @@
 // Nobody could go out for as long as a whole restart may take.
 std::optional<std::string> RolloutController::starved(const RolloutContext& context) {
   Nanos since = std::max(last_grant_, judge_.begun());
-  if (context.any_out(agreement::WHY_RELEASE) || refusal_.empty() ||
+  if (context.any_out(agreement::REASON_RELEASE) || refusal_.empty() ||
       context.view.now - since < context.plan.back_within_ns())
     return std::nullopt;
   return "nobody may go out: " + refusal_;
 }
 
 std::optional<std::string> RolloutController::wave_is_back(const RolloutContext& context) {
-  bool back = !context.any_out(agreement::WHY_RELEASE) && waiting(context).empty();
+  bool back = !context.any_out(agreement::REASON_RELEASE) && waiting(context).empty();
   return back ? std::optional(std::string()) : std::nullopt;
 }
 
@@ -316,7 +320,8 @@
 }
 
 std::optional<std::string> RolloutController::all_went_back(const RolloutContext& context) {
-  if (context.any_out(agreement::WHY_RELEASE) || context.any_out(agreement::WHY_BACK)) return std::nullopt;
+  if (context.any_out(agreement::REASON_RELEASE) || context.any_out(agreement::REASON_ROLLBACK))
+    return std::nullopt;
   if (!waiting(context).empty()) return std::nullopt;
   std::vector<std::string> left;
   for (const UpdatedServer& one : context.release.taken()) {
@@ -343,7 +348,7 @@
 // In the order in which they should go; empty: nobody waits.
 std::vector<std::string> RolloutController::waiting(const RolloutContext& context) const {
   std::vector<std::string> out;
-  if (context.release.phase() == agreement::PHASE_BACK) {
+  if (context.release.phase() == agreement::PHASE_ROLLING_BACK) {
     // The newest first: what went last has been looked at least.
     for (auto one = context.release.taken().rbegin(); one != context.release.taken().rend(); ++one) {
       const ServerStatus* server = context.server(one->node());
@@ -366,7 +371,7 @@
     const MaintenanceLease* lease = context.outings.lease(server.node.name);
     auto before = context.taken.find(server.node.name);
     bool failed = before != context.taken.end() && !before->second->failed().empty();
-    bool has = context.has_version(server) || (lease && lease->why == agreement::WHY_RELEASE);
+    bool has = context.has_version(server) || (lease && lease->reason == agreement::REASON_RELEASE);
     if (has || failed) {
       reached += capacity;
       ++taken;
@@ -394,8 +399,8 @@
     return;
   }
   DisruptionBudget room(context.view.router.fleet(), context.view.router.registry().all(), context.chosen);
-  auto grant = [&](const std::string& node, agreement::Why why, std::uint32_t version, Nanos lasts,
-                   double reserve) {
+  auto grant = [&](const std::string& node, agreement::MaintenanceReason why, std::uint32_t version,
+                   Nanos lasts, double reserve) {
     std::string refusal = room.refusal(node, reserve);
     if (!refusal.empty()) {
       if (refusal_.empty()) refusal_ = node + " waits; " + refusal;
@@ -405,7 +410,7 @@
     last_grant_ = context.view.now;
     agreement::MaintenanceStep& step = *out.add_trips();
     step.set_node(node);
-    step.set_input(agreement::TRIP_GRANT);
+    step.set_input(agreement::MAINTENANCE_GRANT);
     step.set_why(why);
     step.set_version(version);
     step.set_for_ns(lasts);
@@ -414,17 +419,18 @@
   for (const std::string& node : context.outings.drains()) {
     const ServerStatus* server = context.server(node);
     if (server && server->heard_at > 0 && !context.chosen.contains(node))
-      grant(node, agreement::WHY_DRAIN, 0, options.permit_lasts, options.reserve);
+      grant(node, agreement::REASON_DRAIN, 0, options.permit_lasts, options.reserve);
   }
-  if (!context.outings.under_way()) return;
+  if (!context.outings.release_in_progress()) return;
   const Plan& plan = context.plan;
   Nanos lasts = plan.empty_within_ns() + plan.back_within_ns() + plan.warm_within_ns() + kMargin;
-  bool back = context.release.phase() == agreement::PHASE_BACK;
+  bool back = context.release.phase() == agreement::PHASE_ROLLING_BACK;
   for (const std::string& node : waiting(context)) {
     // Nobody but operators takes out what they hold empty, and nobody twice.
     if (context.outings.drains().contains(node)) continue;
     std::uint32_t version = back ? context.taken.at(node)->from_version() : plan.version();
-    grant(node, back ? agreement::WHY_BACK : agreement::WHY_RELEASE, version, lasts, plan.reserve() / 1000.0);
+    grant(node, back ? agreement::REASON_ROLLBACK : agreement::REASON_RELEASE, version, lasts,
+          plan.reserve() / 1000.0);
   }
 }
 
@@ -485,7 +491,7 @@
   };
   std::string name = "release " + std::to_string(now.id()) + " '" + now.plan().name() + "'";
   if (word == "start") {
-    if (MaintenanceState::is_under_way(now.phase())) {
+    if (MaintenanceState::is_release_in_progress(now.phase())) {
       return refused(name + " is " + agreement::name_of(now.phase()) + ": end it or take it back first");
     }
     if (!read_told(rest, *step.mutable_plan())) return refused("the plan makes no sense to this version");
@@ -498,25 +504,25 @@
   }
   struct Row {
     const char* word;
-    std::vector<Phase> phases;
+    std::vector<ReleasePhase> phases;
     agreement::ReleaseInput input;
     const char* said;
   };
   static const std::vector<Row> kWords = {
       {"halt",
-       {agreement::PHASE_ROLLING, agreement::PHASE_SOAKING, agreement::PHASE_BACK},
+       {agreement::PHASE_ROLLING, agreement::PHASE_SOAKING, agreement::PHASE_ROLLING_BACK},
        agreement::RELEASE_HALT,
        " is halted"},
       {"resume",
-       {agreement::PHASE_HALTED, agreement::PHASE_BACK_HALTED},
+       {agreement::PHASE_HALTED, agreement::PHASE_ROLLBACK_HALTED},
        agreement::RELEASE_RESUME,
        " goes on"},
       {"back",
        {agreement::PHASE_ROLLING, agreement::PHASE_SOAKING, agreement::PHASE_HALTED},
-       agreement::RELEASE_GO_BACK,
+       agreement::RELEASE_ROLL_BACK,
        " goes back"},
       {"end",
-       {agreement::PHASE_HALTED, agreement::PHASE_BACK_HALTED},
+       {agreement::PHASE_HALTED, agreement::PHASE_ROLLBACK_HALTED},
        agreement::RELEASE_FINISH,
        " is left as it is"},
   };
@@ -535,7 +541,7 @@
 
 // Whatever phase is agreed, whoever agreed on it, is measured from its beginning.
 void RolloutController::follow(const View& view) {
-  const Release& release = view.agreed.outings().release();
+  const Release& release = view.agreed.maintenance().release();
   std::uint64_t epoch = view.agreed.epoch().number;
   if (epoch != epoch_) {
     if (epoch_at_ > 0) gap_ = std::max(gap_, view.now - epoch_at_);
@@ -568,7 +574,7 @@
 // Of what uses a service, and does not have the new version: what is not served in time. A service that slows
 // as a wave goes is no fault of the version, and no time to go on either.
 void RolloutController::measure_alarms(const RolloutContext& context) {
-  bool under_way = context.outings.under_way();
+  bool under_way = context.outings.release_in_progress();
   for (const fleet::Service& service : context.view.router.fleet().services) {
     double ran = 0;
     double in_time = 0;
@@ -591,15 +597,15 @@
   }
 }
 
-void RolloutController::watch(const View& view) {
+void RolloutController::observe(const View& view) {
   follow(view);
   measure_alarms(RolloutContext(view));
 }
 
-void RolloutController::draft(const View& view, Decision& out) {
+void RolloutController::append_steps(const View& view, Decision& out) {
   RolloutContext context(view);
   agreement::Budgets budgets = budgets_of(view.router.fleet());
-  bool same = budgets.SerializeAsString() == view.agreed.outings().budgets().SerializeAsString();
+  bool same = budgets.SerializeAsString() == view.agreed.maintenance().budgets().SerializeAsString();
   if (!same) *out.mutable_budgets() = budgets;
   draft_command(context, out);
   bool commanded = out.has_release() || out.drains_size() > 0;
--- a/src/releases/rollout_controller.h
+++ b/src/releases/rollout_controller.h
@@ -26,8 +26,8 @@
   using Log = std::function<void(const std::string&)>;
   explicit RolloutController(Log log) : log_(std::move(log)) {}
 
-  void watch(const View& view) override;
-  void draft(const View& view, agreement::Decision& out) override;
+  void observe(const View& view) override;
+  void append_steps(const View& view, agreement::Decision& out) override;
 
   // What a release waits for, or how its wave looks, as this instance sees it; one line.
   const std::string& outlook() const { return outlook_; }
@@ -44,7 +44,7 @@
   };
   static const std::vector<TripRow> kTrips;
   struct ReleaseRow {
-    agreement::Phase phase;
+    agreement::ReleasePhase phase;
     std::optional<std::string> (RolloutController::*when)(const RolloutContext&);
     agreement::ReleaseInput input;
   };
@@ -94,7 +94,7 @@
   CanaryAnalysis judge_;
   // What is followed: the phase that the judge measures, and how long nothing was agreed.
   std::uint64_t followed_id_ = 0;
-  agreement::Phase followed_phase_ = agreement::PHASE_NONE;
+  agreement::ReleasePhase followed_phase_ = agreement::PHASE_NONE;
   std::uint32_t followed_wave_ = 0;
   std::uint64_t epoch_ = 0;
   Nanos epoch_at_ = 0;
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -25,7 +25,7 @@
     node.set_name("n1");
     node.set_life(7);
     show(begin, {0, 0});
-    EXPECT_EQ(state.apply(begin), Verdict::kTaken);
+    EXPECT_EQ(state.apply(begin), ApplyResult::kApplied);
   }
   Decision next(Nanos elapsed = 0) const {
     Decision out;
@@ -35,7 +35,7 @@
     out.set_elapsed_ns(elapsed);
     return out;
   }
-  static ShardStep& step(Decision& decision, std::uint32_t shard, Step what) {
+  static ShardStep& step(Decision& decision, std::uint32_t shard, ShardTransition what) {
     ShardStep& out = *decision.add_shards();
     out.set_shard(shard);
     out.set_step(what);
@@ -43,7 +43,7 @@
   }
   static void hand_over(Decision& decision, std::uint32_t shard, const std::string& owner,
                         std::uint64_t incarnation) {
-    ShardStep& out = step(decision, shard, STEP_HAND_OVER);
+    ShardStep& out = step(decision, shard, STEP_ASSIGN);
     out.set_owner(owner);
     out.set_life(incarnation);
   }
@@ -57,11 +57,11 @@
     Decision decision = next();
     step(decision, shard, STEP_CLOSE);
     show(decision, {shard == 0 ? routing::kClosed : 0, shard == 1 ? routing::kClosed : 0});
-    ASSERT_EQ(state.apply(decision), Verdict::kTaken);
+    ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
   }
-  Verdict cool(std::uint32_t shard, std::uint64_t applied) {
+  ApplyResult cool(std::uint32_t shard, std::uint64_t applied) {
     Decision decision = next();
-    step(decision, shard, STEP_COOL);
+    step(decision, shard, STEP_QUARANTINE);
     decision.set_applied(applied);
     return state.apply(decision);
   }
@@ -71,47 +71,47 @@
 TEST_F(StateStory, WhatWasDrawnFromAnotherStateChangesNothing) {
   Decision late = next();
   step(late, 0, STEP_CLOSE);
-  EXPECT_EQ(state.apply(next(10 * kMs)), Verdict::kTaken);
+  EXPECT_EQ(state.apply(next(10 * kMs)), ApplyResult::kApplied);
   std::uint64_t before = state.digest();
-  EXPECT_EQ(state.apply(late), Verdict::kOldBasis);
+  EXPECT_EQ(state.apply(late), ApplyResult::kStaleBasis);
   EXPECT_EQ(state.digest(), before);
 }
 
 TEST_F(StateStory, AnEarlierLeaderIsNotHeeded) {
   Decision newer = next();
   newer.set_term(5);
-  EXPECT_EQ(state.apply(newer), Verdict::kTaken);
+  EXPECT_EQ(state.apply(newer), ApplyResult::kApplied);
   Decision older = next();
   older.set_term(4);
-  EXPECT_EQ(state.apply(older), Verdict::kOldTerm);
+  EXPECT_EQ(state.apply(older), ApplyResult::kStaleTerm);
 }
 
 TEST_F(StateStory, AShardCoolsOnlyOnceAllProxiesHaveItClosed) {
   close(0);
-  EXPECT_EQ(cool(0, state.published() - 1), Verdict::kShards);
-  EXPECT_EQ(cool(0, state.published()), Verdict::kTaken);
+  EXPECT_EQ(cool(0, state.published() - 1), ApplyResult::kInvalidShards);
+  EXPECT_EQ(cool(0, state.published()), ApplyResult::kApplied);
 }
 
 TEST_F(StateStory, AShardGoesToAnotherOnlyAfterItsWindow) {
   close(0);
-  ASSERT_EQ(cool(0, state.published()), Verdict::kTaken);
+  ASSERT_EQ(cool(0, state.published()), ApplyResult::kApplied);
   Decision early = next(999 * kMs);
   hand_over(early, 0, "n2", 3);
-  EXPECT_EQ(state.apply(early), Verdict::kShards);
+  EXPECT_EQ(state.apply(early), ApplyResult::kInvalidShards);
   EXPECT_EQ(state.shards()[0].state, ShardState::kQuarantined);
   Decision in_time = next(1000 * kMs);
   hand_over(in_time, 0, "n2", 3);
-  EXPECT_EQ(state.apply(in_time), Verdict::kTaken);
+  EXPECT_EQ(state.apply(in_time), ApplyResult::kApplied);
   EXPECT_EQ(state.shards()[0].owner, "n2");
 }
 
 TEST_F(StateStory, AClockThatLeapsShortensNoWindow) {
   close(0);
-  ASSERT_EQ(cool(0, state.published()), Verdict::kTaken);
+  ASSERT_EQ(cool(0, state.published()), ApplyResult::kApplied);
   Decision leap = next(3600 * kSecond);
   hand_over(leap, 0, "n2", 3);
-  EXPECT_EQ(state.apply(leap), Verdict::kTime);
-  EXPECT_EQ(state.apply(next(-1)), Verdict::kTime);
+  EXPECT_EQ(state.apply(leap), ApplyResult::kInvalidTime);
+  EXPECT_EQ(state.apply(next(-1)), ApplyResult::kInvalidTime);
 }
 
 TEST_F(StateStory, OnlyTheLifeThatRanTheKeysGetsThemBackAtOnce) {
@@ -120,30 +120,30 @@
   ShardStep& to = step(other, 0, STEP_REOPEN);
   to.set_owner("n1");
   to.set_life(8);
-  EXPECT_EQ(state.apply(other), Verdict::kShards);
+  EXPECT_EQ(state.apply(other), ApplyResult::kInvalidShards);
   Decision same = next();
   ShardStep& back = step(same, 0, STEP_REOPEN);
   back.set_owner("n1");
   back.set_life(7);
-  EXPECT_EQ(state.apply(same), Verdict::kTaken);
+  EXPECT_EQ(state.apply(same), ApplyResult::kApplied);
 }
 
 TEST_F(StateStory, APictureShowsNoShardOpenToAnother) {
   Decision wrong = next();
   show(wrong, {0, 1});
-  EXPECT_EQ(state.apply(wrong), Verdict::kPicture);
+  EXPECT_EQ(state.apply(wrong), ApplyResult::kInvalidSnapshot);
   Decision skipped = next();
   show(skipped, {0, 0});
   skipped.mutable_picture()->set_number(state.published() + 2);
-  EXPECT_EQ(state.apply(skipped), Verdict::kPicture);
+  EXPECT_EQ(state.apply(skipped), ApplyResult::kInvalidSnapshot);
 }
 
 TEST_F(StateStory, ADecisionIsInForceWholeOrNotAtAll) {
   std::uint64_t before = state.digest();
   Decision half = next(100 * kMs);
   step(half, 0, STEP_CLOSE);
-  step(half, 1, STEP_COOL);
-  EXPECT_EQ(state.apply(half), Verdict::kShards);
+  step(half, 1, STEP_QUARANTINE);
+  EXPECT_EQ(state.apply(half), ApplyResult::kInvalidShards);
   EXPECT_EQ(state.digest(), before);
 }
 
@@ -151,13 +151,13 @@
   Decision come = next();
   come.add_proxies_here("p");
   come.set_forget_proxies_ns(1500 * kMs);
-  EXPECT_EQ(state.apply(come), Verdict::kTaken);
+  EXPECT_EQ(state.apply(come), ApplyResult::kApplied);
   Decision go = next();
   go.add_proxies_gone("p");
-  EXPECT_EQ(state.apply(go), Verdict::kTaken);
-  EXPECT_EQ(state.apply(next(1499 * kMs)), Verdict::kTaken);
+  EXPECT_EQ(state.apply(go), ApplyResult::kApplied);
+  EXPECT_EQ(state.apply(next(1499 * kMs)), ApplyResult::kApplied);
   EXPECT_TRUE(state.proxies().contains("p"));
-  EXPECT_EQ(state.apply(next(kMs)), Verdict::kTaken);
+  EXPECT_EQ(state.apply(next(kMs)), ApplyResult::kApplied);
   EXPECT_FALSE(state.proxies().contains("p"));
 }
 
@@ -173,12 +173,12 @@
 TEST_F(StateStory, WhatANewerVersionSaysIsNotGuessedAt) {
   Decision newer = next();
   newer.set_format(kFormat + 1);
-  EXPECT_EQ(state.apply(newer), Verdict::kNewer);
+  EXPECT_EQ(state.apply(newer), ApplyResult::kUnknownFormat);
   StateImage image;
   image.ParseFromString(state.image());
   image.set_format(kFormat + 1);
   EXPECT_FALSE(ReplicatedState().restore(image.SerializeAsString()));
-  EXPECT_EQ(state.apply("\xff\xff"), Verdict::kUnreadable);
+  EXPECT_EQ(state.apply("\xff\xff"), ApplyResult::kUnreadable);
 }
 
 TEST(FenceStory, NothingIsItsOwnBeforeAnOrder) {
@@ -212,7 +212,7 @@
   consensus::Heartbeat word_of(const LeaderLease& from, consensus::InstanceId to,
                                consensus::InstanceId leader, Nanos now, bool confirmed = false) {
     consensus::Heartbeat out;
-    from.fill(to, 3, leader, now, out);
+    from.fill_stamps(to, 3, leader, now, out);
     out.set_confirmed(confirmed);
     return out;
   }
@@ -221,8 +221,8 @@
 };
 
 TEST_F(ContactStory, AMajorityThatAnswersIsTouch) {
-  follower.heard(1, word_of(leader, 2, 1, 100 * kMs), 3, 1);
-  leader.heard(2, word_of(follower, 1, 1, 7 * kMs), 3, 1);
+  follower.receive(1, word_of(leader, 2, 1, 100 * kMs), 3, 1);
+  leader.receive(2, word_of(follower, 1, 1, 7 * kMs), 3, 1);
   EXPECT_TRUE(leader.has_quorum(3, 1, 3, 200 * kMs));
   EXPECT_FALSE(leader.has_quorum(3, 1, 5, 200 * kMs)) << "one other of five is no majority";
   EXPECT_FALSE(leader.has_quorum(4, 1, 3, 200 * kMs)) << "a word of another term proves nothing";
@@ -230,12 +230,12 @@
 }
 
 TEST_F(ContactStory, WhatLayInASocketWhileAProcessStoodStillProvesNothing) {
-  leader.heard(2, word_of(follower, 1, 1, 5 * kMs), 3, 1);
-  follower.heard(1, word_of(leader, 2, 1, 10 * kMs, true), 3, 1);
-  leader.heard(2, word_of(follower, 1, 1, 50 * kMs), 3, 1);
+  leader.receive(2, word_of(follower, 1, 1, 5 * kMs), 3, 1);
+  follower.receive(1, word_of(leader, 2, 1, 10 * kMs, true), 3, 1);
+  leader.receive(2, word_of(follower, 1, 1, 50 * kMs), 3, 1);
   consensus::Heartbeat waiting = word_of(leader, 2, 1, 60 * kMs, true);
   // The follower stands still for a minute, and only then reads what was written to it at once.
-  follower.heard(1, waiting, 3, 1);
+  follower.receive(1, waiting, 3, 1);
   EXPECT_TRUE(follower.has_quorum(3, 1, 3, 100 * kMs));
   EXPECT_FALSE(follower.has_quorum(3, 1, 3, 60 * kSecond));
 }
@@ -248,45 +248,45 @@
     come.set_term(1);
     come.add_proxies_here("p");
     come.mutable_picture()->set_number(1);
-    EXPECT_EQ(state.apply(come), Verdict::kTaken);
+    EXPECT_EQ(state.apply(come), ApplyResult::kApplied);
   }
-  void told(consensus::InstanceId by, std::uint64_t applied, Nanos at) {
+  void update(consensus::InstanceId by, std::uint64_t applied, Nanos at) {
     google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
     words.Add()->set_id("p");
     words.rbegin()->set_applied(applied);
     words.rbegin()->set_here(true);
-    book.told(by, words, at);
+    book.update(by, words, at);
   }
   ReplicatedState state;
   ProxyRegistry book{1000 * kMs};
 };
 
 TEST_F(BookStory, AProxyThatMovedOnIsNotHeldToWhatADeadInstanceSaid) {
-  told(1, 0, 0);
-  told(2, 1, 500 * kMs);
+  update(1, 0, 0);
+  update(2, 1, 500 * kMs);
   EXPECT_EQ(book.applied_by_all(state, 600 * kMs), 0u) << "both say that they have it: the least counts";
-  told(2, 1, 1500 * kMs);
+  update(2, 1, 1500 * kMs);
   EXPECT_EQ(book.applied_by_all(state, 1600 * kMs), 1u);
 }
 
 TEST_F(BookStory, AProxyOfAnInstanceThatIsCutOffHoldsMovesUp) {
-  told(1, 0, 0);
+  update(1, 0, 0);
   EXPECT_EQ(book.applied_by_all(state, 3600 * kSecond), 0u);
 }
 
 TEST_F(BookStory, WhatChangesAfterALookIsSeenInTheNext) {
-  told(1, 1, 0);
+  update(1, 1, 0);
   EXPECT_EQ(book.applied_by_all(state, 0), 1u);
   EXPECT_EQ(book.here(), (std::set<std::string>{"p"}));
-  told(2, 0, 100 * kMs);
+  update(2, 0, 100 * kMs);
   EXPECT_EQ(book.applied_by_all(state, 100 * kMs), 0u) << "another word";
-  told(1, 1, 1050 * kMs);
+  update(1, 1, 1050 * kMs);
   EXPECT_EQ(book.applied_by_all(state, 1200 * kMs), 1u)
       << "the same word again, while the other has grown old";
-  book.told_again(2, 1300 * kMs);
+  book.refresh(2, 1300 * kMs);
   EXPECT_EQ(book.applied_by_all(state, 1300 * kMs), 0u) << "and is said again";
-  book.told(1, {}, 1400 * kMs);
-  book.told(2, {}, 1400 * kMs);
+  book.update(1, {}, 1400 * kMs);
+  book.update(2, {}, 1400 * kMs);
   EXPECT_EQ(book.applied_by_all(state, 1400 * kMs), 0u) << "the last that it had where it was last";
   EXPECT_TRUE(book.here().empty());
   Decision gone;
@@ -296,10 +296,10 @@
   gone.set_forget_proxies_ns(1);
   gone.set_elapsed_ns(kMs);
   gone.add_proxies_gone("p");
-  ASSERT_EQ(state.apply(gone), Verdict::kTaken);
+  ASSERT_EQ(state.apply(gone), ApplyResult::kApplied);
   gone.set_basis(state.epoch().number);
   gone.clear_proxies_gone();
-  ASSERT_EQ(state.apply(gone), Verdict::kTaken);
+  ASSERT_EQ(state.apply(gone), ApplyResult::kApplied);
   EXPECT_EQ(book.applied_by_all(state, 1400 * kMs), state.published()) << "forgotten by agreement";
 }
 
@@ -309,19 +309,19 @@
   more.set_term(state.epoch().term);
   more.set_basis(state.epoch().number);
   for (const char* id : {"a", "q", "z"}) more.add_proxies_here(id);
-  ASSERT_EQ(state.apply(more), Verdict::kTaken);
+  ASSERT_EQ(state.apply(more), ApplyResult::kApplied);
   google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
   for (const char* id : {"b", "p", "z", "zz"}) {
     words.Add()->set_id(id);
     words.rbegin()->set_here(true);
   }
-  book.told(1, words, 0);
+  book.update(1, words, 0);
   fleet::Fleet fleet;
   routing::Router router(fleet, std::nullopt, true, 0, [](const std::string&) {});
-  Leading leading;
+  ProposalContext leading;
   leading.router = &router;
   leading.proxies = &book;
-  Decision drawn = draft(state, leading);
+  Decision drawn = build_proposal(state, leading);
   auto list = [](const auto& ids) { return std::vector<std::string>(ids.begin(), ids.end()); };
   EXPECT_EQ(list(drawn.proxies_here()), (std::vector<std::string>{"b", "zz"}));
   EXPECT_EQ(list(drawn.proxies_gone()), (std::vector<std::string>{"a", "q"}));
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -145,7 +145,8 @@
   EXPECT_EQ(state.digest(), kSnapshotDigest);
   EXPECT_EQ(state.shards()[3].state, routing::ShardState::kQuarantined);
   for (std::uint64_t index : {4u, 5u}) {
-    EXPECT_EQ(state.apply(persisted.entries[index - persisted.first].data()), agreement::Verdict::kTaken);
+    EXPECT_EQ(state.apply(persisted.entries[index - persisted.first].data()),
+              agreement::ApplyResult::kApplied);
   }
   EXPECT_EQ(state.digest(), kLastDigest);
 }
--- a/tests/instances_test.cpp
+++ b/tests/instances_test.cpp
@@ -51,7 +51,7 @@
 TEST_F(KeeperStory, WhatWasKeptIsThereAgain) {
   {
     auto keeper = open();
-    keeper->belong_to(3);
+    keeper->set_owner(3);
     ASSERT_TRUE(keeper->save_vote(4, 2));
     append(*keeper, 1, {entry(3, "a"), entry(3, "b"), entry(4, "c")});
   }
@@ -174,7 +174,7 @@
   {
     consensus::StoreRaftStorage keeper(
         folder, [] { return Nanos{1}; }, [] {});
-    keeper.belong_to(1);
+    keeper.set_owner(1);
   }
   std::string log = folder + ".out";
   standin::Child child(
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -14,11 +14,11 @@
 namespace myrtlecroft::releases {
 namespace {
 
+using agreement::ApplyResult;
 using agreement::Decision;
 using agreement::MaintenanceInput;
 using agreement::MaintenancePhase;
 using agreement::ReplicatedState;
-using agreement::Verdict;
 
 fleet::Fleet fleet_of(int nodes, fleet::MaxUnavailable max_unavailable = {.by_count = true, .max = 2}) {
   fleet::Fleet out;
@@ -74,11 +74,11 @@
       node.set_life(7);
       node.set_version(1);
     }
-    EXPECT_EQ(state.apply(begin), Verdict::kTaken);
+    EXPECT_EQ(state.apply(begin), ApplyResult::kApplied);
     Decision start = next();
     start.mutable_release()->set_input(agreement::RELEASE_START);
     *start.mutable_release()->mutable_plan() = plan_of(2);
-    EXPECT_EQ(state.apply(start), Verdict::kTaken);
+    EXPECT_EQ(state.apply(start), ApplyResult::kApplied);
   }
   Decision next(Nanos elapsed = 0) const {
     Decision out;
@@ -94,21 +94,21 @@
     out.set_input(input);
     return out;
   }
-  Verdict grant(const std::string& node, Nanos lasts = 10 * kSecond) {
+  ApplyResult grant(const std::string& node, Nanos lasts = 10 * kSecond) {
     Decision decision = next();
-    agreement::MaintenanceStep& one = step(decision, node, agreement::TRIP_GRANT);
-    one.set_why(agreement::WHY_RELEASE);
+    agreement::MaintenanceStep& one = step(decision, node, agreement::MAINTENANCE_GRANT);
+    one.set_why(agreement::REASON_RELEASE);
     one.set_version(2);
     one.set_for_ns(lasts);
     return state.apply(decision);
   }
-  Verdict take(const std::string& node, MaintenanceInput input, std::uint64_t applied = 0) {
+  ApplyResult take(const std::string& node, MaintenanceInput input, std::uint64_t applied = 0) {
     Decision decision = next();
     step(decision, node, input);
     decision.set_applied(applied);
     return state.apply(decision);
   }
-  Verdict say(agreement::ReleaseInput input) {
+  ApplyResult say(agreement::ReleaseInput input) {
     Decision decision = next();
     decision.mutable_release()->set_input(input);
     return state.apply(decision);
@@ -117,13 +117,13 @@
     Decision decision = next();
     decision.mutable_picture()->set_number(state.published() + 1);
     decision.mutable_picture()->add_nodes()->set_name(node);
-    ASSERT_EQ(state.apply(decision), Verdict::kTaken);
+    ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
   }
   void order(const std::string& node) {
-    ASSERT_EQ(grant(node), Verdict::kTaken);
+    ASSERT_EQ(grant(node), ApplyResult::kApplied);
     show_out(node);
-    ASSERT_EQ(take(node, agreement::TRIP_EMPTIED, state.published()), Verdict::kTaken);
-    ASSERT_EQ(take(node, agreement::TRIP_ORDER), Verdict::kTaken);
+    ASSERT_EQ(take(node, agreement::MAINTENANCE_DRAINED, state.published()), ApplyResult::kApplied);
+    ASSERT_EQ(take(node, agreement::MAINTENANCE_RESTART), ApplyResult::kApplied);
   }
   void comes_back(const std::string& node, std::uint32_t version, const char* as = "ramping") {
     Decision decision = next();
@@ -132,20 +132,20 @@
     memory.set_state(as);
     memory.set_life(8);
     memory.set_version(version);
-    ASSERT_EQ(state.apply(decision), Verdict::kTaken);
+    ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
   }
   const agreement::MaintenanceLease* trip(const std::string& node) const {
-    return state.outings().lease(node);
+    return state.maintenance().lease(node);
   }
   ReplicatedState state;
 };
 
 TEST_F(RulesStory, NoMoreAreOutThanTheBudgetsAllow) {
-  EXPECT_EQ(grant("n1"), Verdict::kTaken);
-  EXPECT_EQ(grant("n1"), Verdict::kOutings) << "not twice";
-  EXPECT_EQ(grant("n2"), Verdict::kTaken);
-  EXPECT_EQ(grant("n3"), Verdict::kOutings);
-  EXPECT_EQ(state.outings().leases().size(), 2u);
+  EXPECT_EQ(grant("n1"), ApplyResult::kApplied);
+  EXPECT_EQ(grant("n1"), ApplyResult::kInvalidMaintenance) << "not twice";
+  EXPECT_EQ(grant("n2"), ApplyResult::kApplied);
+  EXPECT_EQ(grant("n3"), ApplyResult::kInvalidMaintenance);
+  EXPECT_EQ(state.maintenance().leases().size(), 2u);
 }
 
 TEST_F(RulesStory, WhatHasFailedUsesUpTheSameBudget) {
@@ -153,84 +153,89 @@
   routing_state::NodeMemory& node = *failed.add_nodes();
   node.set_name("n4");
   node.set_state("silent");
-  ASSERT_EQ(state.apply(failed), Verdict::kTaken);
-  EXPECT_EQ(grant("n1"), Verdict::kTaken);
-  EXPECT_EQ(grant("n2"), Verdict::kOutings);
+  ASSERT_EQ(state.apply(failed), ApplyResult::kApplied);
+  EXPECT_EQ(grant("n1"), ApplyResult::kApplied);
+  EXPECT_EQ(grant("n2"), ApplyResult::kInvalidMaintenance);
 }
 
 TEST_F(RulesStory, WhereNothingMayBeOutNothingGoes) {
   Decision none = next();
   *none.mutable_budgets() = budgets_of(fleet_of(4, {.by_count = true, .max = 0}));
-  ASSERT_EQ(state.apply(none), Verdict::kTaken);
-  EXPECT_EQ(grant("n1"), Verdict::kOutings);
+  ASSERT_EQ(state.apply(none), ApplyResult::kApplied);
+  EXPECT_EQ(grant("n1"), ApplyResult::kInvalidMaintenance);
 }
 
 TEST_F(RulesStory, ANodeIsEmptyOnlyOnceNoProxySendsToIt) {
-  ASSERT_EQ(grant("n1"), Verdict::kTaken);
-  EXPECT_EQ(take("n1", agreement::TRIP_EMPTIED, 99), Verdict::kOutings) << "not shown out yet";
+  ASSERT_EQ(grant("n1"), ApplyResult::kApplied);
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_DRAINED, 99), ApplyResult::kInvalidMaintenance)
+      << "not shown out yet";
   show_out("n1");
-  EXPECT_EQ(take("n1", agreement::TRIP_EMPTIED, state.published() - 1), Verdict::kOutings);
-  EXPECT_EQ(take("n1", agreement::TRIP_ORDER), Verdict::kOutings) << "not before it is empty";
-  EXPECT_EQ(take("n1", agreement::TRIP_EMPTIED, state.published()), Verdict::kTaken);
-  EXPECT_EQ(trip("n1")->place, MaintenancePhase::kEmpty);
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_DRAINED, state.published() - 1),
+            ApplyResult::kInvalidMaintenance);
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_RESTART), ApplyResult::kInvalidMaintenance)
+      << "not before it is empty";
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_DRAINED, state.published()), ApplyResult::kApplied);
+  EXPECT_EQ(trip("n1")->phase, MaintenancePhase::kDrained);
 }
 
 TEST_F(RulesStory, BackAsAnotherLifeInTheRightVersionOnly) {
   order("n1");
-  EXPECT_EQ(take("n1", agreement::TRIP_CAME_BACK), Verdict::kOutings) << "the same life";
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_RESTARTED), ApplyResult::kInvalidMaintenance)
+      << "the same life";
   comes_back("n1", 1);
-  EXPECT_EQ(take("n1", agreement::TRIP_CAME_BACK), Verdict::kOutings) << "the old version";
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_RESTARTED), ApplyResult::kInvalidMaintenance)
+      << "the old version";
   comes_back("n1", 2);
-  EXPECT_EQ(take("n1", agreement::TRIP_CAME_BACK), Verdict::kTaken);
-  EXPECT_EQ(take("n1", agreement::TRIP_WARM), Verdict::kOutings) << "it ramps";
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_RESTARTED), ApplyResult::kApplied);
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_COMPLETE), ApplyResult::kInvalidMaintenance) << "it ramps";
   comes_back("n1", 2, "serving");
-  EXPECT_EQ(take("n1", agreement::TRIP_WARM), Verdict::kTaken);
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_COMPLETE), ApplyResult::kApplied);
   EXPECT_EQ(trip("n1"), nullptr);
 }
 
 TEST_F(RulesStory, APermitRunsOutWhoeverForgetsIt) {
-  ASSERT_EQ(grant("n1", 500 * kMs), Verdict::kTaken);
-  ASSERT_EQ(state.apply(next(499 * kMs)), Verdict::kTaken);
+  ASSERT_EQ(grant("n1", 500 * kMs), ApplyResult::kApplied);
+  ASSERT_EQ(state.apply(next(499 * kMs)), ApplyResult::kApplied);
   EXPECT_NE(trip("n1"), nullptr);
-  ASSERT_EQ(state.apply(next(kMs)), Verdict::kTaken);
+  ASSERT_EQ(state.apply(next(kMs)), ApplyResult::kApplied);
   EXPECT_EQ(trip("n1"), nullptr);
-  EXPECT_EQ(state.outings().taken("n1")->failed(), "its permit ran out");
+  EXPECT_EQ(state.maintenance().updated_server("n1")->failed(), "its permit ran out");
 }
 
 TEST_F(RulesStory, AHaltIsInForceAtOnceAlsoForThoseThatHaveTheirOrder) {
   order("n1");
-  ASSERT_EQ(grant("n2"), Verdict::kTaken);
+  ASSERT_EQ(grant("n2"), ApplyResult::kApplied);
   fencing::Epoch before = state.owners_epoch();
-  ASSERT_EQ(say(agreement::RELEASE_HALT), Verdict::kTaken);
-  EXPECT_EQ(trip("n1")->place, MaintenancePhase::kReturning);
-  EXPECT_EQ(trip("n2")->place, MaintenancePhase::kReturning);
+  ASSERT_EQ(say(agreement::RELEASE_HALT), ApplyResult::kApplied);
+  EXPECT_EQ(trip("n1")->phase, MaintenancePhase::kCancelling);
+  EXPECT_EQ(trip("n2")->phase, MaintenancePhase::kCancelling);
   EXPECT_GT(state.owners_epoch(), before) << "a newer order says that it may stay";
-  EXPECT_EQ(grant("n3"), Verdict::kOutings);
+  EXPECT_EQ(grant("n3"), ApplyResult::kInvalidMaintenance);
   // It had gone all the same.
   comes_back("n1", 2);
-  EXPECT_EQ(take("n1", agreement::TRIP_CAME_BACK), Verdict::kTaken);
-  EXPECT_EQ(trip("n1")->place, MaintenancePhase::kWarming);
+  EXPECT_EQ(take("n1", agreement::MAINTENANCE_RESTARTED), ApplyResult::kApplied);
+  EXPECT_EQ(trip("n1")->phase, MaintenancePhase::kSlowStart);
 }
 
 TEST_F(RulesStory, OnlyWhatWasTakenGoesBackAndToWhatItHad) {
   order("n1");
   comes_back("n1", 2, "serving");
-  ASSERT_EQ(take("n1", agreement::TRIP_CAME_BACK), Verdict::kTaken);
-  ASSERT_EQ(take("n1", agreement::TRIP_WARM), Verdict::kTaken);
-  ASSERT_EQ(say(agreement::RELEASE_GO_BACK), Verdict::kTaken);
+  ASSERT_EQ(take("n1", agreement::MAINTENANCE_RESTARTED), ApplyResult::kApplied);
+  ASSERT_EQ(take("n1", agreement::MAINTENANCE_COMPLETE), ApplyResult::kApplied);
+  ASSERT_EQ(say(agreement::RELEASE_ROLL_BACK), ApplyResult::kApplied);
   for (auto [node, version, taken] : {std::tuple("n2", 1u, false), {"n1", 3u, false}, {"n1", 1u, true}}) {
     Decision decision = next();
-    agreement::MaintenanceStep& one = step(decision, node, agreement::TRIP_GRANT);
-    one.set_why(agreement::WHY_BACK);
+    agreement::MaintenanceStep& one = step(decision, node, agreement::MAINTENANCE_GRANT);
+    one.set_why(agreement::REASON_ROLLBACK);
     one.set_version(version);
     one.set_for_ns(kSecond);
-    EXPECT_EQ(state.apply(decision) == Verdict::kTaken, taken) << node << " to " << version;
+    EXPECT_EQ(state.apply(decision) == ApplyResult::kApplied, taken) << node << " to " << version;
   }
 }
 
 TEST_F(RulesStory, ASecondReleaseBesideOneIsRefused) {
-  EXPECT_EQ(say(agreement::RELEASE_START), Verdict::kOutings);
-  EXPECT_EQ(say(agreement::RELEASE_RESUME), Verdict::kOutings) << "it is not halted";
+  EXPECT_EQ(say(agreement::RELEASE_START), ApplyResult::kInvalidMaintenance);
+  EXPECT_EQ(say(agreement::RELEASE_RESUME), ApplyResult::kInvalidMaintenance) << "it is not halted";
 }
 
 TEST_F(RulesStory, AnImageHoldsAllOfIt) {
@@ -239,21 +244,21 @@
   decision.add_drains()->set_node("n3");
   decision.mutable_drains(0)->set_wanted(true);
   decision.add_results()->set_id(5);
-  ASSERT_EQ(state.apply(decision), Verdict::kTaken);
+  ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
   ReplicatedState other;
   ASSERT_TRUE(other.restore(state.image()));
   EXPECT_EQ(other.digest(), state.digest());
-  EXPECT_EQ(other.outings().lease("n1")->place, MaintenancePhase::kOrdered);
+  EXPECT_EQ(other.maintenance().lease("n1")->phase, MaintenancePhase::kRestarting);
 }
 
 TEST_F(RulesStory, AnInstanceThatHoldsAnOlderFormKnowsNoneOfIt) {
   Decision older = next();
   older.set_format(1);
-  step(older, "n1", agreement::TRIP_GRANT);
-  EXPECT_EQ(state.apply(older), Verdict::kOutings);
+  step(older, "n1", agreement::MAINTENANCE_GRANT);
+  EXPECT_EQ(state.apply(older), ApplyResult::kInvalidMaintenance);
   ReplicatedState held(1);
   EXPECT_FALSE(held.restore(state.image()));
-  EXPECT_EQ(held.apply(next()), Verdict::kNewer);
+  EXPECT_EQ(held.apply(next()), ApplyResult::kUnknownFormat);
 }
 
 // ---- What may be out at the load of the moment
@@ -481,7 +486,7 @@
   }
   void beat() {
     for (std::size_t i = 0; i < nodes.size(); ++i) live(i);
-    router.call_out(state.outings().called_out());
+    router.call_out(state.maintenance().servers_out_of_rotation());
     auto next = router.step(now);
     Decision decision;
     decision.set_format(agreement::kFormat);
@@ -506,22 +511,22 @@
     decision.set_applied(applied);
     agreement::DecisionSection::View view{
         state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
-    conductor.watch(view);
-    if (!cut_off) conductor.draft(view, decision);
-    ASSERT_EQ(state.apply(decision), Verdict::kTaken);
+    conductor.observe(view);
+    if (!cut_off) conductor.append_steps(view, decision);
+    ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
     std::erase_if(commands, [&](const auto& one) {
-      const agreement::CommandResult* result = state.outings().result(one.first);
+      const agreement::CommandResult* result = state.maintenance().result(one.first);
       if (result) said = result->said();
       return result != nullptr;
     });
-    max_unavailable = std::max(max_unavailable, state.outings().leases().size());
+    max_unavailable = std::max(max_unavailable, state.maintenance().leases().size());
   }
   void live(std::size_t at) {
     FakeNode& node = nodes[at];
     std::string name = "n" + std::to_string(at + 1);
-    const agreement::MaintenanceLease* trip = state.outings().lease(name);
+    const agreement::MaintenanceLease* trip = state.maintenance().lease(name);
     if (!deaf) node.epoch = state.owners_epoch();
-    if (!deaf && node.alive && trip && trip->place == MaintenancePhase::kOrdered &&
+    if (!deaf && node.alive && trip && trip->phase == MaintenancePhase::kRestarting &&
         trip->incarnation == node.incarnation) {
       node.alive = false;
       node.back_at = now + 500 * kMs;
@@ -554,7 +559,7 @@
     plan.set_version(version);
     say(start_command(plan));
   }
-  const agreement::Release& release() const { return state.outings().release(); }
+  const agreement::Release& release() const { return state.maintenance().release(); }
   int with(std::uint32_t version) const {
     return static_cast<int>(std::count_if(nodes.begin(), nodes.end(),
                                           [&](const FakeNode& one) { return one.version == version; }));
@@ -596,7 +601,7 @@
   run(2 * kSecond);
   start(2, plan);
   run(40 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_TAKEN_BACK) << release().reason() << conductor.outlook();
+  EXPECT_EQ(release().phase(), agreement::PHASE_ROLLED_BACK) << release().reason() << conductor.outlook();
   EXPECT_EQ(with(1), 60);
   EXPECT_EQ(release().taken_size(), 4);
 }
@@ -645,11 +650,11 @@
   run(2 * kSecond);
   start(2);
   run(400 * kMs);
-  std::size_t out = state.outings().leases().size();
+  std::size_t out = state.maintenance().leases().size();
   EXPECT_GT(out, 0u);
   cut_off = true;
   run(10 * kSecond);
-  EXPECT_LE(state.outings().leases().size(), out);
+  EXPECT_LE(state.maintenance().leases().size(), out);
   EXPECT_TRUE(std::all_of(nodes.begin(), nodes.end(), [](const FakeNode& one) { return one.alive; }));
   cut_off = false;
   run(5 * kSecond);
@@ -661,13 +666,13 @@
   say("drain a");
   run(3 * kSecond);
   EXPECT_NE(said.find("as soon as the budgets allow"), std::string::npos) << said;
-  EXPECT_EQ(state.outings().leases().size(), 2u);
-  EXPECT_EQ(state.outings().leases().begin()->second.place, MaintenancePhase::kEmpty);
+  EXPECT_EQ(state.maintenance().leases().size(), 2u);
+  EXPECT_EQ(state.maintenance().leases().begin()->second.phase, MaintenancePhase::kDrained);
   run(30 * kSecond);
-  EXPECT_EQ(state.outings().leases().size(), 2u) << "the permit is drawn out";
+  EXPECT_EQ(state.maintenance().leases().size(), 2u) << "the permit is drawn out";
   say("undrain a");
   run(3 * kSecond);
-  EXPECT_TRUE(state.outings().leases().empty());
+  EXPECT_TRUE(state.maintenance().leases().empty());
   say("drain nowhere");
   run(kSecond);
   EXPECT_EQ(said.rfind("refused", 0), 0u);
@@ -689,7 +694,7 @@
   EXPECT_NE(release().phase(), agreement::PHASE_HALTED);
   say("release back");
   run(20 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_TAKEN_BACK);
+  EXPECT_EQ(release().phase(), agreement::PHASE_ROLLED_BACK);
   EXPECT_EQ(with(1), 10);
 }
 
@@ -697,17 +702,17 @@
 TEST_F(FleetStory, ANodeThatWasCalledBackIsNotCountedInBeforeItSaysThatItStays) {
   run(2 * kSecond);
   start(2);
-  while (state.outings().leases().empty() ||
-         state.outings().leases().begin()->second.place != MaintenancePhase::kOrdered)
+  while (state.maintenance().leases().empty() ||
+         state.maintenance().leases().begin()->second.phase != MaintenancePhase::kRestarting)
     beat(), now += 100 * kMs;
   // The beat in which servers would have obeyed does not come: they are halted first.
   deaf = true;
   say("release halt");
   run(kSecond);
-  EXPECT_FALSE(state.outings().leases().empty()) << "nobody knows whether it goes";
+  EXPECT_FALSE(state.maintenance().leases().empty()) << "nobody knows whether it goes";
   deaf = false;
   run(kSecond);
-  EXPECT_TRUE(state.outings().leases().empty());
+  EXPECT_TRUE(state.maintenance().leases().empty());
 }
 
 // The same state under another conductor, as after a leader's death at any moment.
