--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -7,8 +7,8 @@
 #include <fstream>
 #include <random>
 
-#include "releases/plan.h"
 #include "releases/rollout_controller.h"
+#include "releases/rollout_plan.h"
 #include "settings/document.h"
 
 namespace myrtlecroft::releases {
@@ -446,7 +446,7 @@
   write("version = 1; name = \"winter\"; wanted = 7;");
   agreement::Plan plan = read_plan(path);
   EXPECT_EQ(plan.version(), 7u);
-  EXPECT_EQ(waves_of(plan), 5u);
+  EXPECT_EQ(wave_count(plan), 5u);
   EXPECT_EQ(plan.longest_soak_ns(), 10 * plan.soak_ns());
 }
 
@@ -478,7 +478,7 @@
   explicit FleetStory(fleet::Fleet of = fleet_of(10))
       : router(of, std::nullopt, true, kSecond, [](const std::string&) {}),
         nodes(of.nodes.size()),
-        conductor([this](const std::string& line) { log.push_back(line); }) {}
+        rollout_controller([this](const std::string& line) { log.push_back(line); }) {}
 
   // Decides, agrees, obeys and reports ten times a second.
   void run(Nanos how_long) {
@@ -511,8 +511,8 @@
     decision.set_applied(applied);
     agreement::DecisionSection::View view{
         state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
-    conductor.observe(view);
-    if (!cut_off) conductor.append_steps(view, decision);
+    rollout_controller.observe(view);
+    if (!cut_off) rollout_controller.append_steps(view, decision);
     ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
     std::erase_if(commands, [&](const auto& one) {
       const agreement::CommandResult* result = state.maintenance().result(one.first);
@@ -557,7 +557,7 @@
   void say(const std::string& text) { commands[++last_command] = text; }
   void start(std::uint32_t version, agreement::Plan plan = plan_of(0)) {
     plan.set_version(version);
-    say(start_command(plan));
+    say(release_start_command(plan));
   }
   const agreement::Release& release() const { return state.maintenance().release(); }
   int with(std::uint32_t version) const {
@@ -570,7 +570,7 @@
   ReplicatedState state;
   std::vector<FakeNode> nodes;
   std::vector<std::string> log;
-  RolloutController conductor;
+  RolloutController rollout_controller;
   std::map<std::uint64_t, std::string> commands;
   std::uint64_t last_command = 0;
   std::string said;
@@ -585,7 +585,8 @@
   run(2 * kSecond);
   start(2);
   run(60 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_DONE) << release().reason() << conductor.outlook();
+  EXPECT_EQ(release().phase(), agreement::PHASE_DONE)
+      << release().reason() << rollout_controller.status_detail();
   EXPECT_EQ(with(2), 10);
   EXPECT_EQ(max_unavailable, 2u);
 }
@@ -601,7 +602,8 @@
   run(2 * kSecond);
   start(2, plan);
   run(40 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_ROLLED_BACK) << release().reason() << conductor.outlook();
+  EXPECT_EQ(release().phase(), agreement::PHASE_ROLLED_BACK)
+      << release().reason() << rollout_controller.status_detail();
   EXPECT_EQ(with(1), 60);
   EXPECT_EQ(release().taken_size(), 4);
 }
@@ -721,7 +723,7 @@
   start(2);
   for (int moment = 0; moment < 30; ++moment) {
     run(700 * kMs);
-    conductor = RolloutController([](const std::string&) {});
+    rollout_controller = RolloutController([](const std::string&) {});
   }
   run(60 * kSecond);
   EXPECT_EQ(release().phase(), agreement::PHASE_DONE) << release().reason();
