--- a/src/agreement/control_replica.h
+++ b/src/agreement/control_replica.h
@@ -80,7 +80,7 @@
 
   const ReplicatedState& agreed() const { return state_; }
   // The snapshot in force, made once for each; nullptr: none was ever agreed.
-  std::shared_ptr<const routing::Published> published() const { return published_; }
+  std::shared_ptr<const routing::PublishedSnapshot> published() const { return published_; }
   // For how long it is certain that nobody else has decided what is not known here; 0: it is not.
   Nanos lease_remaining() const;
   bool has_quorum() const { return lease_remaining() > 0; }
@@ -151,7 +151,7 @@
   LeaderLease lease_;
   ProxyRegistry proxies_;
   std::unique_ptr<consensus::RaftNode> raft_node_;
-  std::shared_ptr<const routing::Published> published_;
+  std::shared_ptr<const routing::PublishedSnapshot> published_;
   std::map<consensus::InstanceId, PeerStatus> peers_;
   std::set<consensus::InstanceId> confirmed_by_;  // others that know of nothing here that the folder lacks
   bool storage_verified_ = false;
--- a/src/agreement/maintenance_state.cpp
+++ b/src/agreement/maintenance_state.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "routing/server_registry.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::agreement {
 namespace {
@@ -54,8 +55,8 @@
     {PHASE_ROLLBACK_HALTED, RELEASE_FINISH, PHASE_ROLLED_BACK},
 };
 
-bool serves(const routing_state::NodeMemory& node) {
-  return node.state() == routing::name_of(routing::ServerState::kServing);
+bool serves(const routing_state::PersistedNode& node) {
+  return node.state() == routing_state::stored_name(routing::ServerState::kServing);
 }
 
 }  // namespace
@@ -178,8 +179,8 @@
   bool already = is_out(node, nodes);
   auto known = nodes.find(node);
   bool stuck = known != nodes.end() &&
-               (known->second.state() == routing::name_of(routing::ServerState::kUnhealthy) ||
-                known->second.state() == routing::name_of(routing::ServerState::kUnresponsive));
+               (known->second.state() == routing_state::stored_name(routing::ServerState::kUnhealthy) ||
+                known->second.state() == routing_state::stored_name(routing::ServerState::kUnresponsive));
   for (const Budget& budget : budgets_.budgets()) {
     if (std::find(budget.nodes().begin(), budget.nodes().end(), node) == budget.nodes().end()) continue;
     std::uint64_t more = already ? 0 : budget.by_count() ? kOne : capacity_of(node);
@@ -275,7 +276,7 @@
   return false;
 }
 
-std::set<std::string> MaintenanceState::servers_out_of_rotation() const {
+std::set<std::string> MaintenanceState::out_for_maintenance() const {
   std::set<std::string> out;
   for (const auto& [node, lease] : leases_) {
     if (lease.is_out_of_rotation()) out.insert(node);
--- a/src/releases/maintenance_steps.cpp
+++ b/src/releases/maintenance_steps.cpp
@@ -25,14 +25,14 @@
 };
 
 bool is_other_incarnation(const LeasedServer& server) {
-  return server.status && server.status->heard_at > 0 &&
+  return server.status && server.status->last_report_at > 0 &&
          server.status->incarnation != server.lease.incarnation;
 }
 
 // All proxies have applied the snapshot without it, and it reports no request and no shard.
 bool is_drained(const LeasedServer& server) {
   bool applied = server.lease.published_in != 0 && server.context.view.applied >= server.lease.published_in;
-  return applied && server.status && server.status->heard_at > 0 && server.status->report.held == 0 &&
+  return applied && server.status && server.status->last_report_at > 0 && server.status->report.held == 0 &&
          server.status->report.running == 0;
 }
 
@@ -57,11 +57,13 @@
 bool is_late_and_never_left(const LeasedServer& server) {
   return is_back_late(server) && server.status && server.status->incarnation == server.lease.incarnation &&
          !server.status->report.draining &&
-         server.context.view.now - server.status->heard_at <=
+         server.context.view.now - server.status->last_report_at <=
              server.context.view.router.fleet().bounds.lost_after;
 }
 
-bool is_in_full_service(const LeasedServer& server) { return server.status && server.status->whole(); }
+bool is_in_full_service(const LeasedServer& server) {
+  return server.status && server.status->at_full_capacity();
+}
 
 // A server that had its order to restart may be about to leave although it still serves: only a report made
 // under the epoch that cancelled the order shows that it stays.
@@ -71,7 +73,7 @@
 
 bool is_in_service_late(const LeasedServer& server) {
   Nanos limit = server.lease.reason == agreement::REASON_DRAIN
-                    ? server.context.view.router.fleet().outings.permit_lasts
+                    ? server.context.view.router.fleet().maintenance.lease_duration
                     : server.context.plan.warm_within_ns();
   return server.context.time_in_phase(server.lease) >= limit;
 }
@@ -118,7 +120,7 @@
 }  // namespace
 
 void propose_maintenance_steps(const RolloutContext& context, agreement::Decision& out) {
-  Nanos lease_duration = context.view.router.fleet().outings.permit_lasts;
+  Nanos lease_duration = context.view.router.fleet().maintenance.lease_duration;
   for (const auto& [node, lease] : context.maintenance.leases()) {
     LeasedServer server{.context = context, .node = node, .lease = lease, .status = context.server(node)};
     agreement::MaintenanceStep step;
--- a/src/releases/service_alarms.cpp
+++ b/src/releases/service_alarms.cpp
@@ -22,8 +22,8 @@
   for (const std::string& node : service.used_by) {
     const routing::ServerStatus* server = context.server(node);
     if (!server || !server->in_service() || (under_way && context.has_target_version(*server))) continue;
-    out.all += server->ran.read(context.view.now);
-    out.in_time += server->in_time.read(context.view.now);
+    out.all += server->reported.answered.read(context.view.now);
+    out.in_time += server->reported.in_time.read(context.view.now);
   }
   return out;
 }
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,11 +1,12 @@
-// How much of each request class proxies let through at all, while the whole fleet rejects much.
+// What share of each request class proxies admit, while the whole fleet rejects much.
 //
-// Each server decides for itself what it admits. But reading what it then rejects costs it core time, and
-// with most of the fleet's load rejected that is what its cores do. So what earns least is rejected at the
-// proxies, in part, for as long as servers reject much. Deduplicated requests never are: whether one has run
-// is known at its server alone. No I/O.
+// Each server decides for itself what it admits. But receiving what it then rejects costs it CPU time, and
+// with most of the fleet's load rejected that is what its cores do. So the classes of the lowest priority are
+// shed at the proxies, in part, for as long as servers reject much. Requests with an idempotency key never
+// are: whether one has run is known at its server alone. Owned by Router, called on its thread. No I/O.
 #pragma once
 
+#include <cstdint>
 #include <vector>
 
 #include "fleet/fleet.h"
@@ -15,25 +16,31 @@
 
 class Admission {
  public:
-  // Looks at what servers in service have rejected lately. True where a group's share changed by a step that
-  // is worth telling.
+  // Looks at what servers in service have rejected lately; several times a second. True where the admitted
+  // share of a class changed.
   bool step(const fleet::Fleet& fleet, const ServerRegistry& registry, Nanos now);
-  // Of ten thousand, in the order of the fleet's groups.
+  // Of ten thousand, in the order of the fleet's request classes; empty before the first step.
   const std::vector<std::uint32_t>& admitted() const { return admitted_; }
+  // The share of the fleet's load that proxies are to shed.
   double shed() const { return shed_; }
 
  private:
-  void share_out(const fleet::Fleet& fleet, const ServerRegistry& registry, Nanos now,
-                 std::vector<std::uint32_t>& next);
-  static std::vector<double> reads_of(const fleet::Fleet& fleet, const ServerRegistry& registry, Nanos now);
-  void order_by_priority(const fleet::Fleet& fleet, const ServerRegistry& registry);
+  struct Inputs {
+    const fleet::Fleet& fleet;
+    const ServerRegistry& registry;
+    Nanos now;
+  };
+  void adjust_shed(const Inputs& inputs, double passed_seconds);
+  std::vector<std::uint32_t> shares(const Inputs& inputs);
+  std::vector<double> offered_by_class(const Inputs& inputs) const;
+  void order_by_priority(const Inputs& inputs);
 
-  double shed_ = 0;  // share of what comes, by benefit, that proxies reject
-  Nanos at_ = 0;
-  bool begun_ = false;
+  double shed_ = 0;
+  Nanos last_step_at_ = 0;
+  bool stepped_ = false;
   std::vector<std::uint32_t> admitted_;
-  std::vector<std::size_t> order_;  // of the groups, from the one that earns least
-  std::uint64_t layout_ = 0;        // of the members, when `order_` was made
+  std::vector<std::size_t> order_;  // of the request classes, from the lowest priority weight
+  std::uint64_t layout_ = 0;        // of the registry, when `order_` was made
 };
 
 }  // namespace myrtlecroft::routing
--- a/src/server_program.h
+++ b/src/server_program.h
@@ -15,7 +15,7 @@
 #include "net/loop.h"
 #include "net/membership_client.h"
 #include "net/reporter.h"
-#include "recovery/durable_runs.h"
+#include "recovery/durable_idempotency_log.h"
 #include "reload.h"
 #include "settings/node_settings.h"
 
@@ -61,7 +61,7 @@
   net::EngineClient engine_;
   net::DatabaseClient database_;
   net::MembershipClient membership_;
-  std::unique_ptr<recovery::DurableRuns> records_;  // null: nothing is stored
+  std::unique_ptr<recovery::DurableIdempotencyLog> idempotency_log_;  // null: nothing is stored
   KeyOwnership keys_;
   service::Service service_;
   net::Reporter reporter_;
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -22,6 +22,7 @@
 
 #include "control/control.h"
 #include "net/address.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::control {
 
@@ -73,7 +74,8 @@
 // A control service in a thread of its own.
 class RunningControl {
  public:
-  explicit RunningControl(ControlOptions options) : thread_([this, options = std::move(options)] { run(options); }) {
+  explicit RunningControl(ControlOptions options)
+      : thread_([this, options = std::move(options)] { run(options); }) {
     ready_.get_future().get();
   }
   ~RunningControl() {
@@ -93,7 +95,7 @@
   std::string state_of(const std::string& node) {
     return look([&](Control& control) -> std::string {
       for (const routing::ServerStatus& server : control.router().registry().all()) {
-        if (server.node.name == node) return routing::name_of(server.state);
+        if (server.node.name == node) return routing_state::stored_name(server.state);
       }
       return "unknown";
     });
