--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -34,11 +34,11 @@
   agreement::ReplicaOptions out;
   out.id = options.id;
   out.address = options.address;
-  out.log.fleet = start.fleet.listener;
-  out.log.snapshot_after = options.snapshot_after;
-  out.log.snapshot_trailing = std::min(out.log.snapshot_trailing, options.snapshot_after / 4);
+  out.raft.fleet = start.fleet.listener;
+  out.raft.snapshot_after = options.snapshot_after;
+  out.raft.snapshot_trailing = std::min(out.raft.snapshot_trailing, options.snapshot_after / 4);
   out.format = options.max_entry_format;
-  out.settings = start.settings_hash;
+  out.settings_hash = start.settings_hash;
   return out;
 }
 
@@ -72,7 +72,7 @@
       replica_options(options, start), *storage_, *links_, std::move(start.fleet), start.first_start,
       [&loop] { return loop.now(); }, std::random_device()(),
       [&log](const std::string& line) { log.line(line); });
-  replica_->set_chapter(&rollout_);
+  replica_->set_section(&rollout_);
   replica_->start();
   tick_timer_.set(kTickInterval);
 }
@@ -101,7 +101,7 @@
                          options.folder + " holds a log already: --begin is for the first start only");
   }
   if (!empty) return;
-  storage_->belong_to(options.id);
+  storage_->set_owner(options.id);
   if (!options.bootstrap.empty()) consensus::RaftNode::bootstrap(*storage_, options.bootstrap);
 }
 
@@ -123,7 +123,7 @@
 
 void ReplicatedControl::transfer_leadership(std::function<void()> done) {
   consensus::RaftNode& raft = replica_->raft_node();
-  if (!raft.leads() || raft.voters() < 2) {
+  if (!raft.is_leader() || raft.voters() < 2) {
     done();
     return;
   }
--- a/src/releases/operator_commands.cpp
+++ b/src/releases/operator_commands.cpp
@@ -13,7 +13,7 @@
 namespace myrtlecroft::releases {
 namespace {
 
-using agreement::Phase;
+using agreement::ReleasePhase;
 using Kind = OperatorCommand::Kind;
 
 constexpr std::size_t kMaxReason = 80;  // bytes of an operator's reason that are kept
@@ -35,7 +35,7 @@
 // The phases in which an operator may give a release an event, and what the answer says then.
 struct ReleaseCommandRule {
   Kind kind;
-  Phase phase;
+  ReleasePhase phase;
   agreement::ReleaseInput event;
   const char* answer;
 };
@@ -43,17 +43,17 @@
 constexpr ReleaseCommandRule kReleaseCommandRules[] = {
     {Kind::kReleaseHalt, agreement::PHASE_ROLLING, agreement::RELEASE_HALT, " is halted"},
     {Kind::kReleaseHalt, agreement::PHASE_SOAKING, agreement::RELEASE_HALT, " is halted"},
-    {Kind::kReleaseHalt, agreement::PHASE_BACK, agreement::RELEASE_HALT, " is halted"},
+    {Kind::kReleaseHalt, agreement::PHASE_ROLLING_BACK, agreement::RELEASE_HALT, " is halted"},
 
     {Kind::kReleaseResume, agreement::PHASE_HALTED, agreement::RELEASE_RESUME, " is resumed"},
-    {Kind::kReleaseResume, agreement::PHASE_BACK_HALTED, agreement::RELEASE_RESUME, " is resumed"},
+    {Kind::kReleaseResume, agreement::PHASE_ROLLBACK_HALTED, agreement::RELEASE_RESUME, " is resumed"},
 
-    {Kind::kReleaseRollback, agreement::PHASE_ROLLING, agreement::RELEASE_GO_BACK, " is being rolled back"},
-    {Kind::kReleaseRollback, agreement::PHASE_SOAKING, agreement::RELEASE_GO_BACK, " is being rolled back"},
-    {Kind::kReleaseRollback, agreement::PHASE_HALTED, agreement::RELEASE_GO_BACK, " is being rolled back"},
+    {Kind::kReleaseRollback, agreement::PHASE_ROLLING, agreement::RELEASE_ROLL_BACK, " is being rolled back"},
+    {Kind::kReleaseRollback, agreement::PHASE_SOAKING, agreement::RELEASE_ROLL_BACK, " is being rolled back"},
+    {Kind::kReleaseRollback, agreement::PHASE_HALTED, agreement::RELEASE_ROLL_BACK, " is being rolled back"},
 
     {Kind::kReleaseEnd, agreement::PHASE_HALTED, agreement::RELEASE_FINISH, " is ended as it is"},
-    {Kind::kReleaseEnd, agreement::PHASE_BACK_HALTED, agreement::RELEASE_FINISH, " is ended as it is"},
+    {Kind::kReleaseEnd, agreement::PHASE_ROLLBACK_HALTED, agreement::RELEASE_FINISH, " is ended as it is"},
 };
 
 template <class Names>
@@ -116,7 +116,7 @@
 std::string execute_start(const RolloutContext& context, const OperatorCommand& command,
                           agreement::Decision& out) {
   const agreement::Release& current = context.release;
-  if (agreement::MaintenanceState::is_under_way(current.phase())) {
+  if (agreement::MaintenanceState::is_release_in_progress(current.phase())) {
     throw CommandError(name_of(current) + " is " + agreement::name_of(current.phase()) +
                        ": end it or roll it back first");
   }
--- a/src/releases/release_monitor.h
+++ b/src/releases/release_monitor.h
@@ -37,7 +37,7 @@
   ServiceAlarms alarms_;
   // The phase that is measured.
   std::uint64_t release_id_ = 0;
-  agreement::Phase phase_ = agreement::PHASE_NONE;
+  agreement::ReleasePhase phase_ = agreement::PHASE_NONE;
   std::uint32_t wave_ = 0;
   // The last agreed decision.
   std::uint64_t epoch_ = 0;
--- a/tests/instances_test.cpp
+++ b/tests/instances_test.cpp
@@ -51,7 +51,7 @@
 TEST_F(KeeperStory, WhatWasKeptIsThereAgain) {
   {
     auto keeper = open();
-    keeper->belong_to(3);
+    keeper->set_owner(3);
     ASSERT_TRUE(keeper->save_vote(4, 2));
     append(*keeper, 1, {entry(3, "a"), entry(3, "b"), entry(4, "c")});
   }
@@ -174,7 +174,7 @@
   {
     consensus::StoreRaftStorage keeper(
         folder, [] { return Nanos{1}; }, [] {});
-    keeper.belong_to(1);
+    keeper.set_owner(1);
   }
   std::string log = folder + ".out";
   standin::Child child(
@@ -362,7 +362,7 @@
     fleet->start(at);
     ASSERT_TRUE(control::await([&] { return has_quorum(at) && leader() >= 0; }));
   }
-  ASSERT_TRUE(control::await([&] { return drain(0).find("1 nodes") != std::string::npos; })) << drain(0);
+  ASSERT_TRUE(control::await([&] { return drain(0).find("of 1 servers ") != std::string::npos; })) << drain(0);
   EXPECT_TRUE(agree({0, 1, 2}));
   // What was agreed in the newer form, an older version must not go on from.
   fleet->set_more({"--hold-format", "1"});
