--- a/src/releases/maintenance_steps.cpp
+++ b/src/releases/maintenance_steps.cpp
@@ -31,19 +31,19 @@
 
 // All proxies have applied the snapshot without it, and it reports no request and no shard.
 bool is_drained(const LeasedServer& server) {
-  bool applied = server.lease.shown_in != 0 && server.context.view.applied >= server.lease.shown_in;
+  bool applied = server.lease.published_in != 0 && server.context.view.applied >= server.lease.published_in;
   return applied && server.status && server.status->last_report_at > 0 && server.status->report.held == 0 &&
          server.status->report.running == 0;
 }
 
 // A drain that operators asked for has no time limit.
 bool is_drained_late(const LeasedServer& server) {
-  return server.lease.why != agreement::WHY_DRAIN &&
+  return server.lease.reason != agreement::REASON_DRAIN &&
          server.context.time_in_phase(server.lease) >= server.context.plan.empty_within_ns();
 }
 
 bool is_to_be_restarted(const LeasedServer& server) {
-  return server.lease.why != agreement::WHY_DRAIN && server.status && server.status->report.obeys;
+  return server.lease.reason != agreement::REASON_DRAIN && server.status && server.status->report.obeys;
 }
 
 bool is_back_with_target_version(const LeasedServer& server) {
@@ -68,11 +68,11 @@
 // A server that had its order to restart may be about to leave although it still serves: only a report made
 // under the epoch that cancelled the order shows that it stays.
 bool has_acted_on_cancellation(const LeasedServer& server) {
-  return is_in_full_service(server) && server.status->report.epoch.number >= server.lease.recalled;
+  return is_in_full_service(server) && server.status->report.epoch.number >= server.lease.cancelled_in;
 }
 
 bool is_in_service_late(const LeasedServer& server) {
-  Nanos limit = server.lease.why == agreement::WHY_DRAIN
+  Nanos limit = server.lease.reason == agreement::REASON_DRAIN
                     ? server.context.view.router.fleet().maintenance.lease_duration
                     : server.context.plan.warm_within_ns();
   return server.context.time_in_phase(server.lease) >= limit;
@@ -80,39 +80,40 @@
 
 // The first rule of a lease's phase that applies gives its event.
 constexpr StepRule kStepRules[] = {
-    {MaintenancePhase::kEmptying, is_other_incarnation, agreement::TRIP_CALL_BACK, ""},
-    {MaintenancePhase::kEmptying, is_drained, agreement::TRIP_EMPTIED, ""},
-    {MaintenancePhase::kEmptying, is_drained_late, agreement::TRIP_CALL_BACK, "not drained in time"},
+    {MaintenancePhase::kDraining, is_other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
+    {MaintenancePhase::kDraining, is_drained, agreement::MAINTENANCE_DRAINED, ""},
+    {MaintenancePhase::kDraining, is_drained_late, agreement::MAINTENANCE_CANCEL, "not drained in time"},
 
-    {MaintenancePhase::kEmpty, is_other_incarnation, agreement::TRIP_CALL_BACK, ""},
-    {MaintenancePhase::kEmpty, is_to_be_restarted, agreement::TRIP_ORDER, ""},
+    {MaintenancePhase::kDrained, is_other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
+    {MaintenancePhase::kDrained, is_to_be_restarted, agreement::MAINTENANCE_RESTART, ""},
 
-    {MaintenancePhase::kOrdered, is_back_with_target_version, agreement::TRIP_CAME_BACK, ""},
-    {MaintenancePhase::kOrdered, is_other_incarnation, agreement::TRIP_GIVE_UP, "back in another version"},
-    {MaintenancePhase::kOrdered, is_late_and_never_left, agreement::TRIP_CALL_BACK, "did not restart"},
-    {MaintenancePhase::kOrdered, is_back_late, agreement::TRIP_GIVE_UP, "did not come back"},
+    {MaintenancePhase::kRestarting, is_back_with_target_version, agreement::MAINTENANCE_RESTARTED, ""},
+    {MaintenancePhase::kRestarting, is_other_incarnation, agreement::MAINTENANCE_FAIL,
+     "back in another version"},
+    {MaintenancePhase::kRestarting, is_late_and_never_left, agreement::MAINTENANCE_CANCEL, "did not restart"},
+    {MaintenancePhase::kRestarting, is_back_late, agreement::MAINTENANCE_FAIL, "did not come back"},
 
-    {MaintenancePhase::kWarming, is_in_full_service, agreement::TRIP_WARM, ""},
-    {MaintenancePhase::kWarming, is_in_service_late, agreement::TRIP_GIVE_UP,
+    {MaintenancePhase::kSlowStart, is_in_full_service, agreement::MAINTENANCE_COMPLETE, ""},
+    {MaintenancePhase::kSlowStart, is_in_service_late, agreement::MAINTENANCE_FAIL,
      "slow start not completed in time"},
 
-    {MaintenancePhase::kReturning, is_other_incarnation, agreement::TRIP_CAME_BACK, ""},
-    {MaintenancePhase::kReturning, has_acted_on_cancellation, agreement::TRIP_WARM, ""},
-    {MaintenancePhase::kReturning, is_in_service_late, agreement::TRIP_GIVE_UP,
+    {MaintenancePhase::kCancelling, is_other_incarnation, agreement::MAINTENANCE_RESTARTED, ""},
+    {MaintenancePhase::kCancelling, has_acted_on_cancellation, agreement::MAINTENANCE_COMPLETE, ""},
+    {MaintenancePhase::kCancelling, is_in_service_late, agreement::MAINTENANCE_FAIL,
      "cancelled, and not in service in time"},
 };
 
 const StepRule* rule_for(const LeasedServer& server) {
   for (const StepRule& rule : kStepRules) {
-    if (rule.phase == server.lease.place && rule.applies(server)) return &rule;
+    if (rule.phase == server.lease.phase && rule.applies(server)) return &rule;
   }
   return nullptr;
 }
 
 // A drain that operators still want keeps its lease, extended once half of it is used up.
 bool needs_extension(const LeasedServer& server, Nanos lease_duration) {
-  bool drained =
-      server.lease.why == agreement::WHY_DRAIN && server.context.maintenance.drains().contains(server.node);
+  bool drained = server.lease.reason == agreement::REASON_DRAIN &&
+                 server.context.maintenance.drains().contains(server.node);
   return drained && server.lease.until - server.context.view.time < lease_duration / 2;
 }
 
@@ -128,7 +129,7 @@
       step.set_input(rule->event);
       step.set_reason(rule->reason);
     } else if (needs_extension(server, lease_duration)) {
-      step.set_input(agreement::TRIP_EXTEND);
+      step.set_input(agreement::MAINTENANCE_EXTEND);
       step.set_for_ns(lease_duration);
     } else {
       continue;
--- a/src/releases/rollout_context.cpp
+++ b/src/releases/rollout_context.cpp
@@ -10,7 +10,10 @@
 }  // namespace
 
 RolloutContext::RolloutContext(const View& from)
-    : view(from), maintenance(from.agreed.outings()), release(maintenance.release()), plan(release.plan()) {
+    : view(from),
+      maintenance(from.agreed.maintenance()),
+      release(maintenance.release()),
+      plan(release.plan()) {
   for (const routing::ServerStatus& server : all_servers()) servers[server.node.name] = &server;
   for (const auto& [node, lease] : maintenance.leases()) leased.insert(node);
   for (const agreement::UpdatedServer& server : release.taken()) updated[server.node()] = &server;
@@ -21,9 +24,9 @@
   return found == servers.end() ? nullptr : found->second;
 }
 
-bool RolloutContext::any_lease_for(agreement::Why why) const {
+bool RolloutContext::any_lease_for(agreement::MaintenanceReason why) const {
   return std::any_of(maintenance.leases().begin(), maintenance.leases().end(),
-                     [why](const auto& lease) { return lease.second.why == why; });
+                     [why](const auto& lease) { return lease.second.reason == why; });
 }
 
 std::string listed(const std::vector<std::string>& names) {
--- a/src/releases/update_queue.cpp
+++ b/src/releases/update_queue.cpp
@@ -38,7 +38,8 @@
 // Updated, being updated, or failed in this release: nothing is left to do for it.
 bool counts_as_updated(const RolloutContext& context, const ServerStatus& server) {
   const agreement::MaintenanceLease* lease = context.maintenance.lease(server.node.name);
-  if (context.has_target_version(server) || (lease && lease->why == agreement::WHY_RELEASE)) return true;
+  if (context.has_target_version(server) || (lease && lease->reason == agreement::REASON_RELEASE))
+    return true;
   auto before = context.updated.find(server.node.name);
   return before != context.updated.end() && !before->second->failed().empty();
 }
@@ -83,7 +84,7 @@
   switch (context.release.phase()) {
     case agreement::PHASE_ROLLING:
       return servers_of_the_wave(context);
-    case agreement::PHASE_BACK:
+    case agreement::PHASE_ROLLING_BACK:
       return servers_to_roll_back(context);
     default:
       return {};
