--- a/measure/agreement_world.h
+++ b/measure/agreement_world.h
@@ -94,18 +94,48 @@
   void kill(Control& control);
   void run_control(Control& control);
   void run_node(Node& node);
+  report::LoadReport next_report(Node& node);
   void run_proxy(Proxy& proxy);
   void connect(Proxy& proxy);
   void serve(Control& control);
   void send_key();
   void try_key(std::shared_ptr<Key> key);
   void arrive(Node& node, std::shared_ptr<Key> key);
-  void fault();
-  void operate();
-  void obey(Node& node, const fencing::ShardAssignment& order, Nanos asked_at);
-  void follow_trips(const agreement::ReplicatedState& state);
-  void heal();
-  void look();
+  void inject_fault();
+  // One fault of each kind, at what chance picked for it.
+  static constexpr int kFaultKinds = 16;
+  struct FaultTarget {
+    Control& control;
+    Node& node;
+    Proxy& proxy;
+    Nanos length;
+  };
+  void crash_leader(const FaultTarget& target);
+  void crash_replica(const FaultTarget& target);
+  void pause_replica(const FaultTarget& target);
+  void cut_one_way(const FaultTarget& target);
+  void partition_replicas(const FaultTarget& target);
+  void slow_replica(const FaultTarget& target);
+  void flap_link(const FaultTarget& target);
+  void fail_disk(const FaultTarget& target);
+  void advance_clock(const FaultTarget& target);
+  void crash_server(const FaultTarget& target);
+  void cut_server(const FaultTarget& target);
+  void reset_proxy(const FaultTarget& target);
+  void cut_proxy(const FaultTarget& target);
+  void lose_messages(const FaultTarget& target);
+  void crash_all_replicas(const FaultTarget& target);
+  void restore_old_folder(const FaultTarget& target);
+  void put_back_folder(Control& one);
+  void cut_for(int from, int to, Nanos duration);
+  void crash_for(Control& control, Nanos duration);
+  void run_operator();
+  agreement::Plan random_plan();
+  void restart_as_ordered(Node& node, const fencing::ShardAssignment& order, Nanos asked_at);
+  void track_leases(const agreement::ReplicatedState& state);
+  void end_all_faults();
+  void check_shard_owners();
+  void check_recovery();
   void violate(int& count, const std::string& what);
   fleet::Fleet fleet() const;
 
@@ -120,14 +150,14 @@
   // Places on the network: instances, then servers, then proxies.
   std::set<std::pair<int, int>> cuts_;
   std::map<std::pair<int, int>, Nanos> slow_;
-  bool put_back_ = false;
+  bool folder_restored_ = false;
   Nanos calm_until_ = 0;
   double loss_ = 0;
-  double twice_ = 0;
-  std::map<std::uint64_t, std::uint64_t> digests_;  // of each epoch's number, as first seen
-  std::uint64_t agreed_ = 0;                        // the last that anybody applied
-  std::map<std::string, Nanos> let_go_;             // servers, and when they last had leave to go
-  std::set<std::uint32_t> bad_;                     // versions
+  double duplication_ = 0;
+  std::map<std::uint64_t, std::uint64_t> digests_;   // of each epoch's number, as first seen
+  std::uint64_t agreed_ = 0;                         // the last that anybody applied
+  std::map<std::string, Nanos> allowed_to_restart_;  // servers, and when they last had leave to go
+  std::set<std::uint32_t> bad_versions_;             // versions
   std::uint32_t next_version_ = 2;
   WorldResult result_;
 };
