--- a/src/service/engine_session.cpp
+++ b/src/service/engine_session.cpp
@@ -157,7 +157,7 @@
   if (command == "TEST" && std::exchange(testing_, 0)) return events_.tested(true);
   auto place = by_id_.find(id);
   if (command != "RUN" || place == by_id_.end() || place->second->command != Command::kRun) return;
-  place->second->unknown = true;
+  place->second->unknown_to_engine = true;
   events_.run_ended(*place->second, Outcome::kIgnored, "");
 }
 
--- a/src/service/key_table.h
+++ b/src/service/key_table.h
@@ -1,4 +1,5 @@
-// What was kept by key: tries of one deduplicated request, or reads that may share an answer, with results.
+// The requests by key, with their results: attempts of one keyed request, or reads that may share an answer.
+// Owned by Service, on the loop's thread.
 #pragma once
 
 #include <map>
@@ -15,36 +16,39 @@
   enum class State { kOpen, kOk, kFailed };
 
   std::pair<const RequestClass*, std::string> name;
-  ServerRequest* holder = nullptr;  // the try that runs or waits to; null once that is over
+  ServerRequest* original = nullptr;  // the attempt that runs or is queued; null once it is done
   State state = State::kOpen;
   std::string result{};
-  bool proven = false;  // the engine knows what it stands for
-  Nanos ended = 0;
+  bool proven = false;  // the engine has accepted the request
+  Nanos completed_at = 0;
   Nanos expires = 0;
-  std::vector<ServerRequest*> waiters{};  // repeats that want its result
+  std::vector<ServerRequest*> waiters{};  // retries that wait for its result
 };
 
 class KeyTable {
  public:
-  // Results take at most this many bytes together. One that does not fit is not kept: its repeats then get an
-  // error that promises nothing, and still nothing runs twice.
+  // `result_bytes` bounds all results together. One that does not fit is not retained: its retries fail, and
+  // still nothing runs twice.
   explicit KeyTable(std::size_t result_bytes) : max_bytes_(result_bytes) {}
 
+  // Null: none.
   KeyEntry* find(const RequestClass* request_class, const std::string& key);
-  // Whether another request, one that is proven, goes by a key that begins so.
-  bool taken(const RequestClass* request_class, const std::string& beginning) const;
-  void keep(ServerRequest& request, Nanos expires);
-  void end(KeyEntry& entry, bool good, std::string_view result, Nanos now);
-  void drop(KeyEntry& entry);
-  // Known from an earlier incarnation of this server. Not `good`: it may have run.
-  void restore(const RequestClass* request_class, const std::string& key, bool good, std::string_view result,
-               Nanos now, Nanos expires);
-  // Drops what has expired and has neither holder nor waiters.
+  // Whether there is a proven entry whose key begins with `prefix`.
+  bool has_proven_key(const RequestClass* request_class, const std::string& prefix) const;
+  // Makes the request the original of its key, until `expires` at least.
+  void retain(ServerRequest& request, Nanos expires);
+  // The original has ended; `completed`: with this result.
+  void complete(KeyEntry& entry, bool completed, std::string_view result, Nanos now);
+  void erase(KeyEntry& entry);
+  // Adds the entry of an earlier incarnation's request; not `completed`: it may have run.
+  void restore(const RequestClass* request_class, const std::string& key, bool completed,
+               std::string_view result, Nanos now, Nanos expires);
+  // Erases entries that have expired and have neither an original nor waiters.
   void expire(Nanos now);
 
  private:
   std::map<std::pair<const RequestClass*, std::string>, KeyEntry> entries_;
-  std::set<std::pair<Nanos, KeyEntry*>> by_end_;
+  std::set<std::pair<Nanos, KeyEntry*>> by_expiry_;
   std::size_t bytes_ = 0;
   std::size_t max_bytes_;
 };
--- a/src/service/ports.h
+++ b/src/service/ports.h
@@ -1,5 +1,5 @@
-// What the core of a server sees of the world. src/net implements these on sockets, tests by fakes. None of
-// them calls back while it is called.
+// The interfaces of the service to clock, sockets, log and disk. src/net and src/recovery implement them,
+// tests by fakes. All on the loop's thread; none of them calls back while it is called.
 #pragma once
 
 #include <string>
@@ -12,16 +12,15 @@
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Nanos now() const = 0;  // never goes backwards
-  virtual void wake_at(
-      Nanos when) = 0;  // Service::timer_expired() then; a later word replaces an earlier one
+  virtual Nanos now() const = 0;         // never goes backwards
+  virtual void wake_at(Nanos when) = 0;  // calls Service::timer_expired() then; replaces an earlier time
 };
 
 class Listener {
  public:
   virtual ~Listener() = default;
-  virtual void close_idle(Nanos after) = 0;  // connections with nothing open for this long
-  virtual void finish() = 0;  // take no connection any more, close each as soon as nothing is open on it
+  virtual void close_idle(Nanos after) = 0;  // connections without a request for this long
+  virtual void finish() = 0;  // accepts no connection any more, and closes each once it has no request
 };
 
 class Engine {
@@ -39,36 +38,36 @@
  public:
   virtual ~Dependency() = default;
   virtual void call(ServerRequest& request, std::string_view body, Nanos longest) = 0;
-  virtual void abandon_call(ServerRequest& request) = 0;  // its reply is not wanted any more
+  virtual void abandon_call(ServerRequest& request) = 0;  // discards its reply
 };
 
 class HealthReporter {
  public:
   virtual ~HealthReporter() = default;
-  virtual void report(bool good) = 0;  // from the first report on it is repeated
+  virtual void report(bool good) = 0;  // repeated by itself from the first report on
 };
 
 class Logger {
  public:
   virtual ~Logger() = default;
   virtual void line(const std::string& text) = 0;
-  virtual void frequent(const std::string& text) = 0;  // may come in storms, and is then left out first
-  virtual void routine(const std::string& text) = 0;   // the same for what ended as it should
+  virtual void frequent(const std::string& text) = 0;  // rate limited separately: may come in storms
+  virtual void routine(const std::string& text) = 0;   // the same, for ordinary ends
 };
 
-// Where it is written down what must not run twice over a crash. A service without one remembers for its
-// life.
+// Records which keyed requests ran, over a crash. Without one a service knows only those of its own
+// incarnation.
 class IdempotencyLog {
  public:
   virtual ~IdempotencyLog() = default;
-  virtual bool accepts_writes() const = 0;  // false: the disk is sick, nothing can be written down now
+  virtual bool accepts_writes() const = 0;  // false: the disk has failed
   virtual void record_intent(const ServerRequest& request,
-                             Nanos window) = 0;  // Service::intent_recorded() follows
+                             Nanos window) = 0;  // calls Service::intent_recorded() later
   virtual void record_outcome(const ServerRequest& request, bool good, std::string_view result) = 0;
   virtual void erase_intent(const ServerRequest& request) = 0;
 };
 
-// Which deduplicated requests are this server's to run, where a fleet has agreed on that.
+// Which keyed requests are this server's to run, where shards are assigned to servers.
 class ShardOwnership {
  public:
   virtual ~ShardOwnership() = default;
@@ -77,13 +76,13 @@
 
 struct Ports {
   Clock& clock;
-  Listener& front;
+  Listener& listener;
   Engine& engine;
   Dependency& dependency;
-  HealthReporter& membership;
-  Logger& log;
-  IdempotencyLog* records = nullptr;
-  const ShardOwnership* gate = nullptr;  // none: all are
+  HealthReporter& health;
+  Logger& logger;
+  IdempotencyLog* idempotency_log = nullptr;  // null: none
+  const ShardOwnership* ownership = nullptr;  // null: this server owns all keys
 };
 
 }  // namespace myrtlecroft::service
--- a/src/service/service.h
+++ b/src/service/service.h
@@ -1,5 +1,9 @@
-// The core of one real server: carries out what its Controller decides, and keeps what the simulator kept for
-// it (requests, keys with results, timers, health, drain). No I/O: the world is behind the ports.
+// The core of one server: receives requests and events, carries out what its Controller decides, and owns the
+// requests, the keys with their results, the timers, the health checks and the drain. No I/O: sockets and
+// files are behind the interfaces of ports.h. All calls on the loop's thread.
+//
+// service.cpp has the requests' course, keyed_requests.cpp, dependency_calls.cpp, health_checks.cpp and
+// drain.cpp the rest.
 #pragma once
 
 #include <deque>
@@ -18,7 +22,7 @@
 
 namespace myrtlecroft::service {
 
-// How a call below ended, as the database client saw it.
+// How a call to the dependency ended, as its client saw it.
 enum class CallResult { kRows, kAtCapacity, kFailed, kTimedOut, kNotExecuted, kUnreachable, kConnectionLost };
 
 class Service final : public ControllerActions, public EngineEvents {
@@ -27,54 +31,56 @@
     ServiceConfig config;
     std::vector<std::string> gauge_names;
     std::uint64_t seed = 0;
-    Nanos stop_after = 0;          // from the notice to leave
-    std::size_t result_bytes = 0;  // for results kept by key
+    Nanos stop_after = 0;          // from begin_drain()
+    std::size_t result_bytes = 0;  // the bound on results retained by key
   };
   Service(Start start, const Ports& ports);
 
-  // Of one request class, since the start.
+  // Requests of one class, since the start.
   struct Counts {
-    std::uint64_t read = 0;
+    std::uint64_t read = 0;  // received
     std::uint64_t rejected = 0;
     std::uint64_t completed = 0;
-    std::uint64_t in_time = 0;  // completed within the latency objective
-    std::uint64_t terminated = 0;
+    std::uint64_t in_time = 0;     // completed within the latency objective
+    std::uint64_t terminated = 0;  // failed
   };
 
   const ServiceConfig& config() const { return start_.config; }
-  const Tenant* tenant(std::string_view name) const { return tenants_.find(name); }  // null: none
-  const std::vector<Counts>& counts() const { return counts_; }  // in the order of the terms' groups
-  Nanos core_time() const { return core_time_; }                 // of all work that is over
-  bool good() const { return good_; }
-  // How the Controller fares; none before the engine is up.
+  const Tenant* tenant(std::string_view name) const { return tenants_.find(name); }  // null: unknown
+  const std::vector<Counts>& counts() const { return counts_; }  // in the order of config().request_classes
+  Nanos core_time() const { return core_time_; }                 // of all requests that are done
+  // None before the engine is up.
   std::optional<ControllerStats> stats() const;
   EngineSession& engine() { return engine_; }
 
-  // From the front. An request is read once its last byte is; its sink gets one answer.
+  // From the listener. A request is received with its last byte; its sink gets one answer, unless its caller
+  // disconnects first.
   void request_received(std::unique_ptr<ServerRequest> request);
   void caller_disconnected(ServerRequest& request);
+  // `probe`: the engine does a test before the answer.
   void health_check(AnswerSink& sink, bool probe);
   void health_check_disconnected(AnswerSink& sink);
-  // From the database client.
+  // From the dependency's client.
   void call_completed(ServerRequest& request, CallResult result, std::string body);
-  // From the records: whether the intent of that request is known to be durable; and, before anything is
-  // read, what an earlier incarnation left of an request by group and key. Not `good`: it may have run.
+  // From the idempotency log: whether the intent of that request is known to be durable.
   void intent_recorded(const std::string& id, bool durable);
-  void restore(const std::string& request_class, const std::string& key, bool good, std::string_view result,
-               Nanos left);
-  // From the clock and the operators.
+  // From the idempotency log, before any request: one that an earlier incarnation ran, or may have run where
+  // it is not known to have completed; its key is retained for `remaining`.
+  void restore(const std::string& request_class, const std::string& key, bool completed,
+               std::string_view result, Nanos remaining);
+  // From the clock, and from the operators' signal.
   void timer_expired();
   void begin_drain();
   bool draining() const { return stop_at_ != 0; }
 
-  // From the engine session.
+  // From the engine session (EngineEvents).
   void engine_up(bool booting, Nanos age) override;
   void run_needs_call(ServerRequest& request) override;
   void run_ended(ServerRequest& request, Outcome outcome, std::string_view result) override;
   void gauges_received(const std::vector<double>& values) override;
-  void tested(bool good) override;
+  void tested(bool passed) override;
 
-  // From the Controller.
+  // From the Controller (ControllerActions).
   void run(Request& request) override;
   void stop_work(Request&) override {}
   void reject(Request& request, bool no_failover, Nanos retry_after) override;
@@ -86,68 +92,78 @@
   void forget_key(Request& request) override;
   void record_intent(Request& request) override;
   void coalesce(Request& request) override;
-  void report_health(bool good) override;
+  void report_health(bool healthy) override;
   void advertise(double) override {}
-  void close_idle(Nanos after) override { ports_.front.close_idle(after); }
+  void close_idle(Nanos after) override { ports_.listener.close_idle(after); }
   void schedule_timer(Nanos delay, std::uint64_t token) override;
-  void log(const std::string& line) override { ports_.log.line(line); }
+  void log(const std::string& line) override { ports_.logger.line(line); }
   void release(Request& request) override;
 
  private:
-  struct Deferred {
+  // The end of a request that follows from another event.
+  struct DeferredEnd {
     ServerRequest* request;
     Outcome outcome;
   };
 
+  // Every event passes here. What follows from it without an event of its own (results for retries) comes
+  // after it, since the Controller's events never nest; requests that are done are freed last.
   template <class Step>
-  void take(Step step);
+  void handle(Step step) {
+    if (handling_) return step();
+    begin_handling();
+    step();
+    finish_handling();
+  }
+  void begin_handling();
+  void finish_handling();
   void end(ServerRequest& request, Outcome outcome, std::string_view result);
-  void tell_records(ServerRequest& request, Outcome outcome, std::string_view result);
+  void record_end(ServerRequest& request, Outcome outcome, std::string_view result);
   void answer(ServerRequest& request, const FinalAnswer& answer);
   Counts& counts_of(const ServerRequest& request) {
     return counts_[static_cast<std::size_t>(request.request_class - start_.config.request_classes.data())];
   }
-  bool name_key(ServerRequest& request);
-  bool not_ours(const ServerRequest& request) const;
-  FinalAnswer elsewhere() const;
+  bool qualify_key(ServerRequest& request);
+  bool owned_elsewhere(const ServerRequest& request) const;
+  FinalAnswer owned_elsewhere_answer() const;
   FinalAnswer before_engine(ServerRequest& request);
   Nanos key_lifetime(const ServerRequest& request, Nanos lifetime) const;
   void find_original(ServerRequest& request);
   void fail_waiters(KeyEntry& entry);
-  void drop(KeyEntry& entry);
-  void leave_call(ServerRequest& request);
+  void erase_key(KeyEntry& entry);
+  void abandon_active_call(ServerRequest& request);
   void abandon(ServerRequest& request);
   void end_call(ServerRequest& request, Outcome outcome);
-  void end_calls_due();
-  void finish_when_empty();
+  void end_overdue_calls();
+  void close_listener_when_drained();
   void set_timer();
-  void answer_checks(bool good);
+  void answer_health_checks(bool healthy);
 
   Start start_;
   TenantIndex<> tenants_{start_.config.tenants};
   Ports ports_;
   EngineSession engine_;
   KeyTable keys_;
-  std::unique_ptr<Controller> controller_;  // from the first HELLO on
+  std::unique_ptr<Controller> controller_;  // null until the engine is up
   std::unordered_map<std::string, std::unique_ptr<ServerRequest>> requests_;
-  std::vector<ServerRequest*> calls_;
-  std::vector<ServerRequest*> released_;
-  std::deque<Deferred> deferred_;
-  std::vector<AnswerSink*> probes_;
+  std::vector<ServerRequest*> calls_;     // with a call to the dependency in flight
+  std::vector<ServerRequest*> released_;  // to be freed at the end of the event
+  std::deque<DeferredEnd> deferred_;
+  std::vector<AnswerSink*> health_checks_;  // waiting for the engine's test
   std::vector<Counts> counts_;
   Nanos core_time_ = 0;
   Gauges gauges_;
   Nanos gauges_at_ = 0;
-  Nanos now_ = 0;
-  Nanos ring_at_ = 0;
-  std::uint64_t ring_token_ = 0;
-  Nanos probes_until_ = 0;
-  Nanos notice_at_ = 0;
-  Nanos stop_at_ = 0;
-  std::size_t unanswered_ = 0;
-  bool good_ = false;
-  bool finishing_ = false;
-  bool inside_ = false;
+  Nanos now_ = 0;       // of the current event
+  Nanos timer_at_ = 0;  // of the Controller's timer; 0: not set
+  std::uint64_t timer_token_ = 0;
+  Nanos health_checks_deadline_ = 0;
+  Nanos drain_began_ = 0;
+  Nanos stop_at_ = 0;           // 0: not draining
+  std::size_t unanswered_ = 0;  // requests whose callers wait
+  bool healthy_ = false;
+  bool listener_closed_ = false;
+  bool handling_ = false;
 };
 
 }  // namespace myrtlecroft::service
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -422,7 +422,7 @@
   Plain one = accept();
   one.write("0123456789abcdef ROWS 1\r\nn\r\na ROWS 3\r\nold\r\n");
   ASSERT_TRUE(until([&] { return world.count("feed a old") == 1; }));
-  request.calling = true;
+  request.dependency_call.active = true;
   database.call(request, "second", 250 * kMs);
   Plain two = accept();
   one.offer("a ROWS 3\r\nold\r\n");
@@ -476,7 +476,7 @@
   listener.close();
   service::ServerRequest& other = calling("b");
   database.call(other, "x", 250 * kMs);
-  EXPECT_TRUE(until([&] { return other.call_verdict == Outcome::kUnreachable; }));
+  EXPECT_TRUE(until([&] { return other.dependency_call.result == Outcome::kUnreachable; }));
   EXPECT_TRUE(logged("database connection ended: refused"));
 }
 
