--- a/src/releases/rollout_context.h
+++ b/src/releases/rollout_context.h
@@ -25,7 +25,7 @@
   bool has_target_version(const routing::ServerStatus& server) const {
     return server.version == plan.version();
   }
-  bool any_lease_for(agreement::Why why) const;
+  bool any_lease_for(agreement::MaintenanceReason why) const;
 
   const View& view;
   const agreement::MaintenanceState& maintenance;
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -13,10 +13,10 @@
 namespace myrtlecroft::releases {
 namespace {
 
+using agreement::ApplyResult;
 using agreement::Decision;
 using agreement::MaintenancePhase;
 using agreement::ReplicatedState;
-using agreement::Verdict;
 
 struct SimulatedServer {
   std::uint64_t incarnation = 1;
@@ -32,9 +32,9 @@
 };
 
 struct RolloutControllerTest : testing::Test {
-  explicit RolloutControllerTest(fleet::Fleet of = fleet_of(10))
-      : router(of, std::nullopt, true, kSecond, [](const std::string&) {}),
-        nodes(of.nodes.size()),
+  explicit RolloutControllerTest(const fleet::Fleet& fleet = fleet_of(10))
+      : router(fleet, std::nullopt, true, kSecond, [](const std::string&) {}),
+        nodes(fleet.nodes.size()),
         rollout_controller([this](const std::string& line) { log.push_back(line); }) {}
 
   // Ten ticks a second.
@@ -43,7 +43,24 @@
   }
   void tick() {
     for (std::size_t i = 0; i < nodes.size(); ++i) simulate_server(i);
-    router.set_out_for_maintenance(state.outings().out_for_maintenance());
+    router.set_out_for_maintenance(state.maintenance().out_for_maintenance());
+    Decision decision = routing_decision();
+    std::uint64_t applied = state.published();
+    decision.set_applied(applied);
+    agreement::DecisionSection::View view{
+        state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
+    rollout_controller.observe(view);
+    if (!reports_are_lost) rollout_controller.append_steps(view, decision);
+    ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
+    std::erase_if(commands, [&](const auto& one) {
+      const agreement::CommandResult* result = state.maintenance().result(one.first);
+      if (result) answer = result->said();
+      return result != nullptr;
+    });
+    max_leases = std::max(max_leases, state.maintenance().leases().size());
+  }
+  // What routing contributes to the next decision: the servers' states, and a snapshot if it changed.
+  Decision routing_decision() {
     auto next = router.step(now);
     Decision decision;
     decision.set_format(agreement::kFormat);
@@ -57,33 +74,20 @@
       node.set_life(server.incarnation);
       node.set_version(server.version);
     }
-    if (next) {
-      decision.mutable_picture()->set_number(state.published() + 1);
-      for (const routing::NodeRoute& node : next->snapshot.nodes) {
-        decision.mutable_picture()->add_nodes()->set_name(node.name);
-        decision.mutable_picture()->mutable_nodes()->rbegin()->set_weight(node.weight);
-      }
+    if (!next) return decision;
+    decision.mutable_picture()->set_number(state.published() + 1);
+    for (const routing::NodeRoute& node : next->snapshot.nodes) {
+      decision.mutable_picture()->add_nodes()->set_name(node.name);
+      decision.mutable_picture()->mutable_nodes()->rbegin()->set_weight(node.weight);
     }
-    std::uint64_t applied = state.published();
-    decision.set_applied(applied);
-    agreement::DecisionSection::View view{
-        state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
-    rollout_controller.watch(view);
-    if (!reports_are_lost) rollout_controller.draft(view, decision);
-    ASSERT_EQ(state.apply(decision), Verdict::kTaken);
-    std::erase_if(commands, [&](const auto& one) {
-      const agreement::CommandResult* result = state.outings().result(one.first);
-      if (result) answer = result->said();
-      return result != nullptr;
-    });
-    max_leases = std::max(max_leases, state.outings().leases().size());
+    return decision;
   }
   void simulate_server(std::size_t index) {
     SimulatedServer& node = nodes[index];
     std::string name = "n" + std::to_string(index + 1);
-    const agreement::MaintenanceLease* lease = state.outings().lease(name);
+    const agreement::MaintenanceLease* lease = state.maintenance().lease(name);
     if (!orders_are_lost) node.epoch = state.owners_epoch();
-    if (!orders_are_lost && node.alive && lease && lease->place == MaintenancePhase::kOrdered &&
+    if (!orders_are_lost && node.alive && lease && lease->phase == MaintenancePhase::kRestarting &&
         lease->incarnation == node.incarnation) {
       node.alive = false;
       node.back_at = now + 500 * kMs;
@@ -116,7 +120,7 @@
     plan.set_version(version);
     command(release_start_command(plan));
   }
-  const agreement::Release& release() const { return state.outings().release(); }
+  const agreement::Release& release() const { return state.maintenance().release(); }
   int servers_in_version(std::uint32_t version) const {
     return static_cast<int>(std::count_if(
         nodes.begin(), nodes.end(), [&](const SimulatedServer& one) { return one.version == version; }));
@@ -159,7 +163,7 @@
   run(2 * kSecond);
   start(2, plan);
   run(40 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_TAKEN_BACK)
+  EXPECT_EQ(release().phase(), agreement::PHASE_ROLLED_BACK)
       << release().reason() << rollout_controller.status_detail();
   EXPECT_EQ(servers_in_version(1), 60);
   EXPECT_EQ(release().taken_size(), 4);
@@ -209,11 +213,11 @@
   run(2 * kSecond);
   start(2);
   run(400 * kMs);
-  std::size_t out = state.outings().leases().size();
+  std::size_t out = state.maintenance().leases().size();
   EXPECT_GT(out, 0u);
   reports_are_lost = true;
   run(10 * kSecond);
-  EXPECT_LE(state.outings().leases().size(), out);
+  EXPECT_LE(state.maintenance().leases().size(), out);
   EXPECT_TRUE(std::all_of(nodes.begin(), nodes.end(), [](const SimulatedServer& one) { return one.alive; }));
   reports_are_lost = false;
   run(5 * kSecond);
@@ -225,13 +229,13 @@
   command("drain a");
   run(3 * kSecond);
   EXPECT_NE(answer.find("as soon as the budgets allow"), std::string::npos) << answer;
-  EXPECT_EQ(state.outings().leases().size(), 2u);
-  EXPECT_EQ(state.outings().leases().begin()->second.place, MaintenancePhase::kEmpty);
+  EXPECT_EQ(state.maintenance().leases().size(), 2u);
+  EXPECT_EQ(state.maintenance().leases().begin()->second.phase, MaintenancePhase::kDrained);
   run(30 * kSecond);
-  EXPECT_EQ(state.outings().leases().size(), 2u) << "the leases are extended";
+  EXPECT_EQ(state.maintenance().leases().size(), 2u) << "the leases are extended";
   command("undrain a");
   run(3 * kSecond);
-  EXPECT_TRUE(state.outings().leases().empty());
+  EXPECT_TRUE(state.maintenance().leases().empty());
   command("drain nowhere");
   run(kSecond);
   EXPECT_EQ(answer.rfind("refused", 0), 0u);
@@ -253,7 +257,7 @@
   EXPECT_NE(release().phase(), agreement::PHASE_HALTED);
   command("release back");
   run(20 * kSecond);
-  EXPECT_EQ(release().phase(), agreement::PHASE_TAKEN_BACK);
+  EXPECT_EQ(release().phase(), agreement::PHASE_ROLLED_BACK);
   EXPECT_EQ(servers_in_version(1), 10);
 }
 
@@ -261,8 +265,8 @@
 TEST_F(RolloutControllerTest, CancelledServerKeepsItsLeaseUntilItActsOnTheCancellation) {
   run(2 * kSecond);
   start(2);
-  while (state.outings().leases().empty() ||
-         state.outings().leases().begin()->second.place != MaintenancePhase::kOrdered) {
+  while (state.maintenance().leases().empty() ||
+         state.maintenance().leases().begin()->second.phase != MaintenancePhase::kRestarting) {
     tick();
     now += 100 * kMs;
   }
@@ -270,10 +274,10 @@
   orders_are_lost = true;
   command("release halt");
   run(kSecond);
-  EXPECT_FALSE(state.outings().leases().empty()) << "the server may still restart";
+  EXPECT_FALSE(state.maintenance().leases().empty()) << "the server may still restart";
   orders_are_lost = false;
   run(kSecond);
-  EXPECT_TRUE(state.outings().leases().empty());
+  EXPECT_TRUE(state.maintenance().leases().empty());
 }
 
 // The same agreed state under a new controller, as after the loss of a leader at any moment.
