--- a/measure/measure_xds.cpp
+++ b/measure/measure_xds.cpp
@@ -155,7 +155,7 @@
   getrlimit(RLIMIT_NOFILE, &files);
   files.rlim_cur = std::min<rlim_t>(files.rlim_max, 16'384);
   setrlimit(RLIMIT_NOFILE, &files);
-  control::Folder folder;
+  control::TemporaryFolder folder;
   {
     std::ofstream out(folder.file("fleet.conf"));
     out << "version = 1; listener = \"fleet\"; proxies = " << kProxies << "; nodes = (\n";
--- /dev/null
+++ b/src/control/admin_answer_writer.cpp
@@ -0,0 +1,32 @@
+#include "control/admin_answer_writer.h"
+
+#include <cstddef>
+#include <string>
+
+namespace myrtlecroft::control {
+namespace {
+
+// A connection is closed without an answer once more than some 260 kB are unsent on it.
+constexpr std::size_t kMaxAnswerBytes = std::size_t{240} << 10;
+
+std::string length_prefix(std::size_t size) {
+  std::string out;
+  for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(size >> shift & 0xff);
+  return out;
+}
+
+}  // namespace
+
+void write_answer(net::Connection& connection, const AdminAnswer& answer) {
+  std::string body = answer.SerializeAsString();
+  if (body.size() > kMaxAnswerBytes) {
+    AdminAnswer too_large;
+    too_large.set_error("the answer has " + std::to_string(body.size()) + " bytes, more than " +
+                        std::to_string(kMaxAnswerBytes) + ": ask for less of it");
+    body = too_large.SerializeAsString();
+  }
+  connection.write(length_prefix(body.size()) + body);
+  connection.linger(net::Reason::kDone);
+}
+
+}  // namespace myrtlecroft::control
--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -1,157 +1,105 @@
 #include "control/admin_commands.h"
 
+#include <algorithm>
+#include <array>
+#include <sstream>
 #include <utility>
-#include <vector>
 
-#include "releases/disruption_budget.h"
-#include "releases/plan.h"
+#include "control/admin_answer_writer.h"
 
 namespace myrtlecroft::control {
 namespace {
 
-constexpr std::size_t kLargestAnswer = std::size_t{240} << 10;  // bytes
-constexpr Nanos kLongestCommand = 4000 * kMs;                   // shorter than a caller waits
+constexpr Nanos kCommandTimeout = 4000 * kMs;  // shorter than a client's
+constexpr std::array<std::string_view, 7> kCommands = {
+    "drain ", "undrain ", "release start ", "release halt", "release resume", "release back", "release end"};
 
-double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
-
-const char* name_of(agreement::Why why) {
-  return why == agreement::WHY_DRAIN ? "drain" : why == agreement::WHY_RELEASE ? "release" : "way back";
+std::optional<AdminCommandError> error_of(const std::string& message) {
+  if (message.empty()) return std::nullopt;
+  return AdminCommandError{message};
 }
 
 }  // namespace
 
-// A connection is ended, with nothing told, once more than some 260 kB wait on it.
-void write_answer(net::Connection& connection, const AdminAnswer& answer) {
-  std::string body = answer.SerializeAsString();
-  if (body.size() > kLargestAnswer) {
-    AdminAnswer refused;
-    refused.set_error("the answer has " + std::to_string(body.size()) + " bytes, more than " +
-                      std::to_string(kLargestAnswer) + ": ask for less of it");
-    body = refused.SerializeAsString();
-  }
-  std::string length;
-  for (int shift = 24; shift >= 0; shift -= 8) length += static_cast<char>(body.size() >> shift & 0xff);
-  connection.write(length + body);
-  connection.linger(net::Reason::kDone);
+bool AdminCommands::is_command(std::string_view line) {
+  return std::any_of(kCommands.begin(), kCommands.end(),
+                     [&](std::string_view command) { return line.starts_with(command); });
 }
 
-bool AdminCommands::is_command(std::string_view question) {
-  for (std::string_view word : {"drain ", "undrain ", "release start ", "release halt", "release resume",
-                                "release back", "release end"}) {
-    if (question.starts_with(word)) return true;
+void AdminCommands::finish(PendingCommand& pending, const std::string& result) {
+  if (result.starts_with(releases::kRefused)) {
+    pending.answer.set_error(result.substr(releases::kRefused.size()));
+  } else {
+    pending.answer.set_done(result);
   }
-  return false;
-}
-
-void AdminCommands::finish(Waiting& one, const std::string& said) {
-  bool refused = said.starts_with(releases::kRefused);
-  refused ? one.answer.set_error(said.substr(releases::kRefused.size())) : one.answer.set_done(said);
-  write_answer(*one.connection, one.answer);
+  write_answer(*pending.connection, pending.answer);
 }
 
-void AdminCommands::ask(FrameServer::Id id, net::Connection& connection, const std::string& command,
-                        AdminAnswer answer) {
-  Waiting one{.connection = &connection,
-              .command = 0,
-              .until = loop_.now() + kLongestCommand,
-              .answer = std::move(answer)};
-  agreement::ControlReplica& instance = agreed_.replica();
-  if (!instance.has_quorum())
-    return finish(
-        one, releases::kRefused + "this instance is out of touch with a majority, and nothing is permitted");
-  for (const auto& [other, known] : instance.agreed().instances()) {
-    if (known.format < agreement::kOutingsFormat)
-      return finish(one, releases::kRefused + "instance " + std::to_string(other) + " knows no releases yet");
+void AdminCommands::submit(FrameServer::Id id, net::Connection& connection, const std::string& command,
+                           AdminAnswer answer) {
+  PendingCommand pending{.connection = &connection,
+                         .command = 0,
+                         .deadline = loop_.now() + kCommandTimeout,
+                         .answer = std::move(answer)};
+  agreement::ControlReplica& replica = control_.replica();
+  if (!replica.has_quorum()) {
+    finish(pending,
+           releases::kRefused + "this instance is out of touch with a majority, and nothing is permitted");
+    return;
+  }
+  for (const auto& [other, agreed] : replica.agreed().instances()) {
+    if (agreed.format >= agreement::kOutingsFormat) continue;
+    finish(pending, releases::kRefused + "instance " + std::to_string(other) + " knows no releases yet");
+    return;
   }
-  one.command = instance.command(command);
-  waiting_[id] = std::move(one);
+  pending.command = replica.command(command);
+  pending_[id] = std::move(pending);
 }
 
-void AdminCommands::gone(FrameServer::Id id) {
-  auto found = waiting_.find(id);
-  if (found == waiting_.end()) return;
-  agreed_.replica().forget_command(found->second.command);
-  waiting_.erase(found);
+void AdminCommands::connection_closed(FrameServer::Id id) {
+  auto found = pending_.find(id);
+  if (found == pending_.end()) return;
+  control_.replica().forget_command(found->second.command);
+  pending_.erase(found);
 }
 
 void AdminCommands::tick() {
-  for (auto one = waiting_.begin(); one != waiting_.end();) {
-    const agreement::CommandResult* result = agreed_.replica().agreed().outings().result(one->second.command);
-    if (!result && loop_.now() < one->second.until) {
-      ++one;
+  agreement::ControlReplica& replica = control_.replica();
+  for (auto next = pending_.begin(); next != pending_.end();) {
+    PendingCommand& pending = next->second;
+    const agreement::CommandResult* result = replica.agreed().outings().result(pending.command);
+    if (!result && loop_.now() < pending.deadline) {
+      ++next;
       continue;
     }
-    // It may be with a leader that is still to have it agreed, or never will.
-    if (!result) agreed_.replica().forget_command(one->second.command);
-    finish(one->second,
-           result ? result->said()
-                  : releases::kRefused +
-                        "not agreed in time; it may still come to be: see 'release status' and 'outings'");
-    one = waiting_.erase(one);
+    if (result) {
+      finish(pending, result->said());
+    } else {
+      // It may have reached a leader that will still have it agreed, or never.
+      replica.forget_command(pending.command);
+      finish(pending, releases::kRefused +
+                          "not agreed in time; it may still come to be: see 'release status' and 'outings'");
+    }
+    next = pending_.erase(next);
   }
 }
 
-void AdminCommands::fill(AdminAnswer& answer) const {
-  const agreement::ControlReplica& instance = agreed_.replica();
-  const agreement::ReplicatedState& state = instance.agreed();
-  const agreement::MaintenanceState& outings = state.outings();
-  std::set<std::string> chosen;
-  for (const auto& [node, trip] : outings.leases()) {
-    chosen.insert(node);
-    MaintenanceLeaseRow& row = *answer.add_trips();
-    row.set_node(node);
-    row.set_why(name_of(trip.why));
-    row.set_place(agreement::name_of(trip.place));
-    row.set_version(trip.version);
-    row.set_in_place_s(seconds(state.time() - trip.since));
-    row.set_permit_s(seconds(trip.until - state.time()));
+std::optional<AdminCommandError> AdminCommands::change_members(std::string_view line) {
+  std::istringstream words{std::string(line)};
+  std::string command;
+  std::uint64_t id = 0;
+  std::string address;
+  words >> command >> id >> address;
+  agreement::ControlReplica& replica = control_.replica();
+  if (command == "let-in" && id > 0 && !address.empty()) return error_of(replica.let_in(id, address));
+  if (command == "let-out" && id > 0) return error_of(replica.let_out(id));
+  if (command != "hand-on") {
+    return AdminCommandError{
+        "unknown question; there are nodes, proxies, snapshot, instances, outings and release status"};
   }
-  for (const std::string& node : outings.drains()) answer.add_drains(node);
-  const routing::Router& router = instance.router();
-  for (const releases::DisruptionBudget::Row& one :
-       releases::DisruptionBudget(router.fleet(), router.registry().all(), chosen).rows()) {
-    BudgetRow& row = *answer.add_budgets();
-    row.set_name(one.name);
-    row.set_most(one.max);
-    row.set_out(one.out);
-    row.set_chosen(one.chosen);
-    row.set_all(one.all);
-  }
-  const agreement::Release& release = outings.release();
-  if (release.id() == 0) return;
-  ReleaseRow& row = *answer.mutable_release();
-  row.set_id(release.id());
-  row.set_name(release.plan().name());
-  row.set_version(release.plan().version());
-  row.set_phase(agreement::name_of(release.phase()));
-  row.set_wave(release.wave() + 1);
-  row.set_waves(releases::waves_of(release.plan()));
-  row.set_reason(release.reason());
-  row.set_age_s(seconds(state.time() - release.started_ns()));
-  row.set_in_phase_s(seconds(state.time() - release.since_ns()));
-  double all = 0;
-  double with = 0;
-  for (const routing::ServerStatus& server : router.registry().all()) {
-    bool has = server.version == release.plan().version();
-    all += server.node.capacity;
-    with += has ? server.node.capacity : 0;
-    row.set_nodes(row.nodes() + 1);
-    row.set_nodes_with(row.nodes_with() + has);
-  }
-  row.set_reached(all > 0 ? with / all : 0);
-  for (const agreement::UpdatedServer& one : release.taken()) {
-    if (!one.failed().empty()) row.add_failed(one.node() + ": " + one.failed());
-  }
-  row.set_outlook(outings.under_way() ? agreed_.rollout().outlook() : "");
-  row.set_left_s(outings.under_way() ? left_s(row, release.phase() == agreement::PHASE_BACK) : -1);
-}
-
-// As fast as it went so far; before the first server is there nobody knows.
-double AdminCommands::left_s(const ReleaseRow& row, bool back) {
-  if (row.reached() <= 0) return -1;
-  double share = back ? row.reached() : 1 - row.reached();
-  double done = back ? 1 - row.reached() : row.reached();
-  return done > 0 ? (back ? row.in_phase_s() : row.age_s()) * share / done : -1;
+  if (!replica.raft_node().leads()) return AdminCommandError{"this instance does not lead"};
+  control_.transfer_leadership([] {});
+  return std::nullopt;
 }
 
 }  // namespace myrtlecroft::control
--- /dev/null
+++ b/src/control/admin_names.cpp
@@ -0,0 +1,23 @@
+#include "control/admin_names.h"
+
+#include <array>
+#include <cstddef>
+
+namespace myrtlecroft::control {
+
+const char* name_of(Mode mode) {
+  constexpr std::array names = {"serving", "stalled", "trial", "leaving"};
+  return names.at(static_cast<std::size_t>(mode));
+}
+
+const char* name_of(agreement::Why reason) {
+  if (reason == agreement::WHY_DRAIN) return "drain";
+  return reason == agreement::WHY_RELEASE ? "release" : "way back";
+}
+
+const char* membership_name(const consensus::Server& server) {
+  if (server.role() == RAFT_VOTER) return "votes";
+  return server.role() == RAFT_STANDBY ? "hears" : "named only";
+}
+
+}  // namespace myrtlecroft::control
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -1,43 +1,54 @@
 #include "control/admin_queries.h"
 
 #include <algorithm>
-#include <sstream>
+#include <string>
+#include <string_view>
 #include <utility>
 #include <vector>
 
+#include "control/admin_names.h"
+#include "control/maintenance_rows.h"
 #include "routing_state/saved_state.h"
 
 namespace myrtlecroft::control {
 namespace {
 
-constexpr std::size_t kRefusalsShown = 3;  // of one proxy
-constexpr std::size_t kReasonShown = 80;   // characters
+constexpr std::size_t kMaxNacksPerProxy = 3;      // in one row
+constexpr std::size_t kMaxNackReasonLength = 80;  // characters
+constexpr double kNeverReceived = -1;             // in heard_s_ago
 
 double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
 
-bool matches(const AdminQuery& question, const std::string& zone, std::string_view state,
-             const std::string& name) {
-  return (question.zone.empty() || question.zone == zone) &&
-         (question.state.empty() || question.state == state) && name.starts_with(question.name);
+double seconds_since(Nanos time, Nanos now) { return time > 0 ? seconds(now - time) : kNeverReceived; }
+
+struct RowLabels {
+  std::string_view zone;
+  std::string_view state;
+  std::string_view name;
+};
+
+bool matches(const AdminQuery& query, const RowLabels& row) {
+  return (query.zone.empty() || query.zone == row.zone) &&
+         (query.state.empty() || query.state == row.state) && row.name.starts_with(query.name);
 }
 
-ServerRow row_of(const routing::ServerStatus& replica, std::uint32_t shards, Nanos now) {
+ServerRow row_of(const routing::ServerStatus& server, std::uint32_t shards, Nanos now) {
   ServerRow row;
-  row.set_name(replica.node.name);
-  row.set_zone(replica.node.zone);
-  row.set_address(replica.node.address());
-  row.set_state(routing::name_of(replica.state));
-  row.set_in_state_s(seconds(now - replica.since));
-  row.set_kept_in(replica.kept_in_rotation);
-  row.set_heard_s_ago(replica.heard_at > 0 ? seconds(now - replica.heard_at) : -1);
-  row.set_mode(replica.heard_at > 0 ? name_of(replica.report.mode) : "unknown");
-  row.set_cold(replica.report.warming_up);
-  row.set_window(replica.report.window);
-  row.set_limit(replica.report.limit);
-  row.set_held(replica.report.held);
-  row.set_weight(replica.weight);
-  row.set_ramp(replica.ramp);
-  row.set_flaps(replica.flaps);
+  row.set_name(server.node.name);
+  row.set_zone(server.node.zone);
+  row.set_address(server.node.address());
+  row.set_state(routing::name_of(server.state));
+  row.set_in_state_s(seconds(now - server.since));
+  row.set_kept_in(server.kept_in_rotation);
+  row.set_heard_s_ago(seconds_since(server.heard_at, now));
+  row.set_mode(server.heard_at > 0 ? name_of(server.report.mode) : "unknown");
+  row.set_cold(server.report.warming_up);
+  row.set_window(server.report.window);
+  row.set_limit(server.report.limit);
+  row.set_held(server.report.held);
+  row.set_weight(server.weight);
+  row.set_ramp(server.ramp);
+  row.set_flaps(server.flaps);
   row.set_shards(shards);
   return row;
 }
@@ -51,10 +62,10 @@
   row.set_applied(proxy.applied);
   row.set_acks(proxy.acks);
   row.set_nacks(proxy.nacks);
-  for (std::size_t i = 0; i < std::min(kRefusalsShown, proxy.refusals.size()); ++i) {
-    const xds::Refusal& refusal = proxy.refusals[i];
-    row.add_refused(std::string(xds::name_of(refusal.type)) + " " + refusal.resource + ": " +
-                    refusal.reason.substr(0, kReasonShown));
+  for (std::size_t i = 0; i < std::min(kMaxNacksPerProxy, proxy.refusals.size()); ++i) {
+    const xds::Refusal& nack = proxy.refusals[i];
+    row.add_refused(std::string(xds::name_of(nack.type)) + " " + nack.resource + ": " +
+                    nack.reason.substr(0, kMaxNackReasonLength));
   }
   return row;
 }
@@ -62,18 +73,18 @@
 std::size_t bytes_of(const std::string& row) { return row.size(); }
 std::size_t bytes_of(const google::protobuf::Message& row) { return row.ByteSizeLong(); }
 
-// Keeps those rows of one list that stand on the page.
+// Removes the rows that do not match or stand on other pages.
 template <class Row, class Matches>
-void keep_page(google::protobuf::RepeatedPtrField<Row>& rows, Pager& pager, Matches matches_row) {
-  google::protobuf::RepeatedPtrField<Row> kept;
+void select_page(google::protobuf::RepeatedPtrField<Row>& rows, Pager& pager, Matches matches_row) {
+  google::protobuf::RepeatedPtrField<Row> selected;
   for (Row& row : rows) {
-    if (matches_row(row) && pager.next(bytes_of(row))) kept.Add(std::move(row));
+    if (matches_row(row) && pager.next(bytes_of(row))) selected.Add(std::move(row));
   }
-  rows.Swap(&kept);
+  rows.Swap(&selected);
 }
 
-// They are longer than all the rest together, and would not fit into an answer; the fleet file has them.
-void leave_out_server_lists(routing_state::Snapshot& snapshot) {
+// They are larger than all the rest together and would exceed the size of an answer; the fleet file has them.
+void remove_server_lists(routing_state::Snapshot& snapshot) {
   snapshot.clear_server_lists();
   for (routing_state::RequestClassRoute& request_class : *snapshot.mutable_groups())
     request_class.clear_servers();
@@ -81,166 +92,133 @@
 
 }  // namespace
 
-const char* name_of(Mode mode) {
-  constexpr const char* names[] = {"serving", "stalled", "trial", "leaving"};
-  return names[static_cast<std::size_t>(mode)];
-}
-
-AdminAnswer AdminQueries::any(const AnswerFacts& facts) const {
+AdminAnswer AdminQueries::summary(const ControlStatus& status) const {
   AdminAnswer out;
   out.set_view(routing::name_of(router_.registry().view()));
-  out.set_published(facts.published);
-  out.set_applied_by_all(facts.applied_by_all);
+  out.set_published(status.published);
+  out.set_applied_by_all(status.applied_by_all);
   out.set_shards_closed(static_cast<std::uint32_t>(router_.shards().closed()));
-  out.set_proxies_gone(static_cast<std::uint32_t>(discovery_.gone()));
-  out.set_disk_fails(facts.disk_fails);
-  if (agreed_) fill_instances(out);
+  out.set_proxies_gone(static_cast<std::uint32_t>(discovery_.disconnected()));
+  out.set_disk_fails(status.disk_fails);
+  if (replicated_) set_replica_fields(out);
   return out;
 }
 
-AdminAnswer AdminQueries::to(std::string_view line, const AnswerFacts& facts) const {
-  AdminAnswer out = any(facts);
-  AdminQuery question;
-  std::string fault;
-  Reading reading = read_question(line, question, fault);
-  bool of_several = question.topic == Topic::kInstances || question.topic == Topic::kOutings ||
-                    question.topic == Topic::kReleaseStatus;
-  if (reading == Reading::kBadOption) {
-    out.set_error(fault);
-  } else if (reading == Reading::kGood && (agreed_ || !of_several)) {
-    fill(question, out);
-  } else {
-    out.set_error(agreed_ ? other_command(line) : "unknown question; there are nodes, proxies and snapshot");
-    if (out.error().empty()) out.set_done("under way");
-  }
-  return out;
-}
-
-void AdminQueries::fill(const AdminQuery& question, AdminAnswer& answer) const {
-  Pager pager(question.page);
-  switch (question.topic) {
-    case Topic::kNodes:
-      fill_nodes(question, pager, answer);
+void AdminQueries::add_rows(const AdminQuery& query, AdminAnswer& answer) const {
+  Pager pager(query.page);
+  switch (query.topic) {
+    case Topic::kServers:
+      add_server_rows(query, pager, answer);
       break;
     case Topic::kProxies:
-      fill_proxies(question, pager, answer);
+      add_proxy_rows(query, pager, answer);
       break;
     case Topic::kSnapshot:
-      fill_snapshot(question, pager, answer);
+      add_snapshot(query, pager, answer);
       break;
-    case Topic::kOutings:
+    case Topic::kMaintenance:
     case Topic::kReleaseStatus:
-      fill_outings(question, pager, answer);
+      add_maintenance(query, pager, answer);
       break;
     case Topic::kInstances:
-      break;  // any answer has them
+      break;  // in every summary
   }
   answer.set_rows(static_cast<std::uint32_t>(pager.rows()));
-  answer.set_first_row(static_cast<std::uint32_t>(pager.first()));
-  answer.set_page(static_cast<std::uint32_t>(question.page));
+  answer.set_first_row(static_cast<std::uint32_t>(pager.first_row()));
+  answer.set_page(static_cast<std::uint32_t>(query.page));
   answer.set_pages(static_cast<std::uint32_t>(pager.pages()));
-  answer.set_rows_left_out(static_cast<std::uint32_t>(pager.rows() - pager.shown()));
+  answer.set_rows_left_out(static_cast<std::uint32_t>(pager.rows() - pager.rows_on_requested_page()));
 }
 
-void AdminQueries::fill_nodes(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
-  const std::vector<routing::ServerStatus>& members = router_.registry().all();
-  std::vector<std::uint32_t> shards(members.size());
+void AdminQueries::add_server_rows(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const {
+  const std::vector<routing::ServerStatus>& servers = router_.registry().all();
+  std::vector<std::uint32_t> shards(servers.size());
   for (const routing::Shard& shard : router_.shards().all()) {
-    int place = shard.state == routing::ShardState::kOwned ? router_.registry().place_of(shard.owner) : -1;
+    if (shard.state != routing::ShardState::kOwned) continue;
+    int place = router_.registry().place_of(shard.owner);
     if (place >= 0) ++shards[static_cast<std::size_t>(place)];
   }
-  for (std::size_t place = 0; place < members.size(); ++place) {
-    const routing::ServerStatus& replica = members[place];
-    if (!matches(question, replica.node.zone, routing::name_of(replica.state), replica.node.name)) continue;
-    ServerRow row = row_of(replica, shards[place], loop_.now());
+  for (std::size_t place = 0; place < servers.size(); ++place) {
+    const routing::ServerStatus& server = servers[place];
+    const RowLabels labels{
+        .zone = server.node.zone, .state = routing::name_of(server.state), .name = server.node.name};
+    if (!matches(query, labels)) continue;
+    ServerRow row = row_of(server, shards[place], loop_.now());
     if (pager.next(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
   }
 }
 
-void AdminQueries::fill_proxies(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
+void AdminQueries::add_proxy_rows(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const {
   for (const xds::ProxyView& proxy : discovery_.view()) {
-    if (!matches(question, proxy.zone, "", proxy.id)) continue;
+    if (!matches(query, {.zone = proxy.zone, .state = "", .name = proxy.id})) continue;
     ProxyRow row = row_of(proxy);
     if (pager.next(row.ByteSizeLong())) *answer.add_proxies() = std::move(row);
   }
 }
 
-// Servers, then request classes. Owners of shards are places among all servers, whichever are shown.
-void AdminQueries::fill_snapshot(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
+// Servers, then request classes. Owners of shards are indexes among all servers, whichever are on the page.
+void AdminQueries::add_snapshot(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const {
   if (!router_.published()) return;
   routing_state::Snapshot& snapshot = *answer.mutable_snapshot();
   snapshot = routing_state::to_proto(router_.published()->snapshot);
   snapshot.set_number(router_.published()->number);
-  keep_page(*snapshot.mutable_nodes(), pager, [&](const routing_state::NodeRoute& node) {
-    return matches(question, node.zone(), node.health(), node.name());
+  select_page(*snapshot.mutable_nodes(), pager, [&](const routing_state::NodeRoute& server) {
+    return matches(query, {.zone = server.zone(), .state = server.health(), .name = server.name()});
   });
-  bool of_nodes = !question.zone.empty() || !question.state.empty();
-  keep_page(*snapshot.mutable_groups(), pager, [&](const routing_state::RequestClassRoute& request_class) {
-    return !of_nodes && request_class.name().starts_with(question.name);
+  bool servers_only = !query.zone.empty() || !query.state.empty();
+  select_page(*snapshot.mutable_groups(), pager, [&](const routing_state::RequestClassRoute& request_class) {
+    return !servers_only && request_class.name().starts_with(query.name);
   });
-  leave_out_server_lists(snapshot);
+  remove_server_lists(snapshot);
 }
 
-// Budgets, then servers that are out or chosen to be, held empty, or failed.
-void AdminQueries::fill_outings(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const {
-  operators_->fill(answer);
-  auto named = [&](const std::string& name) { return name.starts_with(question.name); };
-  keep_page(*answer.mutable_budgets(), pager, [&](const BudgetRow& row) { return named(row.name()); });
-  keep_page(*answer.mutable_trips(), pager,
-            [&](const MaintenanceLeaseRow& row) { return named(row.node()); });
-  keep_page(*answer.mutable_drains(), pager, named);
-  if (answer.has_release()) keep_page(*answer.mutable_release()->mutable_failed(), pager, named);
+// Budgets, then servers with a lease, drained by operators, or failed in the release.
+void AdminQueries::add_maintenance(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const {
+  add_maintenance_rows(*replicated_, answer);
+  auto has_prefix = [&](const std::string& name) { return name.starts_with(query.name); };
+  select_page(*answer.mutable_budgets(), pager, [&](const BudgetRow& row) { return has_prefix(row.name()); });
+  select_page(*answer.mutable_trips(), pager,
+              [&](const MaintenanceLeaseRow& row) { return has_prefix(row.node()); });
+  select_page(*answer.mutable_drains(), pager, has_prefix);
+  if (answer.has_release()) select_page(*answer.mutable_release()->mutable_failed(), pager, has_prefix);
 }
 
-void AdminQueries::fill_instances(AdminAnswer& answer) const {
-  const agreement::ControlReplica& instance = agreed_->replica();
-  const consensus::RaftNode& replica = instance.raft_node();
-  answer.set_instance(replica.id());
-  answer.set_role(consensus::name_of(replica.role()));
-  answer.set_leader(replica.leader());
-  answer.set_term(replica.term());
-  answer.set_epoch(instance.agreed().epoch().number);
-  answer.set_in_touch(instance.has_quorum());
-  answer.set_digest(xds::hex(instance.agreed().digest()));
-  answer.set_refused(instance.agreed().refused());
-  answer.set_left_out(agreed_->links().left_out());
-  answer.set_agreed_time_s(seconds(instance.agreed().time()));
-  answer.set_disk_fails(replica.disk_failed());
-  answer.set_published(instance.agreed().published());
-  answer.set_shards_closed(static_cast<std::uint32_t>(instance.agreed().closed()));
-  for (const consensus::Server& server : replica.servers()) {
-    InstanceRow& row = *answer.add_instances();
-    row.set_id(server.id());
-    row.set_address(server.address());
-    row.set_part(server.role() == RAFT_VOTER     ? "votes"
-                 : server.role() == RAFT_STANDBY ? "hears"
-                                                 : "named only");
-    row.set_leads(server.id() == replica.leader());
-    row.set_here(server.id() == replica.id());
-    agreement::ControlReplica::Said said = instance.said_by(server.id());
-    row.set_applied(row.here() ? answer.epoch() : said.applied);
-    row.set_heard_s_ago(row.here() ? 0 : said.at > 0 ? seconds(loop_.now() - said.at) : -1);
-    auto agreed = instance.agreed().instances().find(server.id());
-    if (agreed == instance.agreed().instances().end()) continue;
-    row.set_format(agreed->second.format);
-    row.set_settings(xds::hex(agreed->second.settings));
-  }
+void AdminQueries::set_replica_fields(AdminAnswer& answer) const {
+  const agreement::ControlReplica& replica = replicated_->replica();
+  const agreement::ReplicatedState& state = replica.agreed();
+  const consensus::RaftNode& raft = replica.raft_node();
+  answer.set_instance(raft.id());
+  answer.set_role(consensus::name_of(raft.role()));
+  answer.set_leader(raft.leader());
+  answer.set_term(raft.term());
+  answer.set_epoch(state.epoch().number);
+  answer.set_in_touch(replica.has_quorum());
+  answer.set_digest(xds::hex(state.digest()));
+  answer.set_refused(state.refused());
+  answer.set_left_out(replicated_->links().dropped());
+  answer.set_agreed_time_s(seconds(state.time()));
+  answer.set_disk_fails(raft.disk_failed());
+  answer.set_published(state.published());
+  answer.set_shards_closed(static_cast<std::uint32_t>(state.closed()));
+  for (const consensus::Server& server : raft.servers()) add_instance_row(server, answer);
 }
 
-// "let-in 4 127.0.0.1:7404", "let-out 2" and "hand-on"; what is wrong with one, or empty.
-std::string AdminQueries::other_command(std::string_view command) const {
-  std::istringstream words{std::string(command)};
-  std::string word;
-  std::uint64_t id = 0;
-  std::string address;
-  words >> word >> id >> address;
-  if (word == "let-in" && id > 0 && !address.empty()) return agreed_->replica().let_in(id, address);
-  if (word == "let-out" && id > 0) return agreed_->replica().let_out(id);
-  if (word != "hand-on")
-    return "unknown question; there are nodes, proxies, snapshot, instances, outings and release status";
-  if (!agreed_->replica().raft_node().leads()) return "this instance does not lead";
-  agreed_->transfer_leadership([] {});
-  return "";
+void AdminQueries::add_instance_row(const consensus::Server& server, AdminAnswer& answer) const {
+  const agreement::ControlReplica& replica = replicated_->replica();
+  const consensus::RaftNode& raft = replica.raft_node();
+  InstanceRow& row = *answer.add_instances();
+  row.set_id(server.id());
+  row.set_address(server.address());
+  row.set_part(membership_name(server));
+  row.set_leads(server.id() == raft.leader());
+  row.set_here(server.id() == raft.id());
+  agreement::ControlReplica::Said reported = replica.said_by(server.id());
+  row.set_applied(row.here() ? answer.epoch() : reported.applied);
+  row.set_heard_s_ago(row.here() ? 0 : seconds_since(reported.at, loop_.now()));
+  auto agreed = replica.agreed().instances().find(server.id());
+  if (agreed == replica.agreed().instances().end()) return;
+  row.set_format(agreed->second.format);
+  row.set_settings(xds::hex(agreed->second.settings));
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_queries.h
+++ b/src/control/admin_queries.h
@@ -1,13 +1,10 @@
-// Answers to operators' questions about what a running control service knows and serves. Only looks, but for
-// the changes of who belongs to the instances.
+// Answers operators' queries on what a running control service has measured and what it serves. Owned by
+// AdminServer, called on the loop's thread; reads only.
 #pragma once
 
 #include <cstdint>
-#include <string>
-#include <string_view>
 
 #include "control.pb.h"
-#include "control/admin_commands.h"
 #include "control/admin_query.h"
 #include "control/discovery_service.h"
 #include "control/pager.h"
@@ -17,41 +14,37 @@
 
 namespace myrtlecroft::control {
 
-// As a server says it, in rows and log lines.
-const char* name_of(Mode mode);
-
-// What the control service itself keeps, at the time of a question.
-struct AnswerFacts {
-  std::uint64_t published = 0;  // in what is served
-  std::uint64_t applied_by_all = 0;
+// The control service's own state at the time of a query.
+struct ControlStatus {
+  std::uint64_t published = 0;       // the publication that is served; 0: none
+  std::uint64_t applied_by_all = 0;  // the publication that every proxy has applied
   bool disk_fails = false;
 };
 
 class AdminQueries {
  public:
-  // `agreed` and `operators` are nullptr where one instance decides alone. All outlive this.
+  // `replicated` is nullptr where this control service decides alone. All outlive this.
   AdminQueries(net::Loop& loop, const routing::Router& router, DiscoveryService& discovery,
-               ReplicatedControl* agreed, const AdminCommands* operators)
-      : loop_(loop), router_(router), discovery_(discovery), agreed_(agreed), operators_(operators) {}
+               const ReplicatedControl* replicated)
+      : loop_(loop), router_(router), discovery_(discovery), replicated_(replicated) {}
 
-  // What any answer has.
-  AdminAnswer any(const AnswerFacts& facts) const;
-  AdminAnswer to(std::string_view line, const AnswerFacts& facts) const;
+  // The fields that every answer has.
+  AdminAnswer summary(const ControlStatus& status) const;
+  // Adds the rows of one page. Topics of replicas and maintenance need `replicated`.
+  void add_rows(const AdminQuery& query, AdminAnswer& answer) const;
 
  private:
-  void fill(const AdminQuery& question, AdminAnswer& answer) const;
-  void fill_nodes(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
-  void fill_proxies(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
-  void fill_snapshot(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
-  void fill_outings(const AdminQuery& question, Pager& pager, AdminAnswer& answer) const;
-  void fill_instances(AdminAnswer& answer) const;
-  std::string other_command(std::string_view command) const;
+  void add_server_rows(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const;
+  void add_proxy_rows(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const;
+  void add_snapshot(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const;
+  void add_maintenance(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const;
+  void set_replica_fields(AdminAnswer& answer) const;
+  void add_instance_row(const consensus::Server& server, AdminAnswer& answer) const;
 
   net::Loop& loop_;
   const routing::Router& router_;
   DiscoveryService& discovery_;
-  ReplicatedControl* agreed_;
-  const AdminCommands* operators_;
+  const ReplicatedControl* replicated_;
 };
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_query.cpp
+++ b/src/control/admin_query.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <charconv>
+#include <optional>
 #include <vector>
 
 #include "routing/server_registry.h"
@@ -13,32 +14,32 @@
 constexpr std::size_t kMaxPage = 1'000'000;
 
 struct TopicRule {
-  std::string_view line;  // what the question begins with
+  std::string_view prefix;  // of the line
   Topic topic;
   std::vector<std::string_view> options;
 };
 
 const std::vector<TopicRule>& topic_rules() {
   static const std::vector<TopicRule> rules = {
-      {"nodes", Topic::kNodes, {"zone", "state", "name", "page"}},
+      {"nodes", Topic::kServers, {"zone", "state", "name", "page"}},
       {"proxies", Topic::kProxies, {"zone", "name", "page"}},
       {"snapshot", Topic::kSnapshot, {"zone", "state", "name", "page"}},
       {"instances", Topic::kInstances, {}},
-      {"outings", Topic::kOutings, {"name", "page"}},
+      {"outings", Topic::kMaintenance, {"name", "page"}},
       {"release status", Topic::kReleaseStatus, {"page"}},
   };
   return rules;
 }
 
-const TopicRule* rule_of(std::string_view line) {
+const TopicRule* find_rule(std::string_view line) {
   for (const TopicRule& rule : topic_rules()) {
-    if (line == rule.line) return &rule;
-    if (line.starts_with(rule.line) && line[rule.line.size()] == ' ') return &rule;
+    if (line == rule.prefix) return &rule;
+    if (line.starts_with(rule.prefix) && line[rule.prefix.size()] == ' ') return &rule;
   }
   return nullptr;
 }
 
-std::vector<std::string_view> words_of(std::string_view line) {
+std::vector<std::string_view> split_at_spaces(std::string_view line) {
   std::vector<std::string_view> out;
   while (!line.empty()) {
     std::size_t end = std::min(line.find(' '), line.size());
@@ -48,9 +49,9 @@
   return out;
 }
 
-std::string joined(const std::vector<std::string_view>& words) {
+std::string join_with_commas(const std::vector<std::string_view>& parts) {
   std::string out;
-  for (std::string_view word : words) out += (out.empty() ? "" : ", ") + std::string(word);
+  for (std::string_view part : parts) out += (out.empty() ? "" : ", ") + std::string(part);
   return out;
 }
 
@@ -66,46 +67,58 @@
   return out;
 }
 
-bool read_page(std::string_view value, std::size_t& page) {
+bool contains(const std::vector<std::string_view>& list, std::string_view value) {
+  return std::find(list.begin(), list.end(), value) != list.end();
+}
+
+std::optional<std::size_t> parse_page(std::string_view value) {
+  std::size_t page = 0;
   auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), page);
-  return error == std::errc() && end == value.data() + value.size() && page >= 1 && page <= kMaxPage;
+  bool complete = error == std::errc() && end == value.data() + value.size();
+  if (!complete || page < 1 || page > kMaxPage) return std::nullopt;
+  return page;
 }
 
-// What is wrong with one option, or empty.
-std::string read_option(const TopicRule& rule, std::string_view word, AdminQuery& out) {
-  std::size_t equals = word.find('=');
-  std::string_view option = word.substr(0, equals);
-  std::string_view value = equals == std::string_view::npos ? "" : word.substr(equals + 1);
-  bool known = std::find(rule.options.begin(), rule.options.end(), option) != rule.options.end();
-  if (!known) {
-    return std::string(rule.line) + " takes no '" + std::string(option) + "'" +
-           (rule.options.empty() ? "" : "; there are " + joined(rule.options));
+AdminQueryError bad_option(std::string message) {
+  return {.kind = AdminQueryError::Kind::kBadOption, .message = std::move(message)};
+}
+
+// Sets one option ("zone=a") in `out`.
+std::optional<AdminQueryError> set_option(const TopicRule& rule, std::string_view text, AdminQuery& out) {
+  std::size_t equals = text.find('=');
+  const std::string option(text.substr(0, equals));
+  const std::string value(equals == std::string_view::npos ? "" : text.substr(equals + 1));
+  if (!contains(rule.options, option)) {
+    return bad_option(std::string(rule.prefix) + " takes no '" + option + "'" +
+                      (rule.options.empty() ? "" : "; there are " + join_with_commas(rule.options)));
+  }
+  if (value.empty()) return bad_option(option + " has no value");
+  if (option == "page") {
+    std::optional<std::size_t> page = parse_page(value);
+    if (!page) return bad_option("page '" + value + "' is no number from 1");
+    out.page = *page;
   }
-  if (value.empty()) return std::string(option) + " has no value";
-  if (option == "page" && !read_page(value, out.page))
-    return "page '" + std::string(value) + "' is no number from 1";
   if (option == "state") {
     std::vector<std::string_view> states = states_of(rule.topic);
-    if (std::find(states.begin(), states.end(), value) == states.end())
-      return "state '" + std::string(value) + "' is none of " + joined(states);
+    if (!contains(states, value))
+      return bad_option("state '" + value + "' is none of " + join_with_commas(states));
     out.state = value;
   }
   if (option == "zone") out.zone = value;
   if (option == "name") out.name = value;
-  return "";
+  return std::nullopt;
 }
 
 }  // namespace
 
-Reading read_question(std::string_view line, AdminQuery& out, std::string& fault) {
-  const TopicRule* rule = rule_of(line);
-  if (!rule) return Reading::kOtherTopic;
-  out = AdminQuery{.topic = rule->topic, .zone = "", .state = "", .name = ""};
-  for (std::string_view word : words_of(line.substr(rule->line.size()))) {
-    fault = read_option(*rule, word, out);
-    if (!fault.empty()) return Reading::kBadOption;
+std::variant<AdminQuery, AdminQueryError> parse_admin_query(std::string_view line) {
+  const TopicRule* rule = find_rule(line);
+  if (!rule) return AdminQueryError{.kind = AdminQueryError::Kind::kUnknownTopic, .message = ""};
+  AdminQuery query{.topic = rule->topic, .zone = "", .state = "", .name = ""};
+  for (std::string_view option : split_at_spaces(line.substr(rule->prefix.size()))) {
+    if (std::optional<AdminQueryError> error = set_option(*rule, option, query)) return *std::move(error);
   }
-  return Reading::kGood;
+  return query;
 }
 
 }  // namespace myrtlecroft::control
--- /dev/null
+++ b/src/control/command_line.cpp
@@ -0,0 +1,162 @@
+#include "control/command_line.h"
+
+#include <utility>
+
+namespace myrtlecroft::control {
+namespace {
+
+constexpr unsigned kMinSnapshotAfter = 8;  // log entries
+constexpr unsigned kMaxSnapshotAfter = 100'000;
+
+}  // namespace
+
+std::string RowOptions::text() const {
+  std::string out;
+  if (!zone.empty()) out += " zone=" + zone;
+  if (!state.empty()) out += " state=" + state;
+  if (!name.empty()) out += " name=" + name;
+  if (page != 1) out += " page=" + std::to_string(page);
+  return out;
+}
+
+CommandLine::CommandLine() : app_("Decides how a fleet's requests are routed, and serves proxies over xDS") {
+  app_.require_subcommand(1);
+  add_serve();
+  add_offline_commands();
+  add_member_commands();
+  add_drain_commands();
+  add_release_commands();
+  add_queries();
+}
+
+CommandLine::Command CommandLine::command() const {
+  if (check_command_->parsed()) return Command::kCheckFleet;
+  if (new_cluster_command_->parsed()) return Command::kNewCluster;
+  if (serve_command_->parsed()) return Command::kServe;
+  if (release_check_->parsed()) return Command::kCheckPlan;
+  if (client_.watch) return Command::kWatchRelease;
+  return release_start_->parsed() ? Command::kStartRelease : Command::kCall;
+}
+
+std::string CommandLine::name() const {
+  std::string name = app_.get_subcommands().front()->get_name();
+  if (release_command_->parsed()) name += " " + release_command_->get_subcommands().front()->get_name();
+  return name;
+}
+
+void CommandLine::add_serve() {
+  CLI::App& serve = *app_.add_subcommand("serve", "Run the control service");
+  serve_command_ = &serve;
+  serve.add_option("--fleet", serve_.fleet_path, "The fleet file")->required();
+  serve.add_option("--state", serve_.state_folder, "Folder of the saved state; without it none is saved");
+  serve.add_option("--xds", serve_.discovery, "Address for proxies")->capture_default_str();
+  serve.add_option("--reports", serve_.reports, "Address for servers' load reports")->capture_default_str();
+  serve.add_option("--admin", serve_.admin, "Address for the commands below")->capture_default_str();
+  serve.add_flag("--first-start", serve_.first_start,
+                 "No proxy was ever served for this fleet: nothing can have run");
+  add_agreement(serve);
+}
+
+void CommandLine::add_agreement(CLI::App& serve) {
+  AgreementOptions& agreement = serve_.agreement;
+  serve.add_option("--instance", agreement.id,
+                   "Id among several that decide as one; above 0, never used again");
+  serve.add_option("--peer", agreement.address, "Address where other instances reach it");
+  serve.add_option("--log", agreement.folder, "Folder of its log");
+  serve.add_option("--begin", serve_.bootstrap,
+                   "First start of several: all of them, as 1=127.0.0.1:7401,2=...");
+  serve.add_option("--reach", serve_.address_overrides,
+                   "Others, where they are reached from here at another address than the cluster knows");
+  serve.add_flag("--join", agreement.join, "First start of one that is to be added by 'let-in'");
+  serve
+      .add_option("--hold-format", agreement.max_entry_format,
+                  "Accept and write no newer format of log entries, for an upgrade that may be rolled back")
+      ->check(CLI::Range(1u, agreement::kFormat));
+  serve.add_option("--snapshot-after", agreement.snapshot_after, "Entries of the log between two snapshots")
+      ->check(CLI::Range(kMinSnapshotAfter, kMaxSnapshotAfter))
+      ->capture_default_str();
+}
+
+void CommandLine::add_offline_commands() {
+  new_cluster_command_ = app_.add_subcommand(
+      "begin-again", "A majority is lost for good: force a new cluster with the state of this folder");
+  new_cluster_command_
+      ->add_option("--log", new_cluster_.folder, "Folder of the instance with the highest epoch")
+      ->required();
+  new_cluster_command_
+      ->add_option("--instances", new_cluster_.instances, "The new cluster, as 1=127.0.0.1:7401")
+      ->required();
+  check_command_ = app_.add_subcommand("check", "Validate a fleet file");
+  check_command_->add_option("file", checked_path_, "The fleet file")->required();
+}
+
+void CommandLine::add_member_commands() {
+  const std::vector<std::pair<const char*, const char*>> commands = {
+      {"let-in", "Add a member, at the instance that leads"},
+      {"let-out", "Remove a member, at the instance that leads"},
+      {"hand-on", "Transfer leadership, at the instance that leads"}};
+  for (const auto& [name, description] : commands) {
+    CLI::App* command = app_.add_subcommand(name, description);
+    command->add_option("--admin", client_.admin, "Its admin address")->capture_default_str();
+    command->add_option("words", client_.words, "Id, and for let-in the address");
+  }
+}
+
+void CommandLine::add_drain_commands() {
+  const std::vector<std::pair<const char*, const char*>> commands = {
+      {"drain", "Drain a server, a zone or the servers that use a service, within the disruption budgets"},
+      {"undrain", "End a drain"}};
+  for (const auto& [name, description] : commands) {
+    CLI::App* command = app_.add_subcommand(name, description);
+    command->add_option("--admin", client_.admin, "Admin address of any instance")->capture_default_str();
+    command->add_option("name", client_.words, "Server, zone or service")->required()->expected(1);
+  }
+}
+
+void CommandLine::add_release_commands() {
+  release_command_ = app_.add_subcommand("release", "Bring the fleet to another version, wave by wave");
+  release_command_->require_subcommand(1);
+  release_start_ = release_command_->add_subcommand("start", "Start one");
+  release_start_->add_option("plan", plan_path_, "The plan's file")->required();
+  release_check_ = release_command_->add_subcommand("check", "Validate a plan");
+  release_check_->add_option("plan", plan_path_, "The plan's file")->required();
+  CLI::App* status = release_command_->add_subcommand("status", "Its progress, and what it waits for");
+  status->add_flag("--watch", client_.watch, "Show it until it is over");
+  status->add_flag("--json", client_.as_json, "Print JSON");
+  add_row_options(*status, "release status");
+  const std::vector<std::pair<const char*, const char*>> commands = {
+      {"halt", "Take no further server out, at once"},
+      {"resume", "Go on after a halt"},
+      {"back", "Roll back to the version before, the newest first"},
+      {"end", "End a halted one as it is"}};
+  for (const auto& [name, description] : commands) {
+    release_command_->add_subcommand(name, description)->add_option("reason", client_.words, "For the log");
+  }
+  for (CLI::App* command : release_command_->get_subcommands({})) {
+    if (command == release_check_) continue;
+    command->add_option("--admin", client_.admin, "Admin address of any instance")->capture_default_str();
+  }
+}
+
+void CommandLine::add_queries() {
+  for (const char* topic : {"snapshot", "proxies", "nodes", "instances", "outings"}) {
+    CLI::App* query = app_.add_subcommand(topic, "Query a running control service");
+    query->add_option("--admin", client_.admin, "Its admin address")->capture_default_str();
+    query->add_flag("--json", client_.as_json, "Print JSON");
+    add_row_options(*query, topic);
+  }
+}
+
+void CommandLine::add_row_options(CLI::App& query, const std::string& topic) {
+  if (topic == "instances") return;
+  query.add_option("--page", client_.rows.page, "Page of a long answer, from 1");
+  if (topic == "release status") return;
+  query.add_option("--name", client_.rows.name, "Only rows whose name begins so");
+  if (topic == "outings") return;
+  query.add_option("--zone", client_.rows.zone, "Only rows of this zone");
+  if (topic == "proxies") return;
+  query.add_option("--state", client_.rows.state,
+                   topic == "nodes" ? "Only servers in this state" : "Only servers of this health");
+}
+
+}  // namespace myrtlecroft::control
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -1,113 +1,83 @@
-// The control service: hears servers and proxies, lets the router decide, keeps what must last, serves the
-// rest.
-//
-// One loop thread decides and hears the servers; gRPC's own threads speak with proxies. They meet in
-// DiscoveryService and LoadService, which lock.
+// The control service: receives servers' reports, decides alone or with other replicas, and serves proxies
+// over xDS. Made by the program and by tests. One loop thread decides and receives the reports; gRPC's own
+// threads speak with proxies; they meet in DiscoveryService and LoadReportingService, which lock.
 #pragma once
 
-#include <grpcpp/grpcpp.h>
-
-#include <map>
+#include <functional>
 #include <memory>
-#include <optional>
 #include <string>
 
-#include "control/admin_commands.h"
-#include "control/admin_queries.h"
+#include "control/admin_server.h"
+#include "control/discovery_server.h"
 #include "control/discovery_service.h"
-#include "control/frame_server.h"
-#include "control/publication_pacer.h"
+#include "control/durable_publication.h"
+#include "control/load_reporting_service.h"
+#include "control/proxy_monitor.h"
+#include "control/publisher.h"
 #include "control/replicated_control.h"
-#include "control/reporter_links.h"
-#include "control/state_store.h"
+#include "control/report_receiver.h"
 #include "net/log.h"
 #include "routing/router.h"
-#include "routing_state/saved_state.h"
 
 namespace myrtlecroft::control {
 
 struct ListenAddresses {
-  std::string discovery;  // "127.0.0.1:18000", for proxies
+  std::string discovery;  // for proxies, "127.0.0.1:18000"
   sockaddr_in reports{};  // for servers
   sockaddr_in admin{};
 };
 
 struct ControlOptions {
   std::string fleet_path;
-  std::string state_folder;  // empty: nothing is kept
-  bool first_start = false;
+  std::string state_folder;  // empty: no state is saved
+  bool first_start = false;  // no proxy was ever served for this fleet
   ListenAddresses addresses;
   AgreementOptions agreement;
 };
 
 class Control {
  public:
-  // Throws settings::DocumentError for the fleet file and std::runtime_error for all else.
+  // Throws settings::DocumentError for the fleet file, ListenError, StateFolderError, LogFolderError, and
+  // std::runtime_error for other faults of a folder.
   Control(net::Loop& loop, service::Logger& log, ControlOptions options);
-  ~Control();
 
-  // Reads the fleet file again. One that makes no sense changes nothing.
+  // Reads the fleet file again. An invalid one is logged and changes nothing.
   void reload();
 
-  std::uint16_t discovery_port() const { return static_cast<std::uint16_t>(discovery_port_); }
+  std::uint16_t discovery_port() const { return discovery_server_->port(); }
   std::uint16_t reports_port() const { return reports_.port(); }
   std::uint16_t admin_port() const { return admin_.port(); }
   const routing::Router& router() const { return router_; }
-  // Before a stop: leadership goes to another instance, where there is one.
-  void transfer_leadership(std::function<void()> then);
+  // Before a shutdown: leadership goes to another replica, where there is one. `done` is called in any case.
+  void transfer_leadership(std::function<void()> done);
 
  private:
-  std::optional<routing::PersistedState> remembered();
-  std::size_t reports_came(FrameServer::Id id, net::Connection& connection, std::string_view bytes);
-  void take(FrameServer::Id id, net::Connection& connection, const report::LoadReport& report);
-  void reporter_gone(FrameServer::Id id);
-  std::size_t asked(FrameServer::Id id, net::Connection& connection, std::string_view bytes);
-  AnswerFacts facts() const;
-  void hear_proxies();
-  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> proxy_words();
+  std::unique_ptr<routing::Router> make_router();
+  std::unique_ptr<ReplicatedControl> make_replica();
+  agreement::ControlReplica* replica() { return replicated_ ? &replicated_->replica() : nullptr; }
+  ControlStatus status() const;
   void step();
-  void keep();
-  void kept(bool durable);
-  void serve();
-  void publish(const routing::Published& published);
+  void decide_alone();
   void serve_agreed();
-  void order(net::Connection& connection, const report::LoadReport& report);
-  void gate(Nanos fresh_until);
+  void decide_soon();
 
   net::Loop& loop_;
   service::Logger& log_;
   ControlOptions options_;
   DiscoveryService discovery_;
-  LoadService loads_;
-  std::unique_ptr<StateStore> state_;
-  std::vector<std::string> proxies_before_;  // as the last good state had them
-  // One of these two: alone, or one instance of several.
-  std::unique_ptr<routing::Router> alone_;
-  std::unique_ptr<ReplicatedControl> agreed_;
-  std::unique_ptr<AdminCommands> operators_;  // with it
+  LoadReportingService load_reporting_;
+  Publisher publisher_;
+  DurablePublication durable_publication_;  // of no use where several replicas agree
+  // One of these two is there: this control service decides alone, or is one of several replicas.
+  std::unique_ptr<routing::Router> own_router_;
+  std::unique_ptr<ReplicatedControl> replicated_;
   routing::Router& router_;
-  FrameServer reports_;
-  FrameServer admin_;
-  AdminQueries answers_;
-  int discovery_port_ = 0;
-  std::unique_ptr<grpc::Server> server_;
-  net::Timer again_;
-  ReporterLinks reporters_;
-  std::map<std::string, std::string> words_;  // server -> mode as it said last
-  std::map<std::string, std::string> told_;   // server -> why its reports are refused, as logged last
-  std::shared_ptr<const routing::Published> waiting_;  // decided, not yet kept on disk
-  std::shared_ptr<const xds::ResourceSet> served_;
-  std::shared_ptr<const xds::ResourceSet> closed_;     // the same without an open shard
-  std::string kept_;                                   // as it is on disk
-  std::string keeping_;                                // on its way there
-  std::shared_ptr<const routing::Published> covered_;  // is known again from what is on its way
-  bool disk_fails_ = false;
-  Nanos tried_at_ = 0;
-  PublicationPacer pacer_;
+  ReportReceiver reports_;
+  ProxyMonitor proxies_;
+  AdminServer admin_;
+  net::Timer step_timer_;
   Nanos trimmed_at_ = 0;
-  std::uint64_t applied_ = 0;
-  std::optional<std::uint64_t> heard_changes_;  // of the proxies, when they were last looked at
-  std::optional<agreement::Epoch> gated_at_;    // when who may be served was last told
+  std::unique_ptr<DiscoveryServer> discovery_server_;
 };
 
 }  // namespace myrtlecroft::control
--- a/src/control/discovery_service.h
+++ b/src/control/discovery_service.h
@@ -1,11 +1,14 @@
-// The gRPC side of discovery: bytes to sessions and back. Nothing is decided here.
+// The xDS service for proxies: passes bytes between gRPC's streams and the session table, and decides
+// nothing. Owned by Control. May be used from any thread: gRPC's threads call the streams, the loop's thread
+// the rest.
 //
-// A resource is in memory once: what is written to a proxy refers to it. For each stream at most one write is
-// out, so that a proxy that does not read holds up nobody and costs nothing more.
+// A resource is in memory once: what is written to a proxy refers to it. Each stream has at most one write in
+// flight, so that a proxy that does not read delays nobody and costs no further memory.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
 
+#include <functional>
 #include <map>
 #include <memory>
 #include <mutex>
@@ -13,36 +16,42 @@
 #include <vector>
 
 #include "discovery.grpc.pb.h"
-#include "load_stats.grpc.pb.h"
-#include "routing/server_registry.h"
 #include "xds/session_table.h"
 
 namespace myrtlecroft::control {
 
-// May be used from any thread.
 class DiscoveryService {
  public:
   using Log = std::function<void(const std::string&)>;
   explicit DiscoveryService(Log log);
   ~DiscoveryService();
 
+  // From now on proxies are sent this set.
   void publish(std::shared_ptr<const xds::ResourceSet> set);
+  // Which proxies are served, where several replicas agree on it.
   void gate(xds::SessionTable::Gate gate);
-  // The same proxies as in the last gate.
+  // The same proxies as in the last gate().
   void gate_stays(Nanos fresh_until, std::shared_ptr<const xds::ResourceSet> closed);
-  void remember(const std::vector<std::string>& proxies);
+  // Proxies that were served before a restart, and may still route by what they had.
+  void restore_known(const std::vector<std::string>& proxies);
+  // Those that must be restored after a restart: connected, or disconnected not long ago.
   std::vector<std::string> known() const;
+  // The publication that every proxy which may still route has applied; one that disconnected counts for
+  // `forget_after`.
   std::uint64_t applied_by_all(Nanos forget_after);
   std::vector<xds::ProxyView> view();
-  // Grows with each stream that opens or ends and each request: where it is the same, so is what view() says.
+  // Grows with each stream that opens or ends and each request: while it is the same, so is view().
   std::uint64_t changes() const;
-  std::size_t gone() const;
+  // How many proxies have disconnected and are not forgotten.
+  std::size_t disconnected() const;
 
+  // For grpc::ServerBuilder. Owned by this.
   grpc::Service& service();
 
  private:
   class Stream;
   class Adapter;
+  void write_to_all();
 
   mutable std::mutex mutex_;
   xds::SessionTable table_;
@@ -52,28 +61,4 @@
   std::unique_ptr<Adapter> adapter_;
 };
 
-// Load reports: what proxies say of servers, collected until it is asked for.
-class LoadService final : public envoy::service::load_stats::v3::LoadReportingService::CallbackService {
- public:
-  grpc::ServerBidiReactor<envoy::service::load_stats::v3::LoadStatsRequest,
-                          envoy::service::load_stats::v3::LoadStatsResponse>*
-  StreamLoadStats(grpc::CallbackServerContext* context) override;
-
-  struct Told {
-    std::string node;     // where the locality names it
-    std::string address;  // where the endpoint is named
-    std::uint64_t issued = 0;
-    std::uint64_t succeeded = 0;
-    std::uint64_t failed = 0;
-  };
-  std::vector<Told> take();
-
- private:
-  class Stream;
-  void add(const envoy::service::load_stats::v3::LoadStatsRequest& request);
-
-  std::mutex mutex_;
-  std::map<std::pair<std::string, std::string>, Told> told_;
-};
-
 }  // namespace myrtlecroft::control
--- a/src/control/frame_server.cpp
+++ b/src/control/frame_server.cpp
@@ -5,7 +5,8 @@
 #include <unistd.h>
 
 #include <cstring>
-#include <stdexcept>
+
+#include "control/listen_error.h"
 
 namespace myrtlecroft::control {
 namespace {
@@ -49,9 +50,8 @@
           kBacklog, reinterpret_cast<const sockaddr*>(&address), sizeof address)),
       resume_accepting_(loop.base(), [this] { evconnlistener_enable(listener_.get()); }) {
   if (!listener_) {
-    throw std::runtime_error("can't listen for " + peer_kind_ + " on port " +
-                             std::to_string(ntohs(address.sin_port)) + ": " +
-                             std::strerror(EVUTIL_SOCKET_ERROR()));
+    throw ListenError(peer_kind_, "port " + std::to_string(ntohs(address.sin_port)),
+                      std::strerror(EVUTIL_SOCKET_ERROR()));
   }
   evconnlistener_set_error_cb(listener_.get(), accept_failed);
 }
--- a/src/control/frame_server.h
+++ b/src/control/frame_server.h
@@ -24,7 +24,7 @@
     std::function<void(Id)> closed = [](Id) {};
   };
   // `peer_kind` names the connections in log lines. Above `max_connections` a new connection is closed at
-  // once. Throws std::runtime_error where it can't listen at `address`.
+  // once. Throws ListenError.
   FrameServer(net::Loop& loop, service::Logger& log, const sockaddr_in& address, std::string peer_kind,
               std::size_t max_connections, Handlers handlers);
   ~FrameServer();
--- /dev/null
+++ b/src/control/maintenance_rows.cpp
@@ -0,0 +1,103 @@
+#include "control/maintenance_rows.h"
+
+#include <set>
+#include <string>
+
+#include "control/admin_names.h"
+#include "releases/disruption_budget.h"
+#include "releases/plan.h"
+
+namespace myrtlecroft::control {
+namespace {
+
+constexpr double kUnknownTimeLeft = -1;  // in ReleaseRow.left_s
+
+double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
+
+void add_lease_rows(const agreement::ReplicatedState& state, AdminAnswer& answer) {
+  for (const auto& [server, lease] : state.outings().leases()) {
+    MaintenanceLeaseRow& row = *answer.add_trips();
+    row.set_node(server);
+    row.set_why(name_of(lease.why));
+    row.set_place(agreement::name_of(lease.place));
+    row.set_version(lease.version);
+    row.set_in_place_s(seconds(state.time() - lease.since));
+    row.set_permit_s(seconds(lease.until - state.time()));
+  }
+}
+
+void add_budget_rows(const agreement::ControlReplica& replica, AdminAnswer& answer) {
+  std::set<std::string> leased;
+  for (const auto& [server, lease] : replica.agreed().outings().leases()) leased.insert(server);
+  const routing::Router& router = replica.router();
+  const releases::DisruptionBudget budget(router.fleet(), router.registry().all(), leased);
+  for (const releases::DisruptionBudget::Row& part : budget.rows()) {
+    BudgetRow& row = *answer.add_budgets();
+    row.set_name(part.name);
+    row.set_most(part.max);
+    row.set_out(part.out);
+    row.set_chosen(part.chosen);
+    row.set_all(part.all);
+  }
+}
+
+// How far the release has come, by the version that each server reports.
+void set_progress(const std::vector<routing::ServerStatus>& servers, ReleaseRow& row) {
+  double capacity = 0;
+  double updated_capacity = 0;
+  std::uint32_t updated = 0;
+  for (const routing::ServerStatus& server : servers) {
+    capacity += server.node.capacity;
+    if (server.version != row.version()) continue;
+    updated_capacity += server.node.capacity;
+    ++updated;
+  }
+  row.set_nodes(static_cast<std::uint32_t>(servers.size()));
+  row.set_nodes_with(updated);
+  row.set_reached(capacity > 0 ? updated_capacity / capacity : 0);
+}
+
+// By its rate so far; not known before the first server is updated.
+double time_left_s(const ReleaseRow& row, bool rolling_back) {
+  if (row.reached() <= 0) return kUnknownTimeLeft;
+  double remaining = rolling_back ? row.reached() : 1 - row.reached();
+  double done = rolling_back ? 1 - row.reached() : row.reached();
+  if (done <= 0) return kUnknownTimeLeft;
+  double elapsed_s = rolling_back ? row.in_phase_s() : row.age_s();
+  return elapsed_s * remaining / done;
+}
+
+void set_release_row(const ReplicatedControl& control, AdminAnswer& answer) {
+  const agreement::ReplicatedState& state = control.replica().agreed();
+  const agreement::Release& release = state.outings().release();
+  if (release.id() == 0) return;
+  ReleaseRow& row = *answer.mutable_release();
+  row.set_id(release.id());
+  row.set_name(release.plan().name());
+  row.set_version(release.plan().version());
+  row.set_phase(agreement::name_of(release.phase()));
+  row.set_wave(release.wave() + 1);
+  row.set_waves(releases::waves_of(release.plan()));
+  row.set_reason(release.reason());
+  row.set_age_s(seconds(state.time() - release.started_ns()));
+  row.set_in_phase_s(seconds(state.time() - release.since_ns()));
+  set_progress(control.replica().router().registry().all(), row);
+  for (const agreement::UpdatedServer& server : release.taken()) {
+    if (!server.failed().empty()) row.add_failed(server.node() + ": " + server.failed());
+  }
+  bool under_way = state.outings().under_way();
+  row.set_outlook(under_way ? control.rollout().outlook() : "");
+  row.set_left_s(under_way ? time_left_s(row, release.phase() == agreement::PHASE_BACK) : kUnknownTimeLeft);
+}
+
+}  // namespace
+
+void add_maintenance_rows(const ReplicatedControl& control, AdminAnswer& answer) {
+  const agreement::ReplicatedState& state = control.replica().agreed();
+  add_lease_rows(state, answer);
+  for (const std::string& server : state.outings().drains()) answer.add_drains(server);
+  add_budget_rows(control.replica(), answer);
+  set_release_row(control, answer);
+}
+
+}  // namespace myrtlecroft::control
--- a/src/control/peer_links.cpp
+++ b/src/control/peer_links.cpp
@@ -2,9 +2,10 @@
 
 #include <algorithm>
 #include <chrono>
-#include <stdexcept>
 #include <utility>
 
+#include "control/listen_error.h"
+
 namespace myrtlecroft::control {
 namespace {
 
@@ -12,92 +13,99 @@
 using consensus::PeerMessage;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kMaxInbox = 4'096;     // messages that the loop has not looked at
-constexpr std::size_t kMaxWaiting = 512;     // messages of one link
-constexpr std::size_t kMaxBytes = 16 << 20;  // of one link
-constexpr int kLargestMessage = 32 << 20;
-constexpr int kFirstBackoffMs = 100;
-constexpr int kLastBackoffMs = 500;
-constexpr auto kReopenAfter = std::chrono::milliseconds(100);  // a call that ended
-constexpr auto kStuckAfter =
-    std::chrono::milliseconds(2'000);  // a write that does not end: the link is dead, whatever TCP thinks
+constexpr std::size_t kMaxInbox = 4'096;           // messages that the loop has not handled
+constexpr std::size_t kMaxQueued = 512;            // messages of one link
+constexpr std::size_t kMaxQueuedBytes = 16 << 20;  // of one link
+constexpr int kMaxMessageBytes = 32 << 20;
+constexpr int kMinBackoffMs = 100;
+constexpr int kMaxBackoffMs = 500;
+constexpr auto kReopenDelay = std::chrono::milliseconds(100);  // a call that ended
+// A write that takes longer: the link is taken for dead, though TCP has not noticed.
+constexpr auto kWriteTimeout = std::chrono::milliseconds(2'000);
 
 }  // namespace
 
-// One other instance. Its calls may outlive us, so that they share it.
+// One other replica. Its calls may outlive the PeerLinks, so that they share it.
 struct PeerLinks::Link {
   std::mutex mutex;
   std::unique_ptr<consensus::Peers::Stub> stub;
-  std::deque<PeerMessage> waiting;
-  std::size_t bytes = 0;
-  Telling* telling = nullptr;  // the call that is open
+  std::deque<PeerMessage> queue;
+  std::size_t queued_bytes = 0;
+  OutboundCall* call = nullptr;  // that is open
   Clock::time_point ended_at{};
   Clock::time_point writing_since{};
   bool closing = false;
-  std::uint64_t left_out = 0;
+  std::uint64_t dropped = 0;
 };
 
-class PeerLinks::Telling final : public grpc::ClientWriteReactor<PeerMessage> {
+class PeerLinks::OutboundCall final : public grpc::ClientWriteReactor<PeerMessage> {
  public:
-  explicit Telling(std::shared_ptr<Link> link) : link_(std::move(link)) {}
-  // With the link's lock held. Writes begin on the loop's thread too, not only where gRPC tells of something:
-  // the hold keeps it from being done with us meanwhile.
+  explicit OutboundCall(std::shared_ptr<Link> link) : link_(std::move(link)) {}
+  // With the link's mutex locked. Writes begin on the loop's thread too, not only in gRPC's callbacks: the
+  // hold keeps OnDone from being called meanwhile.
   void begin() {
-    link_->stub->async()->Tell(&context_, &taken_, this);
+    link_->stub->async()->Tell(&context_, &acknowledgement_, this);
     AddHold();
     write_next();
     StartCall();
   }
   void write_next() {
-    if (writing_ || dropped_ || link_->waiting.empty()) return;
-    out_ = std::move(link_->waiting.front());
-    link_->waiting.pop_front();
-    link_->bytes -= out_.ByteSizeLong();
+    if (writing_ || released_ || link_->queue.empty()) return;
+    out_ = std::move(link_->queue.front());
+    link_->queue.pop_front();
+    link_->queued_bytes -= out_.ByteSizeLong();
     writing_ = true;
     link_->writing_since = Clock::now();
     StartWrite(&out_);
   }
-  bool stuck(Clock::time_point now) const {
-    return writing_ && !dropped_ && now - link_->writing_since > kStuckAfter;
+  bool is_stalled(Clock::time_point now) const {
+    return writing_ && !released_ && now - link_->writing_since > kWriteTimeout;
   }
   void cancel() {
     context_.TryCancel();
-    if (!writing_) drop();  // else the write that is out tells of the end
+    if (!writing_) release_hold();  // else OnWriteDone does
   }
 
   void OnWriteDone(bool ok) override {
     std::lock_guard lock(link_->mutex);
     writing_ = false;
-    ok ? write_next() : drop();
+    if (ok) {
+      write_next();
+    } else {
+      release_hold();
+    }
   }
   void OnDone(const grpc::Status&) override {
     {
       std::lock_guard lock(link_->mutex);
-      link_->telling = nullptr;
+      link_->call = nullptr;
       link_->ended_at = Clock::now();
     }
     delete this;
   }
 
  private:
-  void drop() {
-    if (!std::exchange(dropped_, true)) RemoveHold();
+  void release_hold() {
+    if (!std::exchange(released_, true)) RemoveHold();
   }
 
   std::shared_ptr<Link> link_;
   grpc::ClientContext context_;
-  Acknowledgement taken_;
+  Acknowledgement acknowledgement_;
   PeerMessage out_;
   bool writing_ = false;
-  bool dropped_ = false;
+  bool released_ = false;
 };
 
-class PeerLinks::Listening final : public grpc::ServerReadReactor<PeerMessage> {
+class PeerLinks::InboundCall final : public grpc::ServerReadReactor<PeerMessage> {
  public:
-  explicit Listening(PeerLinks& links) : links_(links) { StartRead(&in_); }
+  explicit InboundCall(PeerLinks& links) : links_(links) { StartRead(&in_); }
   void OnReadDone(bool ok) override {
-    if (!ok) return end();
-    links_.push(std::move(in_));
+    if (!ok) {
+      end();
+      return;
+    }
+    links_.enqueue(std::move(in_));
     in_ = {};
     StartRead(&in_);
   }
@@ -117,7 +125,7 @@
  public:
   explicit Service(PeerLinks& links) : links_(links) {}
   grpc::ServerReadReactor<PeerMessage>* Tell(grpc::CallbackServerContext*, Acknowledgement*) override {
-    return new Listening(links_);
+    return new InboundCall(links_);
   }
 
  private:
@@ -125,93 +133,105 @@
 };
 
 PeerLinks::PeerLinks(net::Loop& loop, const std::string& address,
-                     std::map<consensus::InstanceId, std::string> reach, FrameHandlers came)
-    : came_(std::move(came)),
-      reach_(std::move(reach)),
-      wake_(loop.base(), [this] { take(); }),
+                     std::map<consensus::InstanceId, std::string> address_overrides, MessageHandler received)
+    : received_(std::move(received)),
+      address_overrides_(std::move(address_overrides)),
+      inbox_wakeup_(loop.base(), [this] { deliver(); }),
       service_(std::make_unique<Service>(*this)) {
   grpc::ServerBuilder builder;
   builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &port_);
   builder.RegisterService(service_.get());
-  builder.SetMaxReceiveMessageSize(kLargestMessage);
+  builder.SetMaxReceiveMessageSize(kMaxMessageBytes);
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
   server_ = builder.BuildAndStart();
-  if (!server_ || port_ == 0) throw std::runtime_error("can't listen for other instances on " + address);
+  if (!server_ || port_ == 0) throw ListenError("other instances", address);
 }
 
 PeerLinks::~PeerLinks() {
   for (auto& [address, link] : links_) {
     std::lock_guard lock(link->mutex);
     link->closing = true;
-    if (link->telling) link->telling->cancel();
+    if (link->call) link->call->cancel();
   }
   server_->Shutdown(std::chrono::system_clock::now());
 }
 
-void PeerLinks::push(PeerMessage message) {
+void PeerLinks::enqueue(PeerMessage message) {
   {
     std::lock_guard lock(mutex_);
     if (inbox_.size() >= kMaxInbox) {
       inbox_.pop_front();
-      ++left_out_;
+      ++dropped_;
     }
     inbox_.push_back(std::move(message));
   }
-  wake_.fire();
+  inbox_wakeup_.fire();
 }
 
-void PeerLinks::take() {
-  std::deque<PeerMessage> came;
+void PeerLinks::deliver() {
+  std::deque<PeerMessage> messages;
   {
     std::lock_guard lock(mutex_);
-    came.swap(inbox_);
+    messages.swap(inbox_);
   }
-  for (const PeerMessage& message : came) came_(message);
+  for (const PeerMessage& message : messages) received_(message);
 }
 
-std::uint64_t PeerLinks::left_out() const {
+std::uint64_t PeerLinks::dropped() const {
   std::uint64_t out = 0;
   for (const auto& [address, link] : links_) {
     std::lock_guard lock(link->mutex);
-    out += link->left_out;
+    out += link->dropped;
   }
   std::lock_guard lock(mutex_);
-  return out + left_out_;
+  return out + dropped_;
 }
 
-// With the link's lock held.
+// With the link's mutex locked.
 void PeerLinks::open(const std::shared_ptr<Link>& link) {
-  if (link->closing || link->telling || Clock::now() - link->ended_at < kReopenAfter) return;
-  link->telling = new Telling(link);
-  link->telling->begin();
+  if (link->closing || link->call || Clock::now() - link->ended_at < kReopenDelay) return;
+  link->call = new OutboundCall(link);
+  link->call->begin();
+}
+
+std::shared_ptr<PeerLinks::Link> PeerLinks::make_link(const std::string& address) {
+  grpc::ChannelArguments arguments;
+  arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kMinBackoffMs);
+  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinBackoffMs);
+  arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxBackoffMs);
+  arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
+  arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
+  auto link = std::make_shared<Link>();
+  link->stub = consensus::Peers::NewStub(
+      grpc::CreateCustomChannel("ipv4:" + address, grpc::InsecureChannelCredentials(), arguments));
+  return link;
 }
 
-void PeerLinks::send(const PeerMessage& message, const std::string& known) {
-  auto own = reach_.find(message.to());
-  const std::string& address = own == reach_.end() ? known : own->second;
-  std::shared_ptr<Link>& link = links_[address];
-  if (!link) {
-    link = std::make_shared<Link>();
-    grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kFirstBackoffMs);
-    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kFirstBackoffMs);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kLastBackoffMs);
-    arguments.SetMaxReceiveMessageSize(kLargestMessage);
-    arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
-    link->stub = consensus::Peers::NewStub(
-        grpc::CreateCustomChannel("ipv4:" + address, grpc::InsecureChannelCredentials(), arguments));
+// With the link's mutex locked.
+void PeerLinks::enqueue(Link& link, const PeerMessage& message) {
+  link.queued_bytes += message.ByteSizeLong();
+  link.queue.push_back(message);
+  while (link.queue.size() > kMaxQueued || (link.queued_bytes > kMaxQueuedBytes && link.queue.size() > 1)) {
+    link.queued_bytes -= link.queue.front().ByteSizeLong();
+    link.queue.pop_front();
+    ++link.dropped;
   }
+}
+
+void PeerLinks::send(const PeerMessage& message, const std::string& address) {
+  auto overridden = address_overrides_.find(message.to());
+  const std::string& target = overridden == address_overrides_.end() ? address : overridden->second;
+  std::shared_ptr<Link>& link = links_[target];
+  if (!link) link = make_link(target);
   std::lock_guard lock(link->mutex);
-  link->bytes += message.ByteSizeLong();
-  link->waiting.push_back(message);
-  while (link->waiting.size() > kMaxWaiting || (link->bytes > kMaxBytes && link->waiting.size() > 1)) {
-    link->bytes -= link->waiting.front().ByteSizeLong();
-    link->waiting.pop_front();
-    ++link->left_out;
-  }
-  if (!link->telling) return open(link);
-  if (link->telling->stuck(Clock::now())) return link->telling->cancel();
-  link->telling->write_next();
+  enqueue(*link, message);
+  if (!link->call) {
+    open(link);
+  } else if (link->call->is_stalled(Clock::now())) {
+    link->call->cancel();
+  } else {
+    link->call->write_next();
+  }
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/peer_links.h
+++ b/src/control/peer_links.h
@@ -1,15 +1,17 @@
-// What instances say to each other, over gRPC: one call from each to each other that stays open. What is lost
-// with one is said again by whoever needs it. Nothing is decided here.
+// Messages between control replicas over gRPC: from each to each other one call that stays open. A message
+// that is lost with a call is not sent again from here. Owned by ReplicatedControl; used on the loop's
+// thread, while gRPC's threads write and read. Owns the listener and the calls.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
 
+#include <cstdint>
 #include <deque>
+#include <functional>
 #include <map>
 #include <memory>
 #include <mutex>
 #include <string>
-#include <vector>
 
 #include "consensus.grpc.pb.h"
 #include "consensus/raft_node.h"
@@ -19,35 +21,39 @@
 
 class PeerLinks final : public consensus::Transport {
  public:
-  using FrameHandlers = std::function<void(const consensus::PeerMessage&)>;
-  // Listens at `address` ("127.0.0.1:7401"). `came` is called from the loop. Throws std::runtime_error.
-  // `reach`: where an instance is reached from here, where that is not the address all know it by.
-  PeerLinks(net::Loop& loop, const std::string& address, std::map<consensus::InstanceId, std::string> reach,
-            FrameHandlers came);
+  using MessageHandler = std::function<void(const consensus::PeerMessage&)>;
+  // Listens at `address` ("127.0.0.1:7401"). `received` is called on the loop's thread. `address_overrides`:
+  // where a replica is reached from here, where that is not the address the cluster knows. Throws
+  // ListenError.
+  PeerLinks(net::Loop& loop, const std::string& address,
+            std::map<consensus::InstanceId, std::string> address_overrides, MessageHandler received);
   ~PeerLinks() override;
 
-  // Beyond what a link takes, the oldest that waits is left out.
+  // Queues the message. Beyond the queue's bounds the oldest ones are dropped.
   void send(const consensus::PeerMessage& message, const std::string& address) override;
   int port() const { return port_; }
-  std::uint64_t left_out() const;  // messages that a link did not take
+  // Messages dropped since the start, because a link or the loop did not take them.
+  std::uint64_t dropped() const;
 
  private:
   class Service;
-  class Listening;
-  class Telling;
+  class InboundCall;
+  class OutboundCall;
   struct Link;
 
-  void take();
-  void push(consensus::PeerMessage message);
+  void deliver();
+  void enqueue(consensus::PeerMessage message);
+  static std::shared_ptr<Link> make_link(const std::string& address);
+  static void enqueue(Link& link, const consensus::PeerMessage& message);
   static void open(const std::shared_ptr<Link>& link);
 
-  FrameHandlers came_;
-  std::map<consensus::InstanceId, std::string> reach_;
+  MessageHandler received_;
+  std::map<consensus::InstanceId, std::string> address_overrides_;
   mutable std::mutex mutex_;
   std::deque<consensus::PeerMessage> inbox_;
-  std::uint64_t left_out_ = 0;
-  net::CrossThreadWakeup wake_;
-  std::map<std::string, std::shared_ptr<Link>> links_;
+  std::uint64_t dropped_ = 0;  // from the inbox
+  net::CrossThreadWakeup inbox_wakeup_;
+  std::map<std::string, std::shared_ptr<Link>> links_;  // by address
   std::unique_ptr<Service> service_;
   int port_ = 0;
   std::unique_ptr<grpc::Server> server_;
--- a/src/control/release_watch.cpp
+++ b/src/control/release_watch.cpp
@@ -4,6 +4,7 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cstdio>
 #include <stdexcept>
 #include <string>
 
@@ -12,22 +13,44 @@
 namespace myrtlecroft::control {
 namespace {
 
-constexpr int kEveryMs = 500;
+constexpr int kRefreshMs = 500;
+constexpr int kMinProgressWidth = 10;   // characters
+constexpr int kProgressTextWidth = 40;  // characters after the bar
 
-// The terminal is as it was again, whatever happens.
+// Thrown where standard output is no terminal.
+class NoTerminalError final : public std::runtime_error {
+ public:
+  NoTerminalError() : std::runtime_error("--watch needs a terminal") {}
+};
+
+// Restores the terminal on destruction.
 class Screen {
  public:
   Screen() {
-    if (!::isatty(STDOUT_FILENO) || !::initscr()) throw std::runtime_error("--watch needs a terminal");
+    if (!::isatty(STDOUT_FILENO) || !::initscr()) throw NoTerminalError();
     ::cbreak();
     ::noecho();
     ::curs_set(0);
-    ::timeout(kEveryMs);
+    ::timeout(kRefreshMs);
   }
   Screen(const Screen&) = delete;
   Screen& operator=(const Screen&) = delete;
   ~Screen() { ::endwin(); }
-  void line(int row, const std::string& text) { mvaddnstr(row, 0, text.c_str(), COLS); }
+  // Writes the next line from the top, as far as it fits.
+  void add_line(const std::string& text) {
+    mvaddnstr(next_row_, 0, text.c_str(), COLS);
+    ++next_row_;
+  }
+  void add_empty_line() { ++next_row_; }
+  void write_bottom_line(const std::string& text) { mvaddnstr(LINES - 1, 0, text.c_str(), COLS); }
+  int lines_left() const { return LINES - 1 - next_row_; }  // above the bottom line
+  void clear() {
+    ::erase();
+    next_row_ = 0;
+  }
+
+ private:
+  int next_row_ = 0;
 };
 
 bool is_over(const AdminAnswer& answer) {
@@ -35,47 +58,52 @@
          answer.release().phase() == "taken back";
 }
 
-std::string amount(double value) {
+std::string capacity(double value) {
   char out[32];
   std::snprintf(out, sizeof out, "%8.2f", value);
   return out;
 }
 
+std::string headline(const AdminAnswer& answer) {
+  const ReleaseRow& row = answer.release();
+  return "release " + std::to_string(row.id()) + " '" + row.name() + "': " + row.phase() + ", wave " +
+         std::to_string(row.wave()) + " of " + std::to_string(row.waves()) + ", " +
+         std::to_string(row.nodes_with()) + " of " + std::to_string(row.nodes()) + " nodes" +
+         (answer.in_touch() ? "" : "  OUT OF TOUCH with a majority");
+}
+
 void draw(Screen& screen, const AdminAnswer& answer) {
-  ::erase();
+  screen.clear();
   const ReleaseRow& row = answer.release();
-  int at = 0;
-  screen.line(at++, "release " + std::to_string(row.id()) + " '" + row.name() + "': " + row.phase() +
-                        ", wave " + std::to_string(row.wave()) + " of " + std::to_string(row.waves()) + ", " +
-                        std::to_string(row.nodes_with()) + " of " + std::to_string(row.nodes()) + " nodes" +
-                        (answer.in_touch() ? "" : "  OUT OF TOUCH with a majority"));
-  screen.line(at++, progress(row, static_cast<std::size_t>(std::max(10, COLS - 40))));
-  if (!row.reason().empty()) screen.line(at++, "why: " + row.reason());
-  if (!row.outlook().empty()) screen.line(at++, "now: " + row.outlook());
-  for (const std::string& failed : row.failed()) screen.line(at++, "failed: " + failed);
-  ++at;
+  screen.add_line(headline(answer));
+  int width = std::max(kMinProgressWidth, COLS - kProgressTextWidth);
+  screen.add_line(progress_line(row, static_cast<std::size_t>(width)));
+  if (!row.reason().empty()) screen.add_line("why: " + row.reason());
+  if (!row.outlook().empty()) screen.add_line("now: " + row.outlook());
+  for (const std::string& failed : row.failed()) screen.add_line("failed: " + failed);
+  screen.add_empty_line();
   for (const BudgetRow& budget : answer.budgets()) {
-    if (budget.out() <= 0 || at >= LINES - 2) continue;
-    screen.line(at++, amount(budget.out()) + " of " + amount(budget.most()) + " out of " + budget.name());
+    if (budget.out() <= 0 || screen.lines_left() <= 1) continue;
+    screen.add_line(capacity(budget.out()) + " of " + capacity(budget.most()) + " out of " + budget.name());
   }
-  ++at;
-  for (const MaintenanceLeaseRow& trip : answer.trips()) {
-    if (at >= LINES - 1) break;
-    screen.line(at++, trip.node() + ": " + trip.why() + ", " + trip.place() + " for " +
-                          std::to_string(static_cast<int>(trip.in_place_s())) + " s");
+  screen.add_empty_line();
+  for (const MaintenanceLeaseRow& lease : answer.trips()) {
+    if (screen.lines_left() <= 0) break;
+    screen.add_line(lease.node() + ": " + lease.why() + ", " + lease.place() + " for " +
+                    std::to_string(static_cast<int>(lease.in_place_s())) + " s");
   }
-  screen.line(LINES - 1, "q: leave; the release goes on");
+  screen.write_bottom_line("q: leave; the release goes on");
   ::refresh();
 }
 
 }  // namespace
 
-void watch_release(const std::function<AdminAnswer()>& ask) {
+void watch_release(const std::function<AdminAnswer()>& poll_status) {
   AdminAnswer last;
   {
     Screen screen;
     do {
-      last = ask();
+      last = poll_status();
       draw(screen, last);
     } while (!is_over(last) && ::getch() != 'q');
   }
--- a/src/control/release_watch.h
+++ b/src/control/release_watch.h
@@ -1,4 +1,4 @@
-// A release on the terminal while it runs.
+// Shows a release on the terminal while it runs. Called by main.cpp.
 #pragma once
 
 #include <functional>
@@ -7,8 +7,9 @@
 
 namespace myrtlecroft::control {
 
-// Asks again and again, until the release is over or 'q' is pressed. Throws std::runtime_error where nobody
-// answers any more, or where there is no terminal.
-void watch_release(const std::function<AdminAnswer()>& ask);
+// Calls `poll_status` twice a second and redraws, until the release is over or 'q' is pressed; prints the
+// last answer as a table then. Throws std::runtime_error where there is no terminal, and what `poll_status`
+// throws.
+void watch_release(const std::function<AdminAnswer()>& poll_status);
 
 }  // namespace myrtlecroft::control
--- /dev/null
+++ b/src/control/report_receiver.cpp
@@ -0,0 +1,110 @@
+#include "control/report_receiver.h"
+
+#include <optional>
+#include <utility>
+
+#include "control/admin_names.h"
+
+namespace myrtlecroft::control {
+namespace {
+
+using Verdict = routing::ServerRegistry::Verdict;
+
+constexpr std::size_t kSpareReporters = 32;       // beyond two connections for each server of the fleet file
+constexpr std::size_t kMaxLoggedNameLength = 64;  // characters
+
+const char* reason_of(Verdict verdict) {
+  switch (verdict) {
+    case Verdict::kTaken:
+      return "";
+    case Verdict::kUnknownNode:
+      return "the fleet file has no such server";
+    case Verdict::kOtherAddress:
+      return "its address differs from the fleet file's";
+    case Verdict::kFuture:
+      return "its clock is ahead of this host's";
+    case Verdict::kStale:
+      return "it is older than a report received before";
+  }
+  return "";
+}
+
+}  // namespace
+
+ReportReceiver::ReportReceiver(net::Loop& loop, service::Logger& log, const sockaddr_in& address,
+                               Targets targets)
+    : loop_(loop),
+      log_(log),
+      targets_(std::move(targets)),
+      server_(loop, log, address, "reporter", max_reporters(),
+              {.received = [this](FrameServer::Id id, net::Connection& connection,
+                                  std::string_view bytes) { return received(id, connection, bytes); },
+               .closed = [this](FrameServer::Id id) { closed(id); }}) {}
+
+std::size_t ReportReceiver::max_reporters() const {
+  return 2 * targets_.router.fleet().nodes.size() + kSpareReporters;
+}
+
+std::size_t ReportReceiver::received(FrameServer::Id id, net::Connection& connection,
+                                     std::string_view bytes) {
+  report::Malformed malformed{};
+  std::size_t consumed = report::decode(
+      bytes, [&](const report::LoadReport& report) { handle(id, connection, report); }, malformed);
+  if (malformed != report::Malformed::kNo) {
+    log_.frequent("reporter " + std::to_string(id) +
+                  " sent a malformed report: " + report::name_of(malformed));
+    connection.end(net::Reason::kMalformed);
+  }
+  return consumed;
+}
+
+void ReportReceiver::handle(FrameServer::Id id, net::Connection& connection,
+                            const report::LoadReport& report) {
+  Verdict verdict = targets_.router.reported(report, loop_.now(), net::Loop::unix_now());
+  if (verdict == Verdict::kTaken) {
+    accepted(id, report);
+    if (targets_.replica && report.obeys) send_assignment(connection, report);
+    return;
+  }
+  rejected(report, reason_of(verdict));
+  if (verdict == Verdict::kUnknownNode) connection.end(net::Reason::kMalformed);
+}
+
+void ReportReceiver::accepted(FrameServer::Id id, const report::LoadReport& report) {
+  rejection_reasons_.erase(report.node);
+  if (links_.assign(id, report.node)) targets_.router.report_link(report.node, true, loop_.now());
+  std::string mode = std::string(name_of(report.mode)) + (report.draining ? " draining" : "");
+  std::string& last_mode = modes_[report.node];
+  if (last_mode == mode) return;
+  last_mode = std::move(mode);
+  targets_.mode_changed();
+}
+
+// Logged once for each server and reason. Names are the reporters' own, so that what is held of them is
+// bounded.
+void ReportReceiver::rejected(const report::LoadReport& report, const std::string& reason) {
+  if (modes_.size() > max_reporters()) modes_.clear();
+  if (rejection_reasons_.size() > max_reporters()) rejection_reasons_.clear();
+  std::string& last_reason = rejection_reasons_[report.node];
+  if (last_reason == reason) return;
+  last_reason = reason;
+  log_.line("reports of server " + report.node.substr(0, kMaxLoggedNameLength) + " are rejected: " + reason);
+}
+
+void ReportReceiver::closed(FrameServer::Id id) {
+  std::optional<std::string> server = links_.closed(id);
+  if (server) targets_.router.report_link(*server, false, loop_.now());
+}
+
+// To a server that acts on an older assignment, or on none.
+void ReportReceiver::send_assignment(net::Connection& connection, const report::LoadReport& report) {
+  fencing::ShardAssignment assignment = targets_.replica->order_for(report.node);
+  if (assignment.epoch.number == 0 || assignment.incarnation != report.incarnation) return;
+  if (report.epoch >= assignment.epoch) return;
+  // No server restarts by a replica that does not know whether its lease still holds.
+  if (assignment.restart_as && !targets_.replica->has_quorum()) return;
+  assignment.answers = report.sequence;
+  connection.write(report::encode(assignment));
+}
+
+}  // namespace myrtlecroft::control
--- a/src/control/reporter_links.h
+++ b/src/control/reporter_links.h
@@ -1,4 +1,4 @@
-// Which server reports over which connection.
+// Which server reports over which connection. Used by ReportReceiver on the loop's thread. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,35 +15,38 @@
  public:
   using ConnectionId = std::uint64_t;
 
-  // True where this connection had named no server before, or another.
-  bool names(ConnectionId id, const std::string& node) {
-    std::string& before = nodes_[id];
-    if (before == node) return false;
-    if (!before.empty()) release(before);
-    before = node;
-    ++connections_[node];
+  // Records that a report of `server` was received on the connection. True where the connection had named no
+  // server before, or another.
+  bool assign(ConnectionId id, const std::string& server) {
+    std::string& assigned = servers_[id];
+    if (assigned == server) return false;
+    if (!assigned.empty()) release(assigned);
+    assigned = server;
+    ++connections_[server];
     return true;
   }
 
-  // The server that has no connection left by this; nothing where it has another, or named none.
-  std::optional<std::string> ended(ConnectionId id) {
-    auto found = nodes_.find(id);
-    if (found == nodes_.end()) return std::nullopt;
-    std::string node = std::move(found->second);
-    nodes_.erase(found);
-    return release(node) ? std::nullopt : std::optional(node);
+  // The server that has no connection left after this one closed; nothing where it has another, or where the
+  // connection named none.
+  std::optional<std::string> closed(ConnectionId id) {
+    auto found = servers_.find(id);
+    if (found == servers_.end()) return std::nullopt;
+    std::string server = std::move(found->second);
+    servers_.erase(found);
+    if (release(server) > 0) return std::nullopt;
+    return server;
   }
 
  private:
-  // How many connections the server still has.
-  std::size_t release(const std::string& node) {
-    auto found = connections_.find(node);
+  // Returns how many connections the server still has.
+  std::size_t release(const std::string& server) {
+    auto found = connections_.find(server);
     std::size_t left = --found->second;
     if (left == 0) connections_.erase(found);
     return left;
   }
 
-  std::map<ConnectionId, std::string> nodes_;
+  std::map<ConnectionId, std::string> servers_;
   std::unordered_map<std::string, std::size_t> connections_;  // of each server; only looked up
 };
 
--- a/src/control/state_store.cpp
+++ b/src/control/state_store.cpp
@@ -3,7 +3,6 @@
 #include <sys/stat.h>
 
 #include <random>
-#include <stdexcept>
 #include <utility>
 
 namespace myrtlecroft::control {
@@ -11,37 +10,31 @@
 
 const std::string kStateKey = "state";
 
-// What versions before 0.7 kept was one file.
-const std::string& folder_at(const std::string& path) {
-  struct stat what {};
-  if (::stat(path.c_str(), &what) == 0 && !S_ISDIR(what.st_mode)) {
-    throw std::runtime_error(
-        path +
-        " is a file of an earlier version, and a folder is wanted: move it away; without "
-        "it deduplicated groups are closed for one window");
-  }
+const std::string& checked_folder(const std::string& path) {
+  struct stat status {};
+  if (::stat(path.c_str(), &status) == 0 && !S_ISDIR(status.st_mode)) throw StateFolderError(path);
   return path;
 }
 
 }  // namespace
 
-StateStore::StateStore(const std::string& folder, net::Loop& loop, std::function<void(bool)> told)
-    : disk_(folder_at(folder)),
+StateStore::StateStore(const std::string& folder, net::Loop& loop, SaveDone save_done)
+    : disk_(checked_folder(folder)),
       store_(
           disk_, {}, [&loop] { return loop.now(); }, std::random_device()()),
-      told_(std::move(told)),
-      wake_(loop.base(), [this] { committer_->take_done(); }) {
+      save_done_(std::move(save_done)),
+      wakeup_(loop.base(), [this] { committer_->take_done(); }) {
   store_.open();
-  if (auto record = store_.get(kStateKey)) found_ = std::move(record->value);
+  if (auto record = store_.get(kStateKey)) loaded_ = std::move(record->value);
   committer_ = std::make_unique<store::GroupCommitter>(
-      store_, store::CommitterOptions{}, [&loop] { return loop.now(); }, [this] { wake_.fire(); });
+      store_, store::CommitterOptions{}, [&loop] { return loop.now(); }, [this] { wakeup_.fire(); });
 }
 
-void StateStore::keep(const std::string& bytes) {
-  busy_ = true;
+void StateStore::save(const std::string& bytes) {
+  saving_ = true;
   committer_->put(kStateKey, bytes, 0, [this](bool durable) {
-    busy_ = false;
-    told_(durable);
+    saving_ = false;
+    save_done_(durable ? SaveResult::kDurable : SaveResult::kFailed);
   });
 }
 
--- a/src/control/tables.h
+++ b/src/control/tables.h
@@ -1,17 +1,19 @@
-// What the program prints of an answer.
+// What the program prints of an admin answer. Called by main.cpp and release_watch.cpp. Column titles and
+// words are read by operators' scripts and stay as they are.
 #pragma once
 
+#include <cstddef>
 #include <string>
 
 #include "control.pb.h"
 
 namespace myrtlecroft::control {
 
-void print_table(const AdminAnswer& answer, const std::string& question);
-// A line of progress: "[#####.....] 52%, about 40 s left".
-std::string progress(const ReleaseRow& row, std::size_t width);
+// Prints the summary and the table of the query to standard output. `query` is the line that was sent,
+// without its options.
+void print_table(const AdminAnswer& answer, const std::string& query);
 
-// Which rows a long answer has, and how the others are seen.
-std::string page_line(const AdminAnswer& answer);
+// A line of progress: "[#####.....] 52%, about 40 s left". `width` is the bar's, in characters.
+std::string progress_line(const ReleaseRow& row, std::size_t width);
 
 }  // namespace myrtlecroft::control
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -1,5 +1,5 @@
-// A whole control service on loopback, servers that report as the story says, and a clock that is the real
-// one: stories wait for what they expect, with a limit, and never sleep for it.
+// A control service on loopback with the real clock, and reporters that stand in for servers. Used by tests
+// that await what they expect, with a limit, instead of sleeping.
 #pragma once
 
 #include <arpa/inet.h>
@@ -25,7 +25,8 @@
 
 namespace myrtlecroft::control {
 
-class QuietLog final : public service::Logger {
+// Retains all lines, from any thread.
+class RecordingLogger final : public service::Logger {
  public:
   void line(const std::string& text) override {
     std::lock_guard lock(mutex_);
@@ -46,19 +47,21 @@
   std::vector<std::string> lines_;
 };
 
-class Folder {
+// Removed on destruction.
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     char name[] = "/tmp/myrtlecroft_control.XXXXXX";
     path_ = mkdtemp(name);
   }
-  ~Folder() { std::filesystem::remove_all(path_); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
   std::string file(const std::string& name) const { return path_ + "/" + name; }
 
  private:
   std::string path_;
 };
 
+// Polls until `expected` holds; false where it does not within the limit.
 inline bool await(const std::function<bool()>& expected, int limit_ms = 15'000) {
   auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(limit_ms);
   while (std::chrono::steady_clock::now() < until) {
@@ -73,25 +76,26 @@
 // A control service in a thread of its own.
 class RunningControl {
  public:
-  explicit RunningControl(ControlOptions options) : thread_([this, options = std::move(options)] { run(options); }) {
+  explicit RunningControl(ControlOptions options)
+      : thread_([this, options = std::move(options)] { run(options); }) {
     ready_.get_future().get();
   }
   ~RunningControl() {
     stop_ = true;
     thread_.join();
   }
-  // Runs it in the loop's thread and waits for it.
-  template <class Look>
-  auto look(Look look) {
-    std::promise<decltype(look(std::declval<Control&>()))> answer;
+  // Runs `task` in the loop's thread and waits for its result.
+  template <class Task>
+  auto run_in_loop(Task task) {
+    std::promise<decltype(task(std::declval<Control&>()))> result;
     {
       std::lock_guard lock(mutex_);
-      todo_.push_back([&] { answer.set_value(look(*control_)); });
+      tasks_.push_back([&] { result.set_value(task(*control_)); });
     }
-    return answer.get_future().get();
+    return result.get_future().get();
   }
   std::string state_of(const std::string& node) {
-    return look([&](Control& control) -> std::string {
+    return run_in_loop([&](Control& control) -> std::string {
       for (const routing::ServerStatus& server : control.router().registry().all()) {
         if (server.node.name == node) return routing::name_of(server.state);
       }
@@ -101,7 +105,7 @@
   std::uint16_t discovery_port() const { return discovery_port_; }
   std::uint16_t reports_port() const { return reports_port_; }
   std::uint16_t admin_port() const { return admin_port_; }
-  const QuietLog& log() const { return log_; }
+  const RecordingLogger& log() const { return log_; }
 
  private:
   void run(const ControlOptions& options) {
@@ -110,40 +114,44 @@
     discovery_port_ = control_->discovery_port();
     reports_port_ = control_->reports_port();
     admin_port_ = control_->admin_port();
-    net::Timer look(loop.base(), [&] {
-      std::vector<std::function<void()>> todo;
+    net::Timer poll(loop.base(), [&] {
+      std::vector<std::function<void()>> tasks;
       {
         std::lock_guard lock(mutex_);
-        todo.swap(todo_);
+        tasks.swap(tasks_);
+      }
+      for (auto& task : tasks) task();
+      if (stop_) {
+        loop.stop();
+      } else {
+        poll.set(2 * kMs);
       }
-      for (auto& one : todo) one();
-      stop_ ? loop.stop() : look.set(2 * kMs);
     });
-    look.set(0);
+    poll.set(0);
     ready_.set_value();
     loop.run();
     control_.reset();
   }
 
-  QuietLog log_;
+  RecordingLogger log_;
   std::unique_ptr<Control> control_;
   std::promise<void> ready_;
   std::atomic<bool> stop_ = false;
   std::mutex mutex_;
-  std::vector<std::function<void()>> todo_;
+  std::vector<std::function<void()>> tasks_;
   std::uint16_t discovery_port_ = 0;
   std::uint16_t reports_port_ = 0;
   std::uint16_t admin_port_ = 0;
   std::thread thread_;
 };
 
-// Says for many servers what the story has them say, ten times a second, and connects again where it must.
+// Sends load reports of many servers ten times a second, as a test sets them, and reconnects where it must.
 class Reporters {
  public:
   explicit Reporters(std::uint16_t port) : port_(port), thread_([this] { run(); }) {}
   ~Reporters() {
     stop_ = true;
-    wake_.notify_one();
+    wakeup_.notify_one();
     thread_.join();
     for (auto& [name, socket] : sockets_) ::close(socket);
   }
@@ -153,7 +161,7 @@
       change(reports_[node]);
       changed_ = true;
     }
-    wake_.notify_one();
+    wakeup_.notify_one();
   }
   void add(const std::string& node, const std::string& address) {
     set(node, [&](report::LoadReport& report) {
@@ -165,9 +173,10 @@
       report.limit = 8;
     });
   }
-  void quiet(const std::string& node, bool quiet) {
+  // While paused no report of the server is sent.
+  void pause(const std::string& node, bool paused) {
     std::lock_guard lock(mutex_);
-    quiet_[node] = quiet;
+    paused_[node] = paused;
   }
 
  private:
@@ -176,11 +185,11 @@
       {
         std::lock_guard lock(mutex_);
         for (auto& [name, report] : reports_) {
-          if (!quiet_[name]) send(name, report);
+          if (!paused_[name]) send(name, report);
         }
       }
       std::unique_lock lock(mutex_);
-      wake_.wait_for(lock, std::chrono::milliseconds(100), [this] { return changed_ || stop_; });
+      wakeup_.wait_for(lock, std::chrono::milliseconds(100), [this] { return changed_ || stop_; });
       changed_ = false;
     }
   }
@@ -207,10 +216,10 @@
   std::uint16_t port_;
   std::atomic<bool> stop_ = false;
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable wakeup_;
   bool changed_ = false;
   std::map<std::string, report::LoadReport> reports_;
-  std::map<std::string, bool> quiet_;
+  std::map<std::string, bool> paused_;
   std::map<std::string, int> sockets_;
   std::thread thread_;
 };
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1,81 +1,17 @@
-// The control service as a whole: on loopback, killed, with a sick disk, with broken peers, with a crowd.
+// A control service on loopback: a disk that fails, a reload, malformed input, many proxies.
+#include "control/control.h"
+
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
 #include <csignal>
-#include <stdexcept>
 
-#include "../standin/ads_link.h"
-#include "../standin/child.h"
 #include "control/admin_client.h"
-#include "control_harness.h"
-#include "routing_fakes.h"
+#include "control_site.h"
 
 namespace myrtlecroft::control {
 namespace {
 
-using standin::AdsLink;
-using standin::Child;
-
-std::string fleet_text(int nodes, const std::string& bounds = "") {
-  std::string listed;
-  for (int i = 1; i <= nodes; ++i) {
-    listed += std::string(i > 1 ? ",\n" : "") + "{ name = \"n" + std::to_string(i) + "\"; zone = \"" +
-              (i % 2 ? "a" : "b") + "\"; address = \"127.0.0.1:" + std::to_string(20'000 + i) + "\"; }";
-  }
-  return "version = 1; listener = \"fleet\"; proxies = 10; nodes = (" + listed +
-         ");\n"
-         "groups = ({ name = \"read\"; repeats = \"repeatable\"; timeout_ms = 500; },\n"
-         "{ name = \"set\"; repeats = \"mutating\"; timeout_ms = 500; },\n"
-         "{ name = \"book\"; repeats = \"deduplicated\"; window_ms = 500; timeout_ms = 500; });\n"
-         "bounds = { silent_ms = 600; dwell_ms = 300; ramp_ms = 300; settle_ms = 20; most_out = 0.6; " +
-         bounds + "};\n";
-}
-
-struct Site {
-  explicit Site(int nodes = 3, const std::string& bounds = "") { write(fleet_text(nodes, bounds)); }
-  void write(const std::string& text) const { std::ofstream(folder.file("fleet.conf")) << text; }
-  ControlOptions options() const {
-    return {.fleet_path = folder.file("fleet.conf"),
-            .state_folder = folder.file("state"),
-            .first_start = true,
-            .addresses = {"127.0.0.1:0", loopback(0), loopback(0)}};
-  }
-  Folder folder;
-};
-
-bool has_nodes(const AdsLink& link, int count) {
-  auto applied = link.applied();
-  return applied && applied->endpoints.at("group/read")->endpoints_size() == count;
-}
-
-std::string target(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
-
-// ---- The last good state
-
-using routing_state::SavedState;
-SavedState some_state() {
-  routing::FleetWorld world;
-  world.run(3 * kSecond);
-  return {world.router.memory(), {"p1", "p2"}};
-}
-
-TEST(SavedState, IsReadBackAsItWas) {
-  SavedState state = some_state();
-  auto back = routing_state::unpacked(routing_state::packed(state));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->memory, state.memory);
-  EXPECT_EQ(back->proxies, state.proxies);
-}
-
-TEST(SavedState, AFileOfAnEarlierVersionIsNotTakenForAFolder) {
-  Site site;
-  std::ofstream(site.folder.file("state")) << "MYRTCTRL";
-  net::Loop loop;
-  QuietLog log;
-  EXPECT_THROW(Control(loop, log, site.options()), std::runtime_error);
-}
-
 // No file of this process may grow while it lives.
 struct FullDisk {
   FullDisk() {
@@ -88,101 +24,41 @@
   rlimit before{};
 };
 
-TEST(Control, WithASickDiskItServesOnWhatItServedAndSaysSo) {
+TEST(ControlTest, LastPublicationIsServedAndLoggedWhileTheDiskFails) {
   Site site;
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
   for (int i = 1; i <= 3; ++i)
     reporters.add("n" + std::to_string(i), "127.0.0.1:" + std::to_string(20'000 + i));
   AdsLink link(target(control.discovery_port()), true, "p1");
-  ASSERT_TRUE(await([&] { return has_nodes(link, 3) && control.state_of("n3") == "serving"; }));
+  ASSERT_TRUE(await([&] { return has_servers(link, 3) && control.state_of("n3") == "serving"; }));
   auto full = std::make_unique<FullDisk>();
   reporters.set("n3", [](auto& report) { report.draining = true; });
-  ASSERT_TRUE(await([&] { return control.log().has("served on until the disk is well"); }));
-  EXPECT_TRUE(has_nodes(link, 3));
+  ASSERT_TRUE(await([&] { return control.log().has("is served until a write succeeds"); }));
+  EXPECT_TRUE(has_servers(link, 3));
   EXPECT_TRUE(AdminClient(loopback(control.admin_port())).call("nodes").disk_fails());
   full.reset();
-  ASSERT_TRUE(await([&] { return has_nodes(link, 2); }));
-  EXPECT_TRUE(control.log().has("kept on disk again"));
+  ASSERT_TRUE(await([&] { return has_servers(link, 2); }));
+  EXPECT_TRUE(control.log().has("writes succeed again"));
 }
 
-// ---- Killed and started again
-
-TEST(Control, KilledInTheMiddleOfPushesProxiesKeepTheLastSetAndNothingIsEmptied) {
-  Site site(40);
-  auto port = [](int offset) { return std::to_string(21'000 + getpid() % 3000 * 3 + offset); };
-  std::vector<std::string> command = {MYRTLECROFT_CONTROL,
-                                      "serve",
-                                      "--fleet",
-                                      site.folder.file("fleet.conf"),
-                                      "--state",
-                                      site.folder.file("state"),
-                                      "--xds",
-                                      "127.0.0.1:" + port(0),
-                                      "--reports",
-                                      "127.0.0.1:" + port(1),
-                                      "--admin",
-                                      "127.0.0.1:" + port(2)};
-  std::vector<std::string> first = command;
-  first.push_back("--first-start");
-  Child control(first, site.folder.file("log"));
-  Reporters reporters(static_cast<std::uint16_t>(std::stoi(port(1))));
-  for (int i = 1; i <= 40; ++i)
-    reporters.add("n" + std::to_string(i), "127.0.0.1:" + std::to_string(20'000 + i));
-  std::vector<std::unique_ptr<AdsLink>> links;
-  for (int i = 0; i < 8; ++i) {
-    links.push_back(std::make_unique<AdsLink>("127.0.0.1:" + port(0), i % 2 == 0, "p" + std::to_string(i)));
-  }
-  auto all_have = [&](int count) {
-    return std::all_of(links.begin(), links.end(), [&](const auto& link) { return has_nodes(*link, count); });
-  };
-  ASSERT_TRUE(await([&] { return all_have(40); }));
-  for (int round = 0; round < 4; ++round) {
-    for (int i = 1; i <= 10; ++i) {
-      reporters.set("n" + std::to_string(i), [&](auto& report) { report.draining = round % 2 == 0; });
-    }
-    // As soon as the first of them has it, the service is gone.
-    ASSERT_TRUE(await([&] {
-      return std::any_of(links.begin(), links.end(),
-                         [&](const auto& link) { return has_nodes(*link, round % 2 == 0 ? 30 : 40); });
-    }));
-    control.end(SIGKILL);
-    for (auto& link : links) {
-      ASSERT_TRUE(link->applied());
-      EXPECT_GE(link->applied()->endpoints.at("group/read")->endpoints_size(), 30);
-      EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
-    }
-    if (round == 3) {  // it comes back with a changed fleet file, and no server reports
-      for (int i = 1; i <= 40; ++i) reporters.quiet("n" + std::to_string(i), true);
-      site.write(fleet_text(38));
-    }
-    control = Child(command, site.folder.file("log"));
-    if (round < 3) ASSERT_TRUE(await([&] { return all_have(round % 2 == 0 ? 30 : 40); }));
-  }
-  ASSERT_TRUE(await([&] { return all_have(38); }));
-  for (auto& link : links) EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
-  EXPECT_EQ(control.end(SIGTERM), 0);
-}
-
-TEST(Control, AReloadOfABadFileChangesNothing) {
+TEST(ControlTest, ReloadOfAnInvalidFileChangesNothing) {
   Site site;
   RunningControl control(site.options());
   AdsLink link(target(control.discovery_port()), false, "p1");
-  ASSERT_TRUE(await([&] { return has_nodes(link, 3); }));
+  ASSERT_TRUE(await([&] { return has_servers(link, 3); }));
   site.write("version = 1; nodes = ( { name = \"n1\" } );");
-  control.look([](Control& one) { return one.reload(), 0; });
-  EXPECT_TRUE(control.log().has("stays in force"));
+  control.run_in_loop([](Control& one) { return one.reload(), 0; });
+  EXPECT_TRUE(control.log().has("the previous fleet file stays in use"));
   EXPECT_TRUE(control.log().has("nodes[0].address: is missing"));
-  EXPECT_TRUE(has_nodes(link, 3));
+  EXPECT_TRUE(has_servers(link, 3));
   site.write(fleet_text(2));
-  control.look([](Control& one) { return one.reload(), 0; });
-  EXPECT_TRUE(await([&] { return has_nodes(link, 2); }));
+  control.run_in_loop([](Control& one) { return one.reload(), 0; });
+  EXPECT_TRUE(await([&] { return has_servers(link, 2); }));
   EXPECT_EQ(link.half_applied(), 0);
 }
 
-// ---- Peers that make no sense
-
-TEST(Control, BrokenReportsEndThatConnectionAndNoOther) {
+TEST(ControlTest, MalformedReportClosesItsConnectionAndNoOther) {
   Site site;
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
@@ -202,18 +78,18 @@
   EXPECT_TRUE(control.log().has("frame too large"));
   EXPECT_TRUE(control.log().has("version unknown"));
   reporters.add("stranger", "127.0.0.1:1");
-  EXPECT_TRUE(await([&] { return control.log().has("names no such node"); }));
+  EXPECT_TRUE(await([&] { return control.log().has("the fleet file has no such server"); }));
   reporters.set("n2", [](auto& report) { report.address = "127.0.0.1:9"; });
-  EXPECT_TRUE(await([&] { return control.log().has("listens at another address"); }));
+  EXPECT_TRUE(await([&] { return control.log().has("its address differs from the fleet file's"); }));
   EXPECT_TRUE(await([&] { return control.state_of("n2") == "silent"; }));
   EXPECT_EQ(control.state_of("n1"), "serving");
 }
 
-TEST(Control, ABrokenRequestEndsThatStreamWithAStatusAndNoOther) {
+TEST(ControlTest, MalformedDiscoveryRequestClosesItsStreamWithAStatusAndNoOther) {
   Site site;
   RunningControl control(site.options());
   AdsLink good(target(control.discovery_port()), false, "good");
-  ASSERT_TRUE(await([&] { return has_nodes(good, 3); }));
+  ASSERT_TRUE(await([&] { return has_servers(good, 3); }));
   auto channel = grpc::CreateChannel(target(control.discovery_port()), grpc::InsecureChannelCredentials());
   grpc::GenericStub stub(channel);
   struct Once final : grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer> {
@@ -241,12 +117,10 @@
     EXPECT_EQ(over.get().error_code(), grpc::StatusCode::INVALID_ARGUMENT);
   }
   EXPECT_TRUE(good.connected());
-  EXPECT_TRUE(control.log().has("a request makes no sense"));
+  EXPECT_TRUE(control.log().has("malformed request"));
 }
 
-// ---- A crowd
-
-TEST(Control, ManyProxiesAtOnceWithOneThatReadsNothingAndOneThatRefusesAll) {
+TEST(ControlTest, ManyProxiesAreServedBesideOneThatReadsNothingAndOneThatRejectsAll) {
   Site site(20);
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
@@ -262,7 +136,7 @@
   links[1]->stop_reading();
   auto others_have = [&](int count) {
     return std::all_of(links.begin() + 2, links.end(),
-                       [&](const auto& link) { return has_nodes(*link, count); });
+                       [&](const auto& link) { return has_servers(*link, count); });
   };
   ASSERT_TRUE(await([&] { return others_have(20); }));
   reporters.set("n7", [](auto& report) { report.draining = true; });
@@ -279,25 +153,5 @@
   }));
 }
 
-// ---- The program
-
-TEST(ControlProgram, SaysWhatIsWrongAndEndsWithTwo) {
-  Folder folder;
-  std::ofstream(folder.file("bad.conf")) << "version = 1;\nnodes = 3;\n";
-  auto run = [&](std::vector<std::string> words) {
-    words.insert(words.begin(), MYRTLECROFT_CONTROL);
-    return Child(words, folder.file("log")).wait();
-  };
-  EXPECT_EQ(run({"check", folder.file("bad.conf")}), 2);
-  EXPECT_EQ(run({"serve"}), 2);
-  EXPECT_EQ(run({"serve", "--fleet", folder.file("bad.conf")}), 2);
-  EXPECT_EQ(run({"fly"}), 2);
-  EXPECT_EQ(run({"nodes", "--admin", "127.0.0.1:1"}), 1);
-  EXPECT_EQ(run({"nodes", "--admin", "here"}), 1);
-  std::ifstream in(folder.file("log"));
-  std::string log((std::istreambuf_iterator<char>(in)), {});
-  EXPECT_NE(log.find("bad.conf:2: nodes: is not a list in parentheses"), std::string::npos) << log;
-}
-
 }  // namespace
 }  // namespace myrtlecroft::control
--- a/tests/grpc_client_test.cpp
+++ b/tests/grpc_client_test.cpp
@@ -153,7 +153,7 @@
     });
   }
 
-  Folder folder;
+  TemporaryFolder folder;
   std::string listed;
   std::string max_unavailable = "0.6";
   std::map<std::string, std::unique_ptr<EchoNode>> nodes;
@@ -224,7 +224,7 @@
   world.connect();
   ASSERT_TRUE(world.ready());
   ASSERT_TRUE(await([&] {
-    return world.control->look(
+    return world.control->run_in_loop(
         [](Control& control) { return control.router().published()->snapshot.nodes[0].in_flight == 5; });
   }));
   // What is in flight at once never goes beyond the bound, and more is refused at once. The client may hear
--- /dev/null
+++ b/tests/pager_test.cpp
@@ -0,0 +1,19 @@
+// Which rows stand on a page.
+#include "control/pager.h"
+
+#include <gtest/gtest.h>
+
+namespace myrtlecroft::control {
+namespace {
+
+TEST(PagerTest, RowLargerThanAPageHasAPageOfItsOwn) {
+  Pager pager(2);
+  EXPECT_FALSE(pager.next(10));
+  EXPECT_TRUE(pager.next(Pager::kMaxBytes + 1));
+  EXPECT_FALSE(pager.next(10));
+  EXPECT_EQ(pager.pages(), 3u);
+  EXPECT_EQ(pager.first_row(), 2u);
+}
+
+}  // namespace
+}  // namespace myrtlecroft::control
--- a/tests/subsetting_processes_test.cpp
+++ b/tests/subsetting_processes_test.cpp
@@ -184,7 +184,7 @@
     return out;
   }
   void quiet(int which, bool is_quiet) {
-    for (auto& one : reporters_) one->quiet(server(which), is_quiet);
+    for (auto& one : reporters_) one->pause(server(which), is_quiet);
   }
   void draining(int which, bool is_leaving) {
     for (auto& one : reporters_) one->set(server(which), [&](auto& report) { report.draining = is_leaving; });
@@ -233,7 +233,7 @@
     return out;
   }
 
-  control::Folder folder_;
+  control::TemporaryFolder folder_;
   std::set<int> taken_;
   std::unique_ptr<standin::ControlFleet> fleet_;
   std::vector<std::unique_ptr<control::Reporters>> reporters_;
@@ -304,7 +304,7 @@
   auto before = told_to_all();
   write_fleet(fleet_file("6", "\"zone z1\", \"n99\""));
   for (int i = 0; i < kInstances; ++i) (*fleet_)[i].process.signal(SIGHUP);
-  const std::string line = "the fleet file before it stays in force: ";
+  const std::string line = "the previous fleet file stays in use: ";
   for (int i = 0; i < kInstances; ++i) {
     ASSERT_TRUE(await([&] { return lines(i, line) > 0; }));
     EXPECT_EQ(lines(i, "reload"), 1);
