--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -27,8 +27,8 @@
 }
 
 void AdminCommands::finish(PendingCommand& pending, const std::string& result) {
-  if (result.starts_with(releases::kRefused)) {
-    pending.answer.set_error(result.substr(releases::kRefused.size()));
+  if (result.starts_with(releases::kCommandRejected)) {
+    pending.answer.set_error(result.substr(releases::kCommandRejected.size()));
   } else {
     pending.answer.set_done(result);
   }
@@ -43,13 +43,14 @@
                          .answer = std::move(answer)};
   agreement::ControlReplica& replica = control_.replica();
   if (!replica.has_quorum()) {
-    finish(pending,
-           releases::kRefused + "this instance is out of touch with a majority, and nothing is permitted");
+    finish(pending, releases::kCommandRejected +
+                        "this instance is out of touch with a majority, and nothing is permitted");
     return;
   }
   for (const auto& [other, agreed] : replica.agreed().instances()) {
     if (agreed.format >= agreement::kOutingsFormat) continue;
-    finish(pending, releases::kRefused + "instance " + std::to_string(other) + " knows no releases yet");
+    finish(pending,
+           releases::kCommandRejected + "instance " + std::to_string(other) + " knows no releases yet");
     return;
   }
   pending.command = replica.command(command);
@@ -77,7 +78,7 @@
     } else {
       // It may have reached a leader that will still have it agreed, or never.
       replica.forget_command(pending.command);
-      finish(pending, releases::kRefused +
+      finish(pending, releases::kCommandRejected +
                           "not agreed in time; it may still come to be: see 'release status' and 'outings'");
     }
     next = pending_.erase(next);
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -19,7 +19,7 @@
 #include "control/tables.h"
 #include "fleet/fleet.h"
 #include "net/descriptors.h"
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 #include "settings/document.h"
 
 namespace myrtlecroft::control {
@@ -71,7 +71,7 @@
 void check_plan(const std::string& path) {
   agreement::Plan plan = releases::read_plan(path);
   std::printf("%s: good: '%s' to version %u in %u waves\n", path.c_str(), plan.name().c_str(), plan.version(),
-              releases::waves_of(plan));
+              releases::wave_count(plan));
 }
 
 ControlOptions control_options(const ServeArguments& arguments) {
@@ -174,7 +174,7 @@
       watch_release([&] { return AdminClient(parse_address(client.admin)).call("release status"); });
       return kExitOk;
     case Command::kStartRelease:
-      return call(client, releases::start_command(releases::read_plan(command_line.plan_path())));
+      return call(client, releases::release_start_command(releases::read_plan(command_line.plan_path())));
     case Command::kCall:
       return call(client, line_of(command_line));
   }
--- a/src/control/maintenance_rows.cpp
+++ b/src/control/maintenance_rows.cpp
@@ -5,7 +5,7 @@
 
 #include "control/admin_names.h"
 #include "releases/disruption_budget.h"
-#include "releases/plan.h"
+#include "releases/rollout_plan.h"
 
 namespace myrtlecroft::control {
 namespace {
@@ -31,7 +31,7 @@
   for (const auto& [server, lease] : replica.agreed().outings().leases()) leased.insert(server);
   const routing::Router& router = replica.router();
   const releases::DisruptionBudget budget(router.fleet(), router.registry().all(), leased);
-  for (const releases::DisruptionBudget::Row& part : budget.rows()) {
+  for (const releases::DisruptionBudget::Usage& part : budget.usage()) {
     BudgetRow& row = *answer.add_budgets();
     row.set_name(part.name);
     row.set_most(part.max);
@@ -77,7 +77,7 @@
   row.set_version(release.plan().version());
   row.set_phase(agreement::name_of(release.phase()));
   row.set_wave(release.wave() + 1);
-  row.set_waves(releases::waves_of(release.plan()));
+  row.set_waves(releases::wave_count(release.plan()));
   row.set_reason(release.reason());
   row.set_age_s(seconds(state.time() - release.started_ns()));
   row.set_in_phase_s(seconds(state.time() - release.since_ns()));
@@ -86,7 +86,7 @@
     if (!server.failed().empty()) row.add_failed(server.node() + ": " + server.failed());
   }
   bool under_way = state.outings().under_way();
-  row.set_outlook(under_way ? control.rollout().outlook() : "");
+  row.set_outlook(under_way ? control.rollout().status_detail() : "");
   row.set_left_s(under_way ? time_left_s(row, release.phase() == agreement::PHASE_BACK) : kUnknownTimeLeft);
 }
 
