--- a/src/control/state_store.cpp
+++ b/src/control/state_store.cpp
@@ -23,7 +23,7 @@
       store_(
           disk_, {}, [&loop] { return loop.now(); }, std::random_device()()),
       save_done_(std::move(save_done)),
-      wakeup_(loop.base(), [this] { committer_->take_done(); }) {
+      wakeup_(loop.base(), [this] { committer_->deliver_completions(); }) {
   store_.open();
   if (auto record = store_.get(kStateKey)) loaded_ = std::move(record->value);
   committer_ = std::make_unique<store::GroupCommitter>(
