--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "control/admin_answer_writer.h"
+#include "releases/operator_commands.h"
 
 namespace myrtlecroft::control {
 namespace {
