--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -87,11 +87,11 @@
 }
 
 std::optional<AdminCommandError> AdminCommands::change_members(std::string_view line) {
-  std::istringstream words{std::string(line)};
+  std::istringstream fields{std::string(line)};
   std::string command;
   std::uint64_t id = 0;
   std::string address;
-  words >> command >> id >> address;
+  fields >> command >> id >> address;
   agreement::ControlReplica& replica = control_.replica();
   if (command == "let-in" && id > 0 && !address.empty()) return error_of(replica.let_in(id, address));
   if (command == "let-out" && id > 0) return error_of(replica.let_out(id));
--- a/src/control/command_line.cpp
+++ b/src/control/command_line.cpp
@@ -98,7 +98,7 @@
   for (const auto& [name, description] : commands) {
     CLI::App* command = app_.add_subcommand(name, description);
     command->add_option("--admin", client_.admin, "Its admin address")->capture_default_str();
-    command->add_option("words", client_.words, "Id, and for let-in the address");
+    command->add_option("words", client_.operands, "Id, and for let-in the address");
   }
 }
 
@@ -109,7 +109,7 @@
   for (const auto& [name, description] : commands) {
     CLI::App* command = app_.add_subcommand(name, description);
     command->add_option("--admin", client_.admin, "Admin address of any instance")->capture_default_str();
-    command->add_option("name", client_.words, "Server, zone or service")->required()->expected(1);
+    command->add_option("name", client_.operands, "Server, zone or service")->required()->expected(1);
   }
 }
 
@@ -130,7 +130,8 @@
       {"back", "Roll back to the version before, the newest first"},
       {"end", "End a halted one as it is"}};
   for (const auto& [name, description] : commands) {
-    release_command_->add_subcommand(name, description)->add_option("reason", client_.words, "For the log");
+    release_command_->add_subcommand(name, description)
+        ->add_option("reason", client_.operands, "For the log");
   }
   for (CLI::App* command : release_command_->get_subcommands({})) {
     if (command == release_check_) continue;
--- a/src/control/command_line.h
+++ b/src/control/command_line.h
@@ -44,7 +44,7 @@
 // Of the subcommands that call a running control service.
 struct ClientArguments {
   std::string admin = "127.0.0.1:7301";
-  std::vector<std::string> words;  // after the command's name
+  std::vector<std::string> operands;  // after the command's name
   RowOptions rows;
   bool as_json = false;
   bool watch = false;
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -150,7 +150,7 @@
 
 std::string line_of(const CommandLine& command_line) {
   std::string line = command_line.name();
-  for (const std::string& word : command_line.client().words) line += " " + word;
+  for (const std::string& operand : command_line.client().operands) line += " " + operand;
   return line;
 }
 
--- a/src/control/tables.cpp
+++ b/src/control/tables.cpp
@@ -1,6 +1,7 @@
 #include "control/tables.h"
 
 #include <algorithm>
+#include <cmath>
 #include <cstdio>
 #include <string_view>
 
@@ -140,7 +141,7 @@
 }  // namespace
 
 std::string progress_line(const ReleaseRow& row, std::size_t width) {
-  auto full = static_cast<std::size_t>(row.reached() * static_cast<double>(width) + 0.5);
+  auto full = static_cast<std::size_t>(std::lround(row.reached() * static_cast<double>(width)));
   full = std::min(full, width);
   char rest[80];
   if (row.left_s() >= 0) {
