--- a/measure/agreement_rig.h
+++ b/measure/agreement_rig.h
@@ -1,9 +1,9 @@
-// Real instances of the control service, real servers, proxies that follow what they are served, on loopback,
-// with a relay between any two that speak, under load and faults drawn from a seed. What is asserted is
-// counted from engines, sets that proxies hold and logs, not from what control says of itself.
+// Plays an incident: real control instances, real servers and stand-in proxies on loopback, a relay between
+// any two that speak, under load and under faults that a seed draws. Called by the measurements and by tests;
+// runs in the caller's thread until the incident is over. What is checked is counted from engines, from the
+// sets that proxies have and from logs, not from what the control service says of itself.
 #pragma once
 
-#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -12,60 +12,82 @@
 namespace myrtlecroft::rehearsal {
 
 struct RigOptions {
-  bool agreed = true;  // false: control services that each decide alone, as before
+  bool agreed = true;  // false: control services that each decide alone
   Incident incident;
-  bool control_faults = true;  // false: of what is drawn, only what fails servers and their links is played,
-                               // at the same moments
+  // False: of the faults that are drawn, only those of servers and their links are played, at the same
+  // moments.
+  bool control_faults = true;
   unsigned seed = 1;
-  // No release is agreed: servers are restarted in batches of a fixed size, one after a fixed time after the
-  // other.
+  // No release is agreed on: servers restart in batches of a fixed size, at a fixed interval.
   bool plain_batches = false;
 };
 
-// One release, as it went.
-struct ReleaseSeen {
-  ReleaseWanted wanted;
+// How one release went.
+struct ReleaseOutcome {
+  PlannedRelease planned;
   std::string outcome;   // "done", "taken back", or the phase in which the time ran out
-  std::string reason;    // of a halt or a way back, the first
-  bool stopped = false;  // it halted or went back
-  double reached = 0;    // the most servers that ran it before it stopped, as a share
+  std::string reason;    // of the first halt or rollback
+  bool stopped = false;  // it halted or was rolled back
+  double reached = 0;    // the largest share of servers that ran it before it stopped
   double took_s = 0;
-  double back_s = 0;  // from the halt to the way back's end
+  double rollback_s = 0;  // from the halt to the end of the rollback
 };
 
-struct RigResult {
-  int faults = 0;
+// Requests of all clients.
+struct RigLoadCounts {
   int offered = 0;
   int completed = 0;
-  int runs = 0;
-  int doubled = 0;             // keys that ran twice within their window
-  int lost = 0;                // read by a server that lived on, and no answer came
-  int split_owners = 0;        // proxies with one shard open at two servers, each once
-  int stale_acted = 0;         // a server acted on an older epoch than before
-  int lost_entries = 0;        // an instance ended with less, or with other than what was agreed
-  int not_back = 0;            // instances out of touch, or without a leader, once all was well again
-  double failover_p50_ms = 0;  // from the leader's fall to the next one's first decision
-  double failover_p99_ms = 0;
-  int failovers = 0;
-  int drain_violations = 0;  // read by a server that went as it was told, and no answer came
-  int crashed = 0;           // ended by itself, and not as it was told
-  int over = 0;              // moments at which more was out by choice than may be
-  int unpermitted = 0;       // went as it was told while no release was under way
-  int max_unavailable = 0;   // servers, by choice, at one moment
-  int allowed = 0;
-  int below_max_unavailable = 0;  // of one service
-  int below_allowed = 0;
-  std::vector<ReleaseSeen> releases;
-  std::string first;   // what went wrong first
-  std::string folder;  // logs, kept where something went wrong
-  std::string table;   // second by second
-  double priority_weight() const { return offered > 0 ? static_cast<double>(completed) / offered : 0; }
-  int violations() const {
-    return doubled + lost + split_owners + stale_acted + lost_entries + not_back + drain_violations +
-           crashed + over + unpermitted;
+  int runs = 0;  // of keyed requests, at engines
+  double completed_share() const { return offered > 0 ? static_cast<double>(completed) / offered : 0; }
+};
+
+// Each must be 0.
+struct RigViolations {
+  int doubled_runs = 0;       // a key ran twice within its window
+  int lost_requests = 0;      // received by a server that lived on, and not answered
+  int split_owners = 0;       // proxies with one shard open at two servers
+  int stale_epochs = 0;       // a server acted on an older epoch than before
+  int lost_entries = 0;       // an instance ended with less, or with other than what was agreed on
+  int not_recovered = 0;      // an instance had no quorum, or knew no leader, after all faults had ended
+  int drain_violations = 0;   // received by a server that restarted as told, and not answered
+  int crashes = 0;            // a server exited, and not as told
+  int over_budget = 0;        // moments at which more servers were out by choice than the budgets allow
+  int unpermitted_exits = 0;  // a server restarted as told while no release was under way
+
+  int total() const {
+    return doubled_runs + lost_requests + split_owners + stale_epochs + lost_entries + not_recovered +
+           drain_violations + crashes + over_budget + unpermitted_exits;
   }
 };
 
+// From a leader's failure to the next leader's first decision.
+struct RigFailovers {
+  int count = 0;
+  double p50_ms = 0;
+  double p99_ms = 0;
+};
+
+// Servers out by choice at one moment, and how many the budgets allow.
+struct RigUnavailable {
+  int max = 0;
+  int allowed = 0;
+  int service_max = 0;  // of one service
+  int service_allowed = 0;
+};
+
+struct RigResult {
+  int faults = 0;  // that were played
+  RigLoadCounts load;
+  RigViolations violations;
+  RigFailovers failovers;
+  RigUnavailable unavailable;
+  std::vector<ReleaseOutcome> releases;
+  std::string first_violation;  // with its time; empty: none
+  std::string folder;           // of the logs, which remain where something was violated; else empty
+  std::string timeline;         // a line a second
+};
+
+// Throws std::exception where a process or port can't be had.
 RigResult play(const RigOptions& options);
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/incident.cpp
+++ b/measure/incident.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <array>
 #include <charconv>
+#include <optional>
+#include <string_view>
 #include <utility>
 
 #include "settings/document.h"
@@ -13,7 +15,7 @@
 using settings::Part;
 
 constexpr std::array<std::pair<const char*, Fault>, 15> kFaults = {{{"kill", Fault::kKill},
-                                                                    {"stop", Fault::kStop},
+                                                                    {"stop", Fault::kPause},
                                                                     {"stall", Fault::kStall},
                                                                     {"close", Fault::kClose},
                                                                     {"late", Fault::kLate},
@@ -27,54 +29,64 @@
                                                                     {"kill-at-sync", Fault::kKillAtSync},
                                                                     {"noise", Fault::kNoise},
                                                                     {"command", Fault::kCommand}}};
-constexpr std::array<std::pair<const char*, Way>, 3> kWays = {
-    {{"there", Way::kThere}, {"back", Way::kBack}, {"both", Way::kBoth}}};
-constexpr std::array<std::pair<const char*, Bad>, kBads> kBadWords = {{{"none", Bad::kNone},
-                                                                       {"slow", Bad::kSlow},
-                                                                       {"under-load", Bad::kUnderLoad},
-                                                                       {"later", Bad::kLater},
-                                                                       {"one-group", Bad::kOneClass},
-                                                                       {"silent", Bad::kLost}}};
-constexpr std::array<const char*, 4> kKinds = {"leader", "instance", "node", "proxy"};
+constexpr std::array<std::pair<const char*, Direction>, 3> kDirections = {
+    {{"there", Direction::kOutward}, {"back", Direction::kInward}, {"both", Direction::kBoth}}};
+constexpr std::array<std::pair<const char*, Defect>, kDefects> kDefectNames = {
+    {{"none", Defect::kNone},
+     {"slow", Defect::kSlow},
+     {"under-load", Defect::kUnderLoad},
+     {"later", Defect::kLater},
+     {"one-group", Defect::kOneClass},
+     {"silent", Defect::kLost}}};
+constexpr std::array<const char*, 4> kTargetNames = {"leader", "instance", "node", "proxy"};
 
 template <class Table>
-auto word_in(Part& part, const std::string& name, const Table& words) {
+auto value_of(Part& part, const std::string& name, const Table& names) {
   std::string given = part.text(name);
   std::string all;
-  for (const auto& [word, value] : words) {
-    if (given == word) return value;
-    all += (all.empty() ? "" : ", ") + std::string(word);
+  for (const auto& [known, value] : names) {
+    if (given == known) return value;
+    all += (all.empty() ? "" : ", ") + std::string(known);
   }
   part.bad(name, "is none of " + all);
 }
 
-// "leader", "instance 2", "server 3-7", "server all", "proxy 1".
-Who who_in(Part& part, const Incident& of) {
+std::optional<int> parse_number(std::string_view text) {
+  int number = 0;
+  auto [past, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc() || past != text.data() + text.size()) return std::nullopt;
+  return number;
+}
+
+// "3" or "3-7".
+std::optional<std::pair<int, int>> parse_range(std::string_view text) {
+  std::size_t dash = text.find('-');
+  std::optional<int> first = parse_number(text.substr(0, dash));
+  std::optional<int> last = dash == std::string_view::npos ? first : parse_number(text.substr(dash + 1));
+  if (!first || !last) return std::nullopt;
+  return std::pair(*first, *last);
+}
+
+// "leader", "instance 2", "node 3-7", "node all", "proxy 1".
+Target read_target(Part& part, const Incident& of) {
   std::string given = part.text("who");
   if (given == "leader") return {};
   std::size_t space = given.find(' ');
-  for (std::size_t kind = 1; kind < kKinds.size(); ++kind) {
-    if (space == std::string::npos || given.substr(0, space) != kKinds[kind]) continue;
-    Who out{.kind = static_cast<Who::Kind>(kind)};
-    int max = out.kind == Who::Kind::kInstance ? of.instances
-              : out.kind == Who::Kind::kNode   ? of.nodes
-                                               : of.proxies;
+  for (std::size_t kind = 1; kind < kTargetNames.size(); ++kind) {
+    if (space == std::string::npos || given.substr(0, space) != kTargetNames[kind]) continue;
+    Target out{.kind = static_cast<Target::Kind>(kind)};
+    int max = out.kind == Target::Kind::kInstance ? of.instances
+              : out.kind == Target::Kind::kServer ? of.nodes
+                                                  : of.proxies;
     std::string numbers = given.substr(space + 1);
     if (numbers == "all") {
       out.last = max - 1;
       return out;
     }
-    const char* end = numbers.data() + numbers.size();
-    auto [past, error] = std::from_chars(numbers.data(), end, out.first);
-    out.last = out.first;
-    if (error == std::errc() && past < end && *past == '-')
-      std::tie(past, error) = [&] {
-        auto read = std::from_chars(past + 1, end, out.last);
-        return std::pair(read.ptr, read.ec);
-      }();
-    if (error != std::errc() || past != end || out.first < 1 || out.last < out.first || out.last > max) break;
-    --out.first;
-    --out.last;
+    std::optional<std::pair<int, int>> range = parse_range(numbers);
+    if (!range || range->first < 1 || range->second < range->first || range->second > max) break;
+    out.first = range->first - 1;
+    out.last = range->second - 1;
     return out;
   }
   part.bad("who",
@@ -82,63 +94,86 @@
            "there are");
 }
 
-Step read_step(Part part, const Incident& of) {
-  Step out;
-  out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
-  out.fault = word_in(part, "what", kFaults);
-  out.who = who_in(part, of);
-  bool once = out.fault == Fault::kReset || out.fault == Fault::kCutFrame || out.fault == Fault::kCommand;
-  if (!once) out.length = static_cast<Nanos>(part.number("for_s", 0.05, 600) * static_cast<double>(kSecond));
-  bool link = on_links(out.fault);
-  if (part.has("to")) {
-    if (!link) part.bad("to", "is only for what fails on links");
-    out.others = 0;
-    for (const std::string& one : part.texts("to")) {
-      int number = 0;
-      auto [past, error] = std::from_chars(one.data(), one.data() + one.size(), number);
-      if (error != std::errc() || past != one.data() + one.size() || number < 1 || number > of.instances) {
-        part.bad("to", "holds what is no number of an instance: '" + one + "'");
-      }
-      out.others |= 1u << (number - 1);
-    }
+// The instances that "to" names, as bits.
+unsigned read_others(Part& part, const Incident& of) {
+  unsigned out = 0;
+  for (const std::string& given : part.texts("to")) {
+    std::optional<int> number = parse_number(given);
+    if (!number || *number < 1 || *number > of.instances)
+      part.bad("to", "holds what is no number of an instance: '" + given + "'");
+    out |= 1u << (*number - 1);
   }
-  if (out.fault == Fault::kStall) out.way = word_in(part, "way", kWays);
+  return out;
+}
+
+void read_fault_fields(Part& part, Step& out) {
+  if (out.fault == Fault::kStall) out.direction = value_of(part, "way", kDirections);
   if (out.fault == Fault::kLate || out.fault == Fault::kDiskSlow) out.by = part.millis("by_ms", 1, 60'000);
   if (out.fault == Fault::kClock) out.by = part.whole("by_ms", -600'000, 600'000) * kMs;
   if (out.fault == Fault::kNoise) out.times = part.number("times", 1, 100);
-  if (out.fault == Fault::kCommand) out.say = part.text("say");
-  bool of_nodes = out.who.kind == Who::Kind::kNode;
-  if ((out.fault == Fault::kNoise) != of_nodes &&
-      (out.fault == Fault::kNoise || out.fault == Fault::kCommand))
-    part.bad("what", out.fault == Fault::kNoise ? "is for nodes only" : "is said to instances only");
+  if (out.fault == Fault::kCommand) out.command = part.text("say");
   if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(part.whole("sync", 1, 1000));
   if (out.fault == Fault::kCutFrame) out.bytes = static_cast<std::size_t>(part.whole("bytes", 0, 10'000'000));
-  if (out.who.kind == Who::Kind::kProxy && out.fault != Fault::kReset)
+}
+
+// Which faults fit which targets.
+void check_target(Part& part, const Step& step) {
+  bool of_servers = step.target.kind == Target::Kind::kServer;
+  if (step.fault == Fault::kNoise && !of_servers) part.bad("what", "is for nodes only");
+  if (step.fault == Fault::kCommand && of_servers) part.bad("what", "is said to instances only");
+  if (step.target.kind == Target::Kind::kProxy && step.fault != Fault::kReset)
     part.bad("what", "is not for proxies: their streams can only be reset");
-  bool disk = out.fault == Fault::kLose || out.fault == Fault::kDiskFails || out.fault == Fault::kDiskFull ||
-              out.fault == Fault::kDiskSlow || out.fault == Fault::kKillAtSync;
-  if (disk && out.who.kind == Who::Kind::kNode) part.bad("what", "is not for nodes: they keep nothing here");
+  bool of_disk = step.fault == Fault::kLose || step.fault == Fault::kDiskFails ||
+                 step.fault == Fault::kDiskFull || step.fault == Fault::kDiskSlow ||
+                 step.fault == Fault::kKillAtSync;
+  if (of_disk && of_servers) part.bad("what", "is not for nodes: they keep nothing here");
+}
+
+Step read_step(Part part, const Incident& of) {
+  Step out;
+  out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
+  out.fault = value_of(part, "what", kFaults);
+  out.target = read_target(part, of);
+  bool once = out.fault == Fault::kReset || out.fault == Fault::kCutFrame || out.fault == Fault::kCommand;
+  if (!once) out.length = static_cast<Nanos>(part.number("for_s", 0.05, 600) * static_cast<double>(kSecond));
+  if (part.has("to")) {
+    if (!is_link_fault(out.fault)) part.bad("to", "is only for what fails on links");
+    out.others = read_others(part, of);
+  }
+  read_fault_fields(part, out);
+  check_target(part, out);
+  part.nothing_else();
+  return out;
+}
+
+PlannedRelease read_release(Part part, const Incident& of) {
+  PlannedRelease out;
+  out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
+  out.version = static_cast<int>(part.whole("to", 1, 99));
+  if (part.has("bad")) out.defect = value_of(part, "bad", kDefectNames);
+  out.instance = static_cast<int>(part.integer_or("by", 1, 1, of.instances)) - 1;
   part.nothing_else();
   return out;
 }
 
 }  // namespace
 
-bool on_links(Fault fault) {
+bool is_link_fault(Fault fault) {
   return fault == Fault::kStall || fault == Fault::kClose || fault == Fault::kLate ||
          fault == Fault::kReset || fault == Fault::kCutFrame;
 }
 
-const char* name_of(Bad bad) { return kBadWords[static_cast<std::size_t>(bad)].first; }
+const char* name_of(Defect defect) { return kDefectNames[static_cast<std::size_t>(defect)].first; }
 
-std::string told(const Step& step) {
-  if (step.fault == Fault::kCommand) return "said: " + step.say;
+std::string describe(const Step& step) {
+  if (step.fault == Fault::kCommand) return "command: " + step.command;
   std::string out = kFaults[static_cast<std::size_t>(step.fault)].first;
-  if (step.fault == Fault::kStall) out += std::string(" ") + kWays[static_cast<std::size_t>(step.way)].first;
-  out += std::string(" ") + kKinds[static_cast<std::size_t>(step.who.kind)];
-  if (step.who.kind != Who::Kind::kLeader) {
-    out += " " + std::to_string(step.who.first + 1);
-    if (step.who.last > step.who.first) out += "-" + std::to_string(step.who.last + 1);
+  if (step.fault == Fault::kStall)
+    out += std::string(" ") + kDirections[static_cast<std::size_t>(step.direction)].first;
+  out += std::string(" ") + kTargetNames[static_cast<std::size_t>(step.target.kind)];
+  if (step.target.kind != Target::Kind::kLeader) {
+    out += " " + std::to_string(step.target.first + 1);
+    if (step.target.last > step.target.first) out += "-" + std::to_string(step.target.last + 1);
   }
   if (step.length > 0) out += " for " + std::to_string(step.length / kMs) + " ms";
   return out;
@@ -171,108 +206,131 @@
   out.restart = root.millis_or("restart_ms", out.restart, 1, 60'000);
   out.soak = root.millis_or("soak_ms", out.soak, 100, 600'000);
   out.first_nodes = static_cast<int>(root.integer_or("first_nodes", out.first_nodes, 1, 300));
-  for (Part& part : root.list("releases")) {
-    ReleaseWanted one;
-    one.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
-    one.to = static_cast<int>(part.whole("to", 1, 99));
-    if (part.has("bad")) one.bad = word_in(part, "bad", kBadWords);
-    one.by = static_cast<int>(part.integer_or("by", 1, 1, out.instances)) - 1;
-    part.nothing_else();
-    out.releases.push_back(one);
-  }
+  for (Part& part : root.list("releases")) out.releases.push_back(read_release(part, out));
   root.nothing_else();
   return out;
 }
 
-Step drawn(std::mt19937& draws, int instances, int nodes, int proxies) {
-  auto pick = [&](int count) { return static_cast<int>(draws() % static_cast<unsigned>(count)); };
-  Step out;
-  int instance = pick(instances);
-  int node = pick(nodes);
-  int proxy = pick(proxies);
-  out.length = (300 + pick(3000)) * kMs;
-  out.others = static_cast<unsigned>(draws());
-  out.bytes = static_cast<std::size_t>(pick(2000));
-  out.by = kSecond;
-  Who one{Who::Kind::kInstance, instance, instance};
-  Who a_node{Who::Kind::kNode, node, node};
-  switch (pick(17)) {
-    case 0:
-      out.fault = Fault::kKill;
-      break;
+namespace {
+
+int pick(std::mt19937& draws, int count) { return static_cast<int>(draws() % static_cast<unsigned>(count)); }
+
+// What was drawn of a step before its fault: each fault takes what it needs.
+struct DrawnTargets {
+  Target instance;
+  Target server;
+  Target proxy;
+};
+
+// The kinds of faults of instances and their links.
+void draw_instance_fault(int kind, std::mt19937& draws, const Target& instance, Step& out) {
+  out.target = instance;
+  switch (kind) {
     case 1:
       out.fault = Fault::kKill;
-      out.who = one;
-      break;
-    case 2:
-      out.fault = Fault::kStop;
       break;
     case 3:
     case 4:
       out.fault = Fault::kStall;
-      out.who = one;
-      out.way = pick(2) ? Way::kThere : Way::kBack;
+      out.direction = pick(draws, 2) ? Direction::kOutward : Direction::kInward;
       out.others = ~0u;
       break;
     case 5:
       out.fault = Fault::kClose;
-      out.who = one;
       break;
     case 6:
       out.fault = Fault::kLate;
-      out.who = one;
       out.others = ~0u;
       break;
     case 7:
       out.fault = Fault::kCutFrame;
-      out.who = one;
       break;
+    case 11:
+      out.fault = pick(draws, 2) ? Fault::kDiskFails : Fault::kDiskFull;
+      break;
+    case 12:
+      out.fault = Fault::kDiskSlow;
+      out.by /= 2;
+      break;
+    default:
+      out.fault = Fault::kClock;
+      out.by = (pick(draws, 2) ? 20 : -20) * kSecond;
+      break;
+  }
+}
+
+// The kinds of faults of servers and their links; some last long enough to move the server's shards.
+void draw_server_fault(int kind, std::mt19937& draws, const Target& server, Step& out) {
+  out.target = server;
+  switch (kind) {
     case 8:
       out.fault = Fault::kKill;
-      out.who = a_node;
       break;
-    case 9:  // long enough to move its shards
+    case 9:
       out.fault = Fault::kStall;
-      out.who = a_node;
-      out.way = pick(2) ? Way::kThere : Way::kBoth;
+      out.direction = pick(draws, 2) ? Direction::kOutward : Direction::kBoth;
       out.length *= 3;
       break;
     case 10:
       out.fault = Fault::kReset;
-      out.who = a_node;
       break;
-    case 11:
-      out.fault = pick(2) ? Fault::kDiskFails : Fault::kDiskFull;
-      out.who = one;
+    default:
+      out.fault = Fault::kNoise;
+      out.times = 3;
+      out.length *= 3;
       break;
-    case 12:
-      out.fault = Fault::kDiskSlow;
-      out.who = one;
-      out.by /= 2;
+  }
+}
+
+void draw_kind(std::mt19937& draws, const DrawnTargets& targets, Step& out) {
+  constexpr int kKinds = 17;
+  int kind = pick(draws, kKinds);
+  switch (kind) {
+    case 0:
+      out.fault = Fault::kKill;
       break;
-    case 13:
-      out.fault = Fault::kClock;
-      out.who = one;
-      out.by = (pick(2) ? 20 : -20) * kSecond;
+    case 2:
+      out.fault = Fault::kPause;
       break;
     case 14:
       out.fault = Fault::kKillAtSync;
-      out.count = 1 + pick(6);
+      out.count = 1 + pick(draws, 6);
       break;
+    case 8:
+    case 9:
+    case 10:
     case 15:
-      out.fault = Fault::kNoise;
-      out.who = a_node;
-      out.times = 3;
-      out.length *= 3;
+      draw_server_fault(kind, draws, targets.server, out);
       break;
-    default:
+    case 16:
       out.fault = Fault::kReset;
-      out.who = {Who::Kind::kProxy, proxy, proxy};
+      out.target = targets.proxy;
+      break;
+    default:
+      draw_instance_fault(kind, draws, targets.instance, out);
       break;
   }
+}
+
+}  // namespace
+
+Step draw_fault(std::mt19937& draws, const ProcessCounts& counts) {
+  int instance = pick(draws, counts.instances);
+  int server = pick(draws, counts.servers);
+  int proxy = pick(draws, counts.proxies);
+  Step out;  // of the leader, unless the kind says otherwise
+  out.length = (300 + pick(draws, 3000)) * kMs;
+  out.others = static_cast<unsigned>(draws());
+  out.bytes = static_cast<std::size_t>(pick(draws, 2000));
+  out.by = kSecond;
+  draw_kind(draws,
+            {.instance = {Target::Kind::kInstance, instance, instance},
+             .server = {Target::Kind::kServer, server, server},
+             .proxy = {Target::Kind::kProxy, proxy, proxy}},
+            out);
   return out;
 }
 
-bool of_control(const Step& step) { return step.who.kind != Who::Kind::kNode; }
+bool concerns_control(const Step& step) { return step.target.kind != Target::Kind::kServer; }
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/incident.h
+++ b/measure/incident.h
@@ -1,5 +1,5 @@
-// What is to fail when, in a rehearsal of real processes: from a file (docs/rehearse.md), or drawn from a
-// seed.
+// What fails when in a rehearsal of real processes: read from a file (docs/rehearse.md), or drawn from a
+// seed. Used by the rig and the measurements. No I/O beyond reading the file.
 #pragma once
 
 #include <random>
@@ -12,60 +12,62 @@
 
 enum class Fault {
   kKill,        // the process; it starts again on its folder afterwards
-  kStop,        // stands still
-  kStall,       // bytes wait where they are
-  kClose,       // nobody gets through; who was through is reset
-  kLate,        // each byte, by so much
-  kReset,       // once
-  kCutFrame,    // after so many bytes more that go there, once
-  kLose,        // killed, and its folder is gone
+  kPause,       // the process gets no CPU time
+  kStall,       // bytes are delayed until the fault ends
+  kClose,       // no connection is accepted; open ones are reset
+  kLate,        // each byte is delayed by Step::by
+  kReset,       // of open connections, once
+  kCutFrame,    // reset after Step::bytes more outward bytes, once
+  kLose,        // killed, and its folder removed
   kDiskFails,   // every sync fails
   kDiskFull,    // every write does
-  kDiskSlow,    // each sync takes so long
-  kClock,       // the wall clock is off by so much
-  kKillAtSync,  // killed as it begins its Nth sync from now; it starts again afterwards
-  kNoise,       // a server's engine is slower by so many times
-  kCommand      // operators say something to an instance
+  kDiskSlow,    // each sync takes Step::by
+  kClock,       // the wall clock is off by Step::by
+  kKillAtSync,  // killed as it begins its Step::count-th sync from now; it starts again afterwards
+  kNoise,       // a server's engine takes Step::times its usual time
+  kCommand      // an operator sends Step::command to an instance
 };
-enum class Way { kThere, kBack, kBoth };  // seen from whom the step names
+// Of bytes, seen from the step's target.
+enum class Direction { kOutward, kInward, kBoth };
 
-// Whom a step names: the leader, an instance, a server, a proxy's stream, or all of a kind.
-struct Who {
-  enum class Kind { kLeader, kInstance, kNode, kProxy };
+// What a step fails: the leader, an instance, a server, a proxy's stream, or several of a kind.
+struct Target {
+  enum class Kind { kLeader, kInstance, kServer, kProxy };
   Kind kind = Kind::kLeader;
   int first = 0;
-  int last = 0;  // of several
+  int last = 0;  // inclusive
 };
 
 struct Step {
   Nanos at = 0;
   Nanos length = 0;
   Fault fault = Fault::kKill;
-  Who who;
-  // Of a link: the instances at its other end, as bits; all where it is not said.
+  Target target;
+  // Of a link: the instances at its other end, as bits.
   unsigned others = ~0u;
-  Way way = Way::kBoth;
+  Direction direction = Direction::kBoth;
   Nanos by = 0;           // late, disk slow, clock
   std::size_t bytes = 0;  // cut frame
   int count = 0;          // kill at sync
   double times = 1;       // noise
-  std::string say;        // command
+  std::string command;    // command
 };
-std::string told(const Step& step);
-// Of a link between two processes, not of one process.
-bool on_links(Fault fault);
+// One line, for the timeline.
+std::string describe(const Step& step);
+// Whether it fails a link between two processes instead of a process.
+bool is_link_fault(Fault fault);
 
 // What is wrong with a version of the server's program.
-enum class Bad { kNone, kSlow, kUnderLoad, kLater, kOneClass, kLost };
-constexpr int kBads = 6;
-const char* name_of(Bad bad);
+enum class Defect { kNone, kSlow, kUnderLoad, kLater, kOneClass, kLost };
+constexpr std::size_t kDefects = 6;
+const char* name_of(Defect defect);
 
-// Begins when the one before it is over.
-struct ReleaseWanted {
+// Starts at its time, and not before the one before it is over.
+struct PlannedRelease {
   Nanos at = 0;
-  int to = 2;
-  Bad bad = Bad::kNone;
-  int by = 0;  // the instance that is asked
+  int version = 2;
+  Defect defect = Defect::kNone;
+  int instance = 0;  // that gets the operators' commands
 };
 
 struct Incident {
@@ -76,25 +78,31 @@
   Nanos length = 20 * kSecond;
   double faults_per_s = 0;  // drawn, beside the steps
   std::vector<Step> steps;
-  // For releases: reads beside the keyed requests, of two groups, and a fleet with budgets.
+  // For releases: reads beside the keyed requests, of two request classes, and a fleet with disruption
+  // budgets.
   double reads_per_s = 0;
-  double read_ms = 100;  // of a core
+  double read_ms = 100;  // of a core, for each
   int zones = 2;
   int services = 0;
   double max_unavailable = 0.1;
   double service_max_unavailable = 0.25;
-  Nanos restart = 800 * kMs;  // from a server's end to its start in the other version
+  Nanos restart = 800 * kMs;  // from a server's exit to its start in the other version
   Nanos soak = 6 * kSecond;
   int first_nodes = 3;
-  std::vector<ReleaseWanted> releases;
+  std::vector<PlannedRelease> releases;
 };
 
 // Throws settings::DocumentError.
 Incident read_incident(const std::string& path);
 
+struct ProcessCounts {
+  int instances = 0;
+  int servers = 0;
+  int proxies = 0;
+};
 // One fault, the same for the same draws.
-Step drawn(std::mt19937& draws, int instances, int nodes, int proxies);
-// Whether it touches instances, their links or their streams: the rest is servers' own.
-bool of_control(const Step& step);
+Step draw_fault(std::mt19937& draws, const ProcessCounts& counts);
+// Whether it concerns instances, their links or proxies' streams; the others concern servers alone.
+bool concerns_control(const Step& step);
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/measure_agreement.cpp
+++ b/measure/measure_agreement.cpp
@@ -17,11 +17,12 @@
       "%-22s instances %d nodes %d faults %3d: offered %6d completed %.3f runs %6d doubled %d lost %d split "
       "%d stale %d "
       "lost entries %d not back %d, %d failovers p50 %.0f p99 %.0f ms%s%s\n",
-      what, options.incident.instances, options.incident.nodes, result.faults, result.offered,
-      result.priority_weight(), result.runs, result.doubled, result.lost, result.split_owners,
-      result.stale_acted, result.lost_entries, result.not_back, result.failovers, result.failover_p50_ms,
-      result.failover_p99_ms, result.first.empty() ? "" : "; first ",
-      (result.first + (result.folder.empty() ? "" : ", logs in " + result.folder)).c_str());
+      what, options.incident.instances, options.incident.nodes, result.faults, result.load.offered,
+      result.load.completed_share(), result.load.runs, result.violations.doubled_runs,
+      result.violations.lost_requests, result.violations.split_owners, result.violations.stale_epochs,
+      result.violations.lost_entries, result.violations.not_recovered, result.failovers.count,
+      result.failovers.p50_ms, result.failovers.p99_ms, result.first_violation.empty() ? "" : "; first ",
+      (result.first_violation + (result.folder.empty() ? "" : ", logs in " + result.folder)).c_str());
   std::fflush(stdout);
 }
 
@@ -55,19 +56,24 @@
   before.incident.length = std::min(60 * kSecond, before.incident.length);
   RigResult alone = play(before);
   print("two that decide alone", before, alone);
-  int doubled = three.doubled + five.doubled;
+  int doubled = three.violations.doubled_runs + five.violations.doubled_runs;
   std::printf(
       "measured agreement instances=3+5 nodes=%d faults=%d failover_p50_ms=%.0f failover_p99_ms=%.0f "
       "stale_acted=%d "
       "split_owners=%d lost_entries=%d doubled=%d lost=%d not_back=%d doubled_before=%d split_before=%d "
       "benefit_ratio=%.3f\n",
       options.incident.nodes, three.faults + five.faults,
-      std::max(three.failover_p50_ms, five.failover_p50_ms),
-      std::max(three.failover_p99_ms, five.failover_p99_ms), three.stale_acted + five.stale_acted,
-      three.split_owners + five.split_owners, three.lost_entries + five.lost_entries, doubled,
-      three.lost + five.lost, three.not_back + five.not_back, alone.doubled, alone.split_owners,
-      untouched.priority_weight() > 0
-          ? std::min(three.priority_weight(), five.priority_weight()) / untouched.priority_weight()
+      std::max(three.failovers.p50_ms, five.failovers.p50_ms),
+      std::max(three.failovers.p99_ms, five.failovers.p99_ms),
+      three.violations.stale_epochs + five.violations.stale_epochs,
+      three.violations.split_owners + five.violations.split_owners,
+      three.violations.lost_entries + five.violations.lost_entries, doubled,
+      three.violations.lost_requests + five.violations.lost_requests,
+      three.violations.not_recovered + five.violations.not_recovered, alone.violations.doubled_runs,
+      alone.violations.split_owners,
+      untouched.load.completed_share() > 0
+          ? std::min(three.load.completed_share(), five.load.completed_share()) /
+                untouched.load.completed_share()
           : 0);
-  return three.violations() + five.violations() > 0;
+  return three.violations.total() + five.violations.total() > 0;
 }
--- a/measure/measure_releases.cpp
+++ b/measure/measure_releases.cpp
@@ -25,16 +25,19 @@
       "%-12s nodes %d faults %3d: offered %6d completed %.4f doubled %d lost %d drain violations %d crashed "
       "%d, out by "
       "choice at most %d of %d, of one service %d of %d, over %d, unpermitted %d, other violations %d%s%s\n",
-      what, options.incident.nodes, result.faults, result.offered, result.priority_weight(), result.doubled,
-      result.lost, result.drain_violations, result.crashed, result.max_unavailable, result.allowed,
-      result.below_max_unavailable, result.below_allowed, result.over, result.unpermitted,
-      result.split_owners + result.stale_acted + result.lost_entries + result.not_back,
-      result.first.empty() ? "" : "; first ",
-      (result.first + (result.folder.empty() ? "" : ", logs in " + result.folder)).c_str());
-  for (const ReleaseSeen& one : result.releases) {
-    std::printf("  to %2d %-10s %-10s after %5.1f s, reached %.2f, back in %4.1f s%s%s\n", one.wanted.to,
-                name_of(one.wanted.bad), one.outcome.c_str(), one.took_s, one.reached, one.back_s,
-                one.stopped ? "; stopped: " : "", one.reason.c_str());
+      what, options.incident.nodes, result.faults, result.load.offered, result.load.completed_share(),
+      result.violations.doubled_runs, result.violations.lost_requests, result.violations.drain_violations,
+      result.violations.crashes, result.unavailable.max, result.unavailable.allowed,
+      result.unavailable.service_max, result.unavailable.service_allowed, result.violations.over_budget,
+      result.violations.unpermitted_exits,
+      result.violations.split_owners + result.violations.stale_epochs + result.violations.lost_entries +
+          result.violations.not_recovered,
+      result.first_violation.empty() ? "" : "; first ",
+      (result.first_violation + (result.folder.empty() ? "" : ", logs in " + result.folder)).c_str());
+  for (const ReleaseOutcome& one : result.releases) {
+    std::printf("  to %2d %-10s %-10s after %5.1f s, reached %.2f, back in %4.1f s%s%s\n",
+                one.planned.version, name_of(one.planned.defect), one.outcome.c_str(), one.took_s,
+                one.reached, one.rollback_s, one.stopped ? "; stopped: " : "", one.reason.c_str());
   }
   std::fflush(stdout);
 }
@@ -69,11 +72,11 @@
   RigResult batches = play(plain);
   print("fixed batches", plain, batches);
 
-  constexpr Bad kInOrder[] = {Bad::kSlow,     Bad::kNone, Bad::kLater,
-                              Bad::kOneClass, Bad::kLost, Bad::kUnderLoad};
+  constexpr Defect kInOrder[] = {Defect::kSlow,     Defect::kNone, Defect::kLater,
+                                 Defect::kOneClass, Defect::kLost, Defect::kUnderLoad};
   int to = 2;
-  for (Bad bad : kInOrder)
-    incident.releases.push_back({.at = 2 * kSecond, .to = to++, .bad = bad, .by = to % 3});
+  for (Defect bad : kInOrder)
+    incident.releases.push_back({.at = 2 * kSecond, .version = to++, .defect = bad, .instance = to % 3});
   RigResult agreed = play(options);
   print("agreed", options, agreed);
 
@@ -88,8 +91,8 @@
   double shortest =
       std::ceil(incident.nodes / std::max(1.0, incident.max_unavailable * incident.nodes)) * batch_s +
       4 * static_cast<double>(incident.soak) / 1e9;
-  for (const ReleaseSeen& one : agreed.releases) {
-    if (one.wanted.bad == Bad::kNone) {
+  for (const ReleaseOutcome& one : agreed.releases) {
+    if (one.planned.defect == Defect::kNone) {
       ++goods;
       false_halts += one.stopped;
       if (one.outcome == "done") time_ratio = std::max(time_ratio, one.took_s / shortest);
@@ -97,7 +100,7 @@
       ++bads;
       halted += one.stopped && one.outcome == "taken back";
       reached = std::max(reached, one.reached);
-      if (one.back_s > 0) back.push_back(one.back_s);
+      if (one.rollback_s > 0) back.push_back(one.rollback_s);
     }
   }
   std::sort(back.begin(), back.end());
@@ -108,11 +111,12 @@
       "lost=%d "
       "doubled=%d drain_violations=%d benefit_ratio=%.3f time_ratio=%.2f benefit_plain=%.3f "
       "most_out_plain=%d\n",
-      incident.nodes, agreed.releases.size(), agreed.faults, agreed.max_unavailable, agreed.allowed,
-      agreed.below_max_unavailable, agreed.below_allowed, agreed.over, agreed.unpermitted, halted, bads,
-      false_halts, goods, reached, back.empty() ? 0 : back.back(), agreed.lost, agreed.doubled,
-      agreed.drain_violations,
-      calm.priority_weight() > 0 ? agreed.priority_weight() / calm.priority_weight() : 0, time_ratio,
-      batches.priority_weight(), batches.max_unavailable);
-  return agreed.violations() > 0 || halted < bads;
+      incident.nodes, agreed.releases.size(), agreed.faults, agreed.unavailable.max,
+      agreed.unavailable.allowed, agreed.unavailable.service_max, agreed.unavailable.service_allowed,
+      agreed.violations.over_budget, agreed.violations.unpermitted_exits, halted, bads, false_halts, goods,
+      reached, back.empty() ? 0 : back.back(), agreed.violations.lost_requests,
+      agreed.violations.doubled_runs, agreed.violations.drain_violations,
+      calm.load.completed_share() > 0 ? agreed.load.completed_share() / calm.load.completed_share() : 0,
+      time_ratio, batches.load.completed_share(), batches.unavailable.max);
+  return agreed.violations.total() > 0 || halted < bads;
 }
--- a/measure/operator.cpp
+++ b/measure/operator.cpp
@@ -1,6 +1,8 @@
 #include "operator.h"
 
 #include <chrono>
+#include <exception>
+#include <optional>
 
 #include "control/admin_client.h"
 #include "net/address.h"
@@ -8,26 +10,31 @@
 namespace myrtlecroft::rehearsal {
 namespace {
 
-constexpr auto kLookEvery = std::chrono::milliseconds(100);
-constexpr int kMaxTries = 40;
+constexpr auto kPollInterval = std::chrono::milliseconds(100);
+constexpr int kMaxAttempts = 40;  // of one command
+
+control::AdminAnswer call(int port, const std::string& line) {
+  return control::AdminClient(net::loopback(static_cast<std::uint16_t>(port))).call(line);
+}
 
 }  // namespace
 
-Operator::Operator(std::vector<int> admins) : admins_(std::move(admins)), thread_([this] { run(); }) {}
+Operator::Operator(std::vector<int> admin_ports)
+    : admin_ports_(std::move(admin_ports)), thread_([this] { run(); }) {}
 
 Operator::~Operator() {
   {
     std::lock_guard lock(mutex_);
     ending_ = true;
   }
-  more_.notify_one();
+  changed_.notify_one();
   thread_.join();
 }
 
-void Operator::say(int instance, const std::string& command) {
+void Operator::send(int instance, const std::string& command) {
   std::lock_guard lock(mutex_);
-  wanted_.emplace_back(instance, command);
-  more_.notify_one();
+  queue_.push_back({.instance = instance, .text = command});
+  changed_.notify_one();
 }
 
 control::AdminAnswer Operator::status() const {
@@ -35,43 +42,48 @@
   return status_;
 }
 
-bool Operator::try_to_say(int instance, const std::string& command) const {
+bool Operator::is_accepted(int instance, const std::string& command) const {
   try {
-    int port = admins_[static_cast<std::size_t>(instance) % admins_.size()];
-    std::string error =
-        control::AdminClient(net::loopback(static_cast<std::uint16_t>(port))).call(command).error();
+    std::string error = call(port_of(instance), command).error();
     return error.find("out of touch") == std::string::npos && error.find("not agreed") == std::string::npos;
   } catch (const std::exception&) {
     return false;
   }
 }
 
+bool Operator::send_with_retries(const Command& command) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    if (is_accepted(command.instance + attempt, command.text)) return true;
+    std::unique_lock lock(mutex_);
+    if (changed_.wait_for(lock, kPollInterval, [this] { return ending_; })) return false;
+  }
+  return true;
+}
+
+void Operator::poll_status(int instance) {
+  try {
+    control::AdminAnswer answer = call(port_of(instance), "release status");
+    std::lock_guard lock(mutex_);
+    if (answer.epoch() >= status_.epoch()) status_ = answer;
+  } catch (const std::exception&) {
+    // Killed or unreachable: the next poll is of another instance.
+  }
+}
+
 void Operator::run() {
   for (int turn = 0;; ++turn) {
-    std::pair<int, std::string> next{-1, ""};
+    std::optional<Command> command;
     {
       std::unique_lock lock(mutex_);
-      more_.wait_for(lock, kLookEvery, [this] { return ending_ || !wanted_.empty(); });
+      changed_.wait_for(lock, kPollInterval, [this] { return ending_ || !queue_.empty(); });
       if (ending_) return;
-      if (!wanted_.empty()) {
-        next = wanted_.front();
-        wanted_.pop_front();
+      if (!queue_.empty()) {
+        command = std::move(queue_.front());
+        queue_.pop_front();
       }
     }
-    for (int tried = 0; next.first >= 0 && tried < kMaxTries; ++tried) {
-      if (try_to_say(next.first + tried, next.second)) break;
-      std::unique_lock lock(mutex_);
-      if (more_.wait_for(lock, kLookEvery, [this] { return ending_; })) return;
-    }
-    try {
-      int port = admins_[static_cast<std::size_t>(turn) % admins_.size()];
-      control::AdminAnswer seen =
-          control::AdminClient(net::loopback(static_cast<std::uint16_t>(port))).call("release status");
-      std::lock_guard lock(mutex_);
-      if (seen.epoch() >= status_.epoch()) status_ = seen;
-    } catch (const std::exception&) {
-      // Dead, or cut off: another is asked next.
-    }
+    if (command && !send_with_retries(*command)) return;
+    poll_status(turn);
   }
 }
 
--- a/measure/operator.h
+++ b/measure/operator.h
@@ -1,5 +1,5 @@
-// Operators at their terminals: they say things to instances and look at how a release fares, on a thread of
-// their own, as an answer may take its time.
+// An operator of the rig: sends commands to instances and polls a release's status, on a thread of its own,
+// as an answer may take some seconds. Owned by RigReleases.
 #pragma once
 
 #include <condition_variable>
@@ -7,31 +7,43 @@
 #include <mutex>
 #include <string>
 #include <thread>
+#include <utility>
 #include <vector>
 
 #include "control.pb.h"
 
 namespace myrtlecroft::rehearsal {
 
+// May be used from any thread.
 class Operator {
  public:
-  // `admins`: ports of the instances.
-  explicit Operator(std::vector<int> admins);
+  // `admin_ports`: of the instances.
+  explicit Operator(std::vector<int> admin_ports);
   ~Operator();
-  // Said to that instance, and to the next where it does not get through.
-  void say(int instance, const std::string& command);
-  // The last that some instance said, by the highest epoch.
+  // Queues the command for that instance; where it is not accepted there, for the next one, a bounded number
+  // of times.
+  void send(int instance, const std::string& command);
+  // The answer with the highest epoch that some instance has given so far.
   control::AdminAnswer status() const;
 
  private:
+  struct Command {
+    int instance = 0;
+    std::string text;
+  };
   void run();
-  // False: it did not get through.
-  bool try_to_say(int instance, const std::string& command) const;
+  // False where the operator was told to end meanwhile.
+  bool send_with_retries(const Command& command);
+  bool is_accepted(int instance, const std::string& command) const;
+  void poll_status(int instance);
+  int port_of(int instance) const {
+    return admin_ports_[static_cast<std::size_t>(instance) % admin_ports_.size()];
+  }
 
-  std::vector<int> admins_;
+  std::vector<int> admin_ports_;
   mutable std::mutex mutex_;
-  std::condition_variable more_;
-  std::deque<std::pair<int, std::string>> wanted_;
+  std::condition_variable changed_;
+  std::deque<Command> queue_;
   control::AdminAnswer status_;
   bool ending_ = false;
   std::thread thread_;
--- a/measure/rehearse.cpp
+++ b/measure/rehearse.cpp
@@ -34,28 +34,31 @@
       return 0;
     }
     rehearsal::RigResult result = rehearsal::play(options);
-    std::fputs(result.table.c_str(), stdout);
-    if (!result.first.empty())
-      std::printf("first: %s; logs in %s\n", result.first.c_str(), result.folder.c_str());
-    for (const rehearsal::ReleaseSeen& one : result.releases) {
-      std::printf("release to %d, %s: %s after %.1f s, reached %.2f%s\n", one.wanted.to,
-                  rehearsal::name_of(one.wanted.bad), one.outcome.c_str(), one.took_s, one.reached,
+    std::fputs(result.timeline.c_str(), stdout);
+    if (!result.first_violation.empty())
+      std::printf("first: %s; logs in %s\n", result.first_violation.c_str(), result.folder.c_str());
+    for (const rehearsal::ReleaseOutcome& one : result.releases) {
+      std::printf("release to %d, %s: %s after %.1f s, reached %.2f%s\n", one.planned.version,
+                  rehearsal::name_of(one.planned.defect), one.outcome.c_str(), one.took_s, one.reached,
                   one.stopped ? ("; stopped: " + one.reason).c_str() : "");
     }
     if (!result.releases.empty())
       std::printf(
           "out by choice at most %d of %d, of one service %d of %d; over %d, unpermitted %d, drain "
           "violations %d\n",
-          result.max_unavailable, result.allowed, result.below_max_unavailable, result.below_allowed,
-          result.over, result.unpermitted, result.drain_violations);
+          result.unavailable.max, result.unavailable.allowed, result.unavailable.service_max,
+          result.unavailable.service_allowed, result.violations.over_budget,
+          result.violations.unpermitted_exits, result.violations.drain_violations);
     std::printf(
         "measured rehearse seed=%u faults=%d offered=%d completed=%d runs=%d doubled=%d lost=%d "
         "split_owners=%d stale_acted=%d "
         "lost_entries=%d not_back=%d failovers=%d failover_p50_ms=%.0f failover_p99_ms=%.0f benefit=%.3f\n",
-        options.seed, result.faults, result.offered, result.completed, result.runs, result.doubled,
-        result.lost, result.split_owners, result.stale_acted, result.lost_entries, result.not_back,
-        result.failovers, result.failover_p50_ms, result.failover_p99_ms, result.priority_weight());
-    return result.violations() > 0;
+        options.seed, result.faults, result.load.offered, result.load.completed, result.load.runs,
+        result.violations.doubled_runs, result.violations.lost_requests, result.violations.split_owners,
+        result.violations.stale_epochs, result.violations.lost_entries, result.violations.not_recovered,
+        result.failovers.count, result.failovers.p50_ms, result.failovers.p99_ms,
+        result.load.completed_share());
+    return result.violations.total() > 0;
   } catch (const settings::DocumentError& error) {
     std::fprintf(stderr, "rehearse: %s\n", error.what());
     return 2;
--- /dev/null
+++ b/tests/session_gate_test.cpp
@@ -0,0 +1,64 @@
+// Which proxies are served, where several replicas agree on it.
+#include <gtest/gtest.h>
+
+#include "xds/session_table.h"
+
+namespace myrtlecroft {
+namespace {
+
+// A set with nothing in it but its number.
+struct SessionGateTest : testing::Test {
+  static std::shared_ptr<const xds::ResourceSet> set(std::uint64_t number) {
+    auto out = std::make_shared<xds::ResourceSet>();
+    out->number = number;
+    auto one = std::make_shared<xds::Resource>();
+    one->name = "fleet";
+    one->version = std::to_string(number);
+    out->by_type[static_cast<std::size_t>(xds::Type::kListeners)]["fleet"] = one;
+    return out;
+  }
+  std::string asks(const std::string& id, Nanos now) {
+    xds::StreamId stream = table.open(xds::Form::kStateOfTheWorld, "peer");
+    xds::Request request;
+    request.type = xds::Type::kListeners;
+    request.names = {"fleet"};
+    table.request(stream, id, "a", request, now);
+    last_stream = stream;
+    auto response = table.next(stream);
+    if (response) {
+      request.nonce = response->nonce;
+      table.request(stream, id, "a", request, now);
+    }
+    return response && !response->resources.empty() ? response->resources[0]->version : "nothing";
+  }
+  xds::SessionTable table{[](const std::string&) {}};
+  xds::StreamId last_stream = 0;
+};
+
+TEST_F(SessionGateTest, ProxyThatIsNotAgreedOnGetsNothing) {
+  table.publish(set(1));
+  table.gate({.served = {"p"}, .fresh_until = 100, .closed = nullptr}, 0);
+  EXPECT_EQ(asks("q", 50), "nothing");
+  EXPECT_EQ(asks("p", 50), "1");
+}
+
+TEST_F(SessionGateTest, NewStreamGetsNoOpenShardWithoutAQuorum) {
+  table.publish(set(1));
+  table.gate({.served = {"p"}, .fresh_until = 100, .closed = set(9)}, 0);
+  EXPECT_EQ(asks("p", 101), "9");
+}
+
+// What a fleet waited for after a start, once in five: its first set, closed because the instance was just
+// then out of touch, stayed so until something else changed.
+TEST_F(SessionGateTest, StreamGetsOpenShardsOnceTheQuorumReturnsWithoutAnotherChange) {
+  table.publish(set(1));
+  table.gate({.served = {"p"}, .fresh_until = 100, .closed = set(9)}, 0);
+  EXPECT_EQ(asks("p", 101), "9");
+  table.gate({.served = {"p"}, .fresh_until = 300, .closed = set(9)}, 200);
+  auto response = table.next(last_stream);
+  ASSERT_TRUE(response && !response->resources.empty());
+  EXPECT_EQ(response->resources[0]->version, "1");
+}
+
+}  // namespace
+}  // namespace myrtlecroft
--- /dev/null
+++ b/tests/shard_assignment_codec_test.cpp
@@ -0,0 +1,27 @@
+// Shard assignments as bytes.
+#include <gtest/gtest.h>
+
+#include "report/load_report.h"
+
+namespace myrtlecroft {
+namespace {
+
+TEST(ShardAssignmentCodecTest, AssignmentIsDecodedAsItWasEncoded) {
+  fencing::ShardAssignment order{{3, 44}, 17, 2, {0, 7, 255}};
+  std::string bytes = report::encode(order);
+  fencing::ShardAssignment read;
+  report::Malformed malformed{};
+  EXPECT_EQ(
+      report::decode(bytes, {.report = {}, .order = [&](const fencing::ShardAssignment& one) { read = one; }},
+                     malformed),
+      bytes.size());
+  EXPECT_EQ(malformed, report::Malformed::kNo);
+  EXPECT_EQ(read, order);
+  bytes.resize(bytes.size() - 1);
+  bytes[3] = static_cast<char>(bytes[3] - 1);
+  report::decode(bytes, {.report = {}, .order = [](const fencing::ShardAssignment&) {}}, malformed);
+  EXPECT_EQ(malformed, report::Malformed::kBody) << "a cut order is none";
+}
+
+}  // namespace
+}  // namespace myrtlecroft
