--- a/measure/rig_servers.cpp
+++ b/measure/rig_servers.cpp
@@ -19,9 +19,9 @@
 constexpr int kRestartExitCode = 100;  // and the version to start
 constexpr Nanos kBatchInterval = 4 * kSecond;
 // Lines of a server's log.
-constexpr const char* kLeavesLine = "leaves to be started as";
+constexpr const char* kDrainsLine = "drains to be started as";
 constexpr const char* kStartedLine = "started as";
-constexpr const char* kActsPattern = R"(acts on epoch (\d+) of term (\d+))";
+constexpr const char* kAssignmentPattern = R"(shard assignment in force: epoch (\d+) of term (\d+))";
 
 }  // namespace
 
@@ -147,8 +147,8 @@
 }
 
 void RigServers::check_line(Server& server, const std::string& line) {
-  static const std::regex acts_on(kActsPattern);
-  if (line.find(kLeavesLine) != std::string::npos) leaves_as_told(server);
+  static const std::regex acts_on(kAssignmentPattern);
+  if (line.find(kDrainsLine) != std::string::npos) leaves_as_told(server);
   if (line.find(kStartedLine) != std::string::npos) server.epoch = {};
   std::smatch match;
   if (!std::regex_search(line, match, acts_on)) return;
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -9,6 +9,7 @@
 #include "control/admin_names.h"
 #include "control/maintenance_rows.h"
 #include "routing_state/saved_state.h"
+#include "routing_state/stored_names.h"
 
 namespace myrtlecroft::control {
 namespace {
@@ -37,17 +38,17 @@
   row.set_name(server.node.name);
   row.set_zone(server.node.zone);
   row.set_address(server.node.address());
-  row.set_state(routing::name_of(server.state));
-  row.set_in_state_s(seconds(now - server.since));
+  row.set_state(routing_state::stored_name(server.state));
+  row.set_in_state_s(seconds(now - server.state_since));
   row.set_kept_in(server.kept_in_rotation);
-  row.set_heard_s_ago(seconds_since(server.heard_at, now));
-  row.set_mode(server.heard_at > 0 ? name_of(server.report.mode) : "unknown");
+  row.set_heard_s_ago(seconds_since(server.last_report_at, now));
+  row.set_mode(server.last_report_at > 0 ? name_of(server.report.mode) : "unknown");
   row.set_cold(server.report.warming_up);
   row.set_window(server.report.window);
   row.set_limit(server.report.limit);
   row.set_held(server.report.held);
   row.set_weight(server.weight);
-  row.set_ramp(server.ramp);
+  row.set_ramp(server.slow_start_factor);
   row.set_flaps(server.flaps);
   row.set_shards(shards);
   return row;
@@ -94,7 +95,7 @@
 
 AdminAnswer AdminQueries::summary(const ControlStatus& status) const {
   AdminAnswer out;
-  out.set_view(routing::name_of(router_.registry().view()));
+  out.set_view(routing_state::stored_name(router_.registry().view()));
   out.set_published(status.published);
   out.set_applied_by_all(status.applied_by_all);
   out.set_shards_closed(static_cast<std::uint32_t>(router_.shards().closed()));
@@ -140,8 +141,9 @@
   }
   for (std::size_t place = 0; place < servers.size(); ++place) {
     const routing::ServerStatus& server = servers[place];
-    const RowLabels labels{
-        .zone = server.node.zone, .state = routing::name_of(server.state), .name = server.node.name};
+    const RowLabels labels{.zone = server.node.zone,
+                           .state = routing_state::stored_name(server.state),
+                           .name = server.node.name};
     if (!matches(query, labels)) continue;
     ServerRow row = row_of(server, shards[place], loop_.now());
     if (pager.next(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -31,9 +31,10 @@
       options_(std::move(options)),
       discovery_([this](const std::string& line) { log_.frequent(line); }),
       publisher_(loop, log, discovery_),
-      durable_publication_(
-          loop, log, options_.state_folder,
-          {.discovery = discovery_, .publisher = publisher_, .state = [this] { return router_.memory(); }}),
+      durable_publication_(loop, log, options_.state_folder,
+                           {.discovery = discovery_,
+                            .publisher = publisher_,
+                            .state = [this] { return router_.persisted_state(); }}),
       own_router_(make_router()),
       replicated_(make_replica()),
       router_(own_router_ ? *own_router_ : replicated_->replica().router()),
@@ -108,7 +109,7 @@
 
 void Control::decide_alone() {
   if (!publisher_.may_publish()) {
-    router_.watch(loop_.now());
+    router_.observe(loop_.now());
   } else if (auto published = router_.step(loop_.now())) {
     durable_publication_.set_pending(std::move(published));
   }
--- a/src/control/durable_publication.cpp
+++ b/src/control/durable_publication.cpp
@@ -20,16 +20,16 @@
 
 std::optional<routing::PersistedState> DurablePublication::restore() {
   if (!store_ || store_->loaded().empty()) return std::nullopt;
-  std::optional<routing_state::SavedState> state = routing_state::unpacked(store_->loaded());
+  std::optional<routing_state::SavedState> state = routing_state::parse_saved_state(store_->loaded());
   if (!state) {
     log_.line("state folder " + folder_ +
               ": this version can't read the saved state; owners of shards are unknown");
     return std::nullopt;
   }
   targets_.discovery.restore_known(state->proxies);
-  log_.line("restored saved state: " + std::to_string(state->memory.snapshot.nodes.size()) + " servers, " +
+  log_.line("restored saved state: " + std::to_string(state->routing.snapshot.nodes.size()) + " servers, " +
             std::to_string(state->proxies.size()) + " proxies");
-  return std::move(state->memory);
+  return std::move(state->routing);
 }
 
 void DurablePublication::step() {
@@ -42,7 +42,7 @@
   if (!at_once && loop_.now() - attempted_at_ < kSaveInterval) return;
   attempted_at_ = loop_.now();
   covered_ = pending_;
-  saving_ = routing_state::packed({targets_.state(), targets_.discovery.known()});
+  saving_ = routing_state::serialize({targets_.state(), targets_.discovery.known()});
   if (saving_ == saved_) {
     saved(SaveResult::kDurable);
   } else {
--- a/src/control/durable_publication.h
+++ b/src/control/durable_publication.h
@@ -29,7 +29,9 @@
   // What was saved before the start; passes the proxies that were known then to the discovery service.
   std::optional<routing::PersistedState> restore();
   // Replaces a publication that waits.
-  void set_pending(std::shared_ptr<const routing::Published> published) { pending_ = std::move(published); }
+  void set_pending(std::shared_ptr<const routing::PublishedSnapshot> published) {
+    pending_ = std::move(published);
+  }
   bool has_pending() const { return pending_ != nullptr; }
   // Saves, and publishes, what is due. To be called several times a second.
   void step();
@@ -43,9 +45,9 @@
   service::Logger& log_;
   std::string folder_;
   Targets targets_;
-  std::unique_ptr<StateStore> store_;                  // nullptr: nothing is saved
-  std::shared_ptr<const routing::Published> pending_;  // decided, not yet saved
-  std::shared_ptr<const routing::Published> covered_;  // by the state that is being saved
+  std::unique_ptr<StateStore> store_;                          // nullptr: nothing is saved
+  std::shared_ptr<const routing::PublishedSnapshot> pending_;  // decided, not yet saved
+  std::shared_ptr<const routing::PublishedSnapshot> covered_;  // by the state that is being saved
   std::string saving_;
   std::string saved_;
   bool disk_fails_ = false;
--- a/src/control/proxy_monitor.cpp
+++ b/src/control/proxy_monitor.cpp
@@ -31,14 +31,14 @@
     const routing::ServerStatus* listening =
         server.empty() ? router_.registry().server_at(load.address) : nullptr;
     if (listening) server = listening->node.name;
-    router_.proxies_say({server, load.issued, load.succeeded, load.failed}, now);
+    router_.handle_proxy_counts({server, load.issued, load.succeeded, load.failed}, now);
   }
 }
 
 void ProxyMonitor::pass_applied() {
   if (!replica_) {
     applied_by_all_ = discovery_.applied_by_all(router_.fleet().bounds.forget_proxies);
-    router_.applied(applied_by_all_);
+    router_.all_proxies_applied(applied_by_all_);
     return;
   }
   // Read before the proxies are, so that a change meanwhile is seen by the next step.
--- a/src/control/publisher.cpp
+++ b/src/control/publisher.cpp
@@ -5,7 +5,7 @@
 
 namespace myrtlecroft::control {
 
-void Publisher::publish(const routing::Published& published) {
+void Publisher::publish(const routing::PublishedSnapshot& published) {
   const Nanos begun = loop_.now();
   auto set = xds::make_resources(published, served_.get());
   if (std::string fault = xds::fault_of(*set, served_.get()); !fault.empty()) {
@@ -27,9 +27,9 @@
 }
 
 // Only when it is needed: until then a new stream is sent nothing.
-void Publisher::make_closed_set(const routing::Published& published) {
+void Publisher::make_closed_set(const routing::PublishedSnapshot& published) {
   if (closed_ && closed_->number == published.number) return;
-  routing::Published closed = published;
+  routing::PublishedSnapshot closed = published;
   closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
   closed_ = xds::make_resources(closed, nullptr);
 }
--- a/src/control/publisher.h
+++ b/src/control/publisher.h
@@ -21,7 +21,7 @@
       : loop_(loop), log_(log), discovery_(discovery) {}
 
   // Serves this publication from now on. One that fails the consistency check is logged and not served.
-  void publish(const routing::Published& published);
+  void publish(const routing::PublishedSnapshot& published);
   // Serves what the replicas have agreed on, to the proxies they have agreed on. To be called after each
   // change of the agreed state, and several times a second.
   void publish_agreed(const agreement::ControlReplica& replica);
@@ -32,7 +32,7 @@
   std::uint64_t number() const { return served_ ? served_->number : 0; }
 
  private:
-  void make_closed_set(const routing::Published& published);
+  void make_closed_set(const routing::PublishedSnapshot& published);
   void update_gate(const agreement::ReplicatedState& state, Nanos fresh_until);
 
   net::Loop& loop_;
--- a/src/control/report_receiver.cpp
+++ b/src/control/report_receiver.cpp
@@ -15,7 +15,7 @@
 
 const char* reason_of(Verdict verdict) {
   switch (verdict) {
-    case Verdict::kTaken:
+    case Verdict::kAccepted:
       return "";
     case Verdict::kUnknownNode:
       return "the fleet file has no such server";
@@ -60,8 +60,8 @@
 
 void ReportReceiver::handle(FrameServer::Id id, net::Connection& connection,
                             const report::LoadReport& report) {
-  Verdict verdict = targets_.router.reported(report, loop_.now(), net::Loop::unix_now());
-  if (verdict == Verdict::kTaken) {
+  Verdict verdict = targets_.router.handle_report(report, loop_.now(), net::Loop::unix_now());
+  if (verdict == Verdict::kAccepted) {
     accepted(id, report);
     if (targets_.replica && report.obeys) send_assignment(connection, report);
     return;
@@ -72,7 +72,8 @@
 
 void ReportReceiver::accepted(FrameServer::Id id, const report::LoadReport& report) {
   rejection_reasons_.erase(report.node);
-  if (links_.assign(id, report.node)) targets_.router.report_link(report.node, true, loop_.now());
+  if (links_.assign(id, report.node))
+    targets_.router.handle_report_connection(report.node, true, loop_.now());
   std::string mode = std::string(name_of(report.mode)) + (report.draining ? " draining" : "");
   std::string& last_mode = modes_[report.node];
   if (last_mode == mode) return;
@@ -93,7 +94,7 @@
 
 void ReportReceiver::closed(FrameServer::Id id) {
   std::optional<std::string> server = links_.closed(id);
-  if (server) targets_.router.report_link(*server, false, loop_.now());
+  if (server) targets_.router.handle_report_connection(*server, false, loop_.now());
 }
 
 // To a server that acts on an older assignment, or on none.
--- a/src/net/database_codec.cpp
+++ b/src/net/database_codec.cpp
@@ -32,11 +32,11 @@
   if (out.id.empty()) return LineState::kMalformed;
   if (word != "ROWS") {
     using service::CallResult;
-    constexpr std::pair<std::string_view, CallResult> known[] = {{"FULL", CallResult::kAtCapacity},
-                                                                 {"FAIL", CallResult::kFailed},
-                                                                 {"TIMEOUT", CallResult::kTimedOut},
-                                                                 {"NONE", CallResult::kNotExecuted}};
-    for (const auto& [name, reply] : known) {
+    constexpr std::pair<std::string_view, CallResult> kResults[] = {{"FULL", CallResult::kAtCapacity},
+                                                                    {"FAIL", CallResult::kFailed},
+                                                                    {"TIMEOUT", CallResult::kTimedOut},
+                                                                    {"NONE", CallResult::kNotExecuted}};
+    for (const auto& [name, reply] : kResults) {
       if (name != word) continue;
       out.reply = reply;
       return LineState::kComplete;
--- a/src/releases/disruption_budget.cpp
+++ b/src/releases/disruption_budget.cpp
@@ -23,8 +23,9 @@
     all.insert(node.name);
     zones[node.zone].insert(node.name);
   }
-  visit("fleet", fleet.outings.max_unavailable, all);
-  for (const auto& [zone, nodes] : zones) visit("zone " + zone, fleet.outings.zone_max_unavailable, nodes);
+  visit("fleet", fleet.maintenance.max_unavailable, all);
+  for (const auto& [zone, nodes] : zones)
+    visit("zone " + zone, fleet.maintenance.zone_max_unavailable, nodes);
   for (const fleet::RequestClass& request_class : fleet.request_classes) {
     if (request_class.max_unavailable != fleet::MaxUnavailable{})
       visit("group " + request_class.name, request_class.max_unavailable, all);
@@ -43,10 +44,11 @@
 // Rejected requests come again, at other servers too. Each counts once for the share that is rejected, not as
 // often as it is received.
 double load_of(const routing::ServerStatus& server) {
-  if (server.heard_at == 0) return 0;
-  double received = server.read.read(server.heard_at);
-  double rejected = received > 1 ? std::min(1.0, server.rejected.read(server.heard_at) / received) : 0;
-  return server.asked_of(server.heard_at) * (1 + rejected);
+  if (server.last_report_at == 0) return 0;
+  double received = server.reported.received.read(server.last_report_at);
+  double rejected =
+      received > 1 ? std::min(1.0, server.reported.rejected.read(server.last_report_at) / received) : 0;
+  return server.mean_requests(server.last_report_at) * (1 + rejected);
 }
 
 }  // namespace
@@ -115,7 +117,7 @@
   capacities_[name] = server.node.capacity;
   concurrency_limits_[name] = server.report.limit;
   load_ += load_of(server);
-  if (!is_leased && server.whole()) {
+  if (!is_leased && server.at_full_capacity()) {
     available_limit_ += server.report.limit;
     return;
   }
--- a/src/releases/maintenance_grants.cpp
+++ b/src/releases/maintenance_grants.cpp
@@ -13,7 +13,7 @@
 void MaintenanceGrants::propose(const RolloutContext& context, agreement::Decision& out) {
   blocked_reason_.clear();
   // A replica that hears only a part of the fleet can't tell what is unavailable.
-  if (context.view.router.registry().view() != routing::View::kClear) {
+  if (context.view.router.registry().view() != routing::View::kConnected) {
     blocked_reason_ = "too few servers report to this instance";
     return;
   }
@@ -24,13 +24,13 @@
 
 void MaintenanceGrants::propose_drains(const RolloutContext& context, DisruptionBudget& budget,
                                        agreement::Decision& out) {
-  const fleet::Outings& options = context.view.router.fleet().outings;
+  const fleet::MaintenanceOptions& options = context.view.router.fleet().maintenance;
   for (const std::string& node : context.maintenance.drains()) {
     const routing::ServerStatus* server = context.server(node);
-    if (!server || server->heard_at == 0 || context.leased.contains(node)) continue;
+    if (!server || server->last_report_at == 0 || context.leased.contains(node)) continue;
     Grant grant{.node = node,
                 .why = agreement::WHY_DRAIN,
-                .duration = options.permit_lasts,
+                .duration = options.lease_duration,
                 .reserve = options.reserve};
     grant_within(budget, grant, context.view.now, out);
   }
--- a/src/routing/rendezvous.cpp
+++ b/src/routing/rendezvous.cpp
@@ -1,3 +1,4 @@
+// The draws, and which of them a change of the servers makes again.
 #include "routing/rendezvous.h"
 
 #include <cmath>
@@ -12,14 +13,13 @@
 constexpr double kDraws = 9007199254740992.0;  // 2^53
 constexpr double kRounding = 1e-9;             // more than the arithmetic of a score is off by
 
-// In (0, 1), from the server's name and the shard alone, so that every instance and every restart draws the
-// same.
+// In (0, 1), from the server's name and the shard alone: the same on every instance and after every restart.
 double draw_of(const std::string& name, std::size_t shard) {
   std::uint64_t hash = XXH3_64bits_withSeed(name.data(), name.size(), shard);
   return (static_cast<double>(hash >> 11) + 0.5) / kDraws;
 }
 
-// -log(draw) is at least 1 - draw: most draws are told to lose without a logarithm.
+// -log(draw) is at least 1 - draw: for most draws this shows without a logarithm that they lose.
 bool surely_loses(double draw, double capacity, double best_score) {
   return capacity * (1 + kRounding) < best_score * (1 - draw);
 }
@@ -33,8 +33,8 @@
           .competes = server.in_service() && !server.kept_in_rotation};
 }
 
-// Another fleet file moves members to other places: winners keep their shards, and those who are gone compete
-// no more.
+// Another fleet file moves servers to other places: winners keep their shards, and servers that it doesn't
+// name no longer compete.
 void Rendezvous::follow_layout(const ServerRegistry& registry) {
   std::vector<int> places(candidates_.size(), kNobody);
   std::vector<Candidate> next(registry.all().size());
@@ -68,7 +68,7 @@
     bool same = before.competes == competes && before.capacity == server.node.capacity &&
                 before.priority == server.node.priority;
     if (same) continue;
-    // One whose terms change leaves under the old and joins under the new.
+    // One whose capacity or priority changes stops with the old values and starts with the new ones.
     left[place] = before.competes;
     any_left = any_left || before.competes;
     if (competes) joined.push_back(static_cast<int>(place));
@@ -78,7 +78,7 @@
   for (std::size_t shard = 0; shard < winners_.size(); ++shard) {
     int place = winners_[shard].place;
     if (place != kNobody && left[static_cast<std::size_t>(place)]) {
-      redraw(shard);  // those who joined are among the candidates already
+      redraw(shard);  // those that joined are among the candidates already
       continue;
     }
     for (int one : joined) compete(one, shard);
@@ -92,7 +92,7 @@
   }
 }
 
-// Of two equal scores the smaller name wins, so that the order of the fleet file has no say.
+// Of two equal scores the smaller name wins, so that the order of the fleet file has no effect.
 void Rendezvous::compete(int place, std::size_t shard) {
   const Candidate& one = candidates_[static_cast<std::size_t>(place)];
   Winner& winner = winners_[shard];
--- a/tests/disruption_budget_test.cpp
+++ b/tests/disruption_budget_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(DisruptionBudgetTest, ServerIsRejectedByTheFirstPartOfTheFleetThatIsUsedUp) {
   fleet::Fleet fleet = fleet_of(6, {.by_count = true, .max = 4});
-  fleet.outings.zone_max_unavailable = {.by_count = false, .max = 0.34};
+  fleet.maintenance.zone_max_unavailable = {.by_count = false, .max = 0.34};
   fleet.services.push_back(
       {.name = "ledger", .used_by = {"n1", "n2", "n4"}, .max_unavailable = {.by_count = true, .max = 1}});
   std::vector<routing::ServerStatus> servers;
--- a/tests/releases_fakes.h
+++ b/tests/releases_fakes.h
@@ -21,9 +21,9 @@
   }
   out.request_classes.push_back(
       {.name = "read", .path = "/read", .latency_objective = 500 * kMs, .client_timeout = 500 * kMs});
-  out.outings.max_unavailable = max_unavailable;
-  out.outings.permit_lasts = 20 * kSecond;
-  out.bounds.dwell = out.bounds.ramp = 0;
+  out.maintenance.max_unavailable = max_unavailable;
+  out.maintenance.lease_duration = 20 * kSecond;
+  out.bounds.dwell = out.bounds.slow_start = 0;
   return out;
 }
 
@@ -54,15 +54,15 @@
 // In full service, with so many requests that run or are queued.
 inline routing::ServerStatus server_of(const fleet::Node& node, double requests = 1, double limit = 4) {
   routing::ServerStatus out{.node = node, .state = routing::ServerState::kServing};
-  out.heard_at = kSecond;
+  out.last_report_at = kSecond;
   out.incarnation = 1;
   out.version = 1;
   out.report.node = node.name;
   out.report.incarnation = 1;
   out.report.limit = limit;
   out.report.obeys = true;
-  out.asked.add(requests, kSecond);
-  out.reports.add(1, kSecond);
+  out.reported.occupancy.add(requests, kSecond);
+  out.reported.reports.add(1, kSecond);
   return out;
 }
 
