--- a/src/server_program.cpp
+++ b/src/server_program.cpp
@@ -42,9 +42,9 @@
               std::clamp(launch_.memory / kEngineMemoryShare, kMinEngineMemory, kMaxEngineMemory)),
       database_(loop_, log_, launch_.database, reserved_descriptors_ / 2),
       membership_(loop_, launch_.name, launch_.members),
-      records_(recovery::open_durable_runs(settings_.store, loop_, log_)),
-      service_(take_start(launch_), {loop_, front_, engine_, database_, membership_, log_, records_.get(),
-                                     settings_.reports.obey ? &keys_ : nullptr}),
+      idempotency_log_(recovery::open_durable_idempotency_log(settings_.store, loop_, log_)),
+      service_(take_start(launch_), {loop_, front_, engine_, database_, membership_, log_,
+                                     idempotency_log_.get(), settings_.reports.obey ? &keys_ : nullptr}),
       reporter_(loop_, log_, service_, launch_.name, launch_.listen),
       stop_timer_(loop_.base(),
                   [this] {
@@ -57,7 +57,7 @@
       reload_(loop_, paths_.config, paths_.settings,
               [this](ReadAgain read) { apply_reload(std::move(read)); }),
       reload_signal_(loop_.base(), SIGHUP, [this] { reload_.ask(); }) {
-  if (records_) records_->serve(service_);
+  if (idempotency_log_) idempotency_log_->attach(service_);
   reporter_.runs(version);
   restore_assignment();
   reporter_.on_order([this](const fencing::ShardAssignment& assignment) { take_assignment(assignment); });
@@ -90,10 +90,10 @@
 
 // A server with a store still has the keys of its assignment after a restart.
 void ServerProgram::restore_assignment() {
-  if (!records_ || !settings_.reports.obey) return;
+  if (!idempotency_log_ || !settings_.reports.obey) return;
   report::Malformed malformed{};
   report::decode(
-      records_->order(),
+      idempotency_log_->saved_assignment(),
       {.report = {},
        .order = [this](const fencing::ShardAssignment& assignment) { keys_.guard.restore(assignment); }},
       malformed);
@@ -114,7 +114,7 @@
   if (verdict != fencing::FencingGuard::Verdict::kAccepted) return;
   log_.frequent("shard assignment in force: " + described(assignment));
   reporter_.acts_on(assignment.epoch);
-  if (records_) records_->keep_order(report::encode(assignment));
+  if (idempotency_log_) idempotency_log_->save_assignment(report::encode(assignment));
   if (!assignment.restart_as || service_.draining()) return;
   exit_code_ = kRestartAs + *assignment.restart_as;
   log_.line("drains to be started as version " + std::to_string(*assignment.restart_as) + ", epoch " +
