--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -49,12 +49,12 @@
     return;
   }
   for (const auto& [other, agreed] : replica.agreed().instances()) {
-    if (agreed.format >= agreement::kOutingsFormat) continue;
+    if (agreed.format >= agreement::kMaintenanceFormat) continue;
     finish(pending,
            releases::kCommandRejected + "instance " + std::to_string(other) + " knows no releases yet");
     return;
   }
-  pending.command = replica.command(command);
+  pending.command = replica.submit_command(command);
   pending_[id] = std::move(pending);
 }
 
@@ -69,7 +69,7 @@
   agreement::ControlReplica& replica = control_.replica();
   for (auto next = pending_.begin(); next != pending_.end();) {
     PendingCommand& pending = next->second;
-    const agreement::CommandResult* result = replica.agreed().outings().result(pending.command);
+    const agreement::CommandResult* result = replica.agreed().maintenance().result(pending.command);
     if (!result && loop_.now() < pending.deadline) {
       ++next;
       continue;
@@ -93,13 +93,13 @@
   std::string address;
   fields >> command >> id >> address;
   agreement::ControlReplica& replica = control_.replica();
-  if (command == "let-in" && id > 0 && !address.empty()) return error_of(replica.let_in(id, address));
-  if (command == "let-out" && id > 0) return error_of(replica.let_out(id));
+  if (command == "let-in" && id > 0 && !address.empty()) return error_of(replica.add_member(id, address));
+  if (command == "let-out" && id > 0) return error_of(replica.remove_member(id));
   if (command != "hand-on") {
     return AdminCommandError{
         "unknown question; there are nodes, proxies, snapshot, instances, outings and release status"};
   }
-  if (!replica.raft_node().leads()) return AdminCommandError{"this instance does not lead"};
+  if (!replica.raft_node().is_leader()) return AdminCommandError{"this instance does not lead"};
   control_.transfer_leadership([] {});
   return std::nullopt;
 }
--- a/src/control/admin_names.cpp
+++ b/src/control/admin_names.cpp
@@ -10,9 +10,9 @@
   return names.at(static_cast<std::size_t>(mode));
 }
 
-const char* name_of(agreement::Why reason) {
-  if (reason == agreement::WHY_DRAIN) return "drain";
-  return reason == agreement::WHY_RELEASE ? "release" : "way back";
+const char* name_of(agreement::MaintenanceReason reason) {
+  if (reason == agreement::REASON_DRAIN) return "drain";
+  return reason == agreement::REASON_RELEASE ? "release" : "way back";
 }
 
 const char* membership_name(const consensus::Server& server) {
--- a/src/control/admin_names.h
+++ b/src/control/admin_names.h
@@ -11,7 +11,7 @@
 // A server's mode: "serving", "stalled", "trial" or "leaving".
 const char* name_of(Mode mode);
 // Why a server is out for maintenance: "drain", "release" or "way back".
-const char* name_of(agreement::Why reason);
+const char* name_of(agreement::MaintenanceReason reason);
 // What a replica does in the cluster: "votes", "hears" or "named only".
 const char* membership_name(const consensus::Server& server);
 
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -196,12 +196,12 @@
   answer.set_epoch(state.epoch().number);
   answer.set_in_touch(replica.has_quorum());
   answer.set_digest(xds::hex(state.digest()));
-  answer.set_refused(state.refused());
+  answer.set_refused(state.rejected_entries());
   answer.set_left_out(replicated_->links().dropped());
   answer.set_agreed_time_s(seconds(state.time()));
   answer.set_disk_fails(raft.disk_failed());
   answer.set_published(state.published());
-  answer.set_shards_closed(static_cast<std::uint32_t>(state.closed()));
+  answer.set_shards_closed(static_cast<std::uint32_t>(state.closed_shards()));
   for (const consensus::Server& server : raft.servers()) add_instance_row(server, answer);
 }
 
@@ -214,9 +214,9 @@
   row.set_part(membership_name(server));
   row.set_leads(server.id() == raft.leader());
   row.set_here(server.id() == raft.id());
-  agreement::ControlReplica::Said reported = replica.said_by(server.id());
+  agreement::ControlReplica::PeerStatus reported = replica.peer_status(server.id());
   row.set_applied(row.here() ? answer.epoch() : reported.applied);
-  row.set_heard_s_ago(row.here() ? 0 : seconds_since(reported.at, loop_.now()));
+  row.set_heard_s_ago(row.here() ? 0 : seconds_since(reported.received_at, loop_.now()));
   auto agreed = replica.agreed().instances().find(server.id());
   if (agreed == replica.agreed().instances().end()) return;
   row.set_format(agreed->second.format);
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -93,7 +93,7 @@
 }
 
 void Control::decide_soon() {
-  if (replicated_) replicated_->replica().soon();
+  if (replicated_) replicated_->replica().decide_soon();
   step_timer_.set(0);
 }
 
--- a/src/control/maintenance_rows.cpp
+++ b/src/control/maintenance_rows.cpp
@@ -15,11 +15,11 @@
 double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
 
 void add_lease_rows(const agreement::ReplicatedState& state, AdminAnswer& answer) {
-  for (const auto& [server, lease] : state.outings().leases()) {
+  for (const auto& [server, lease] : state.maintenance().leases()) {
     MaintenanceLeaseRow& row = *answer.add_trips();
     row.set_node(server);
-    row.set_why(name_of(lease.why));
-    row.set_place(agreement::name_of(lease.place));
+    row.set_why(name_of(lease.reason));
+    row.set_place(agreement::name_of(lease.phase));
     row.set_version(lease.version);
     row.set_in_place_s(seconds(state.time() - lease.since));
     row.set_permit_s(seconds(lease.until - state.time()));
@@ -28,7 +28,7 @@
 
 void add_budget_rows(const agreement::ControlReplica& replica, AdminAnswer& answer) {
   std::set<std::string> leased;
-  for (const auto& [server, lease] : replica.agreed().outings().leases()) leased.insert(server);
+  for (const auto& [server, lease] : replica.agreed().maintenance().leases()) leased.insert(server);
   const routing::Router& router = replica.router();
   const releases::DisruptionBudget budget(router.fleet(), router.registry().all(), leased);
   for (const releases::DisruptionBudget::Usage& part : budget.usage()) {
@@ -69,7 +69,7 @@
 
 void set_release_row(const ReplicatedControl& control, AdminAnswer& answer) {
   const agreement::ReplicatedState& state = control.replica().agreed();
-  const agreement::Release& release = state.outings().release();
+  const agreement::Release& release = state.maintenance().release();
   if (release.id() == 0) return;
   ReleaseRow& row = *answer.mutable_release();
   row.set_id(release.id());
@@ -85,9 +85,10 @@
   for (const agreement::UpdatedServer& server : release.taken()) {
     if (!server.failed().empty()) row.add_failed(server.node() + ": " + server.failed());
   }
-  bool under_way = state.outings().under_way();
+  bool under_way = state.maintenance().release_in_progress();
   row.set_outlook(under_way ? control.rollout().status_detail() : "");
-  row.set_left_s(under_way ? time_left_s(row, release.phase() == agreement::PHASE_BACK) : kUnknownTimeLeft);
+  row.set_left_s(under_way ? time_left_s(row, release.phase() == agreement::PHASE_ROLLING_BACK)
+                           : kUnknownTimeLeft);
 }
 
 }  // namespace
@@ -95,7 +96,7 @@
 void add_maintenance_rows(const ReplicatedControl& control, AdminAnswer& answer) {
   const agreement::ReplicatedState& state = control.replica().agreed();
   add_lease_rows(state, answer);
-  for (const std::string& server : state.outings().drains()) answer.add_drains(server);
+  for (const std::string& server : state.maintenance().drains()) answer.add_drains(server);
   add_budget_rows(control.replica(), answer);
   set_release_row(control, answer);
 }
--- a/src/control/proxy_monitor.cpp
+++ b/src/control/proxy_monitor.cpp
@@ -44,9 +44,9 @@
   // Read before the proxies are, so that a change meanwhile is seen by the next step.
   std::uint64_t changes = discovery_.changes();
   if (seen_changes_ == changes) {
-    replica_->proxies_unchanged();
+    replica_->local_proxies_unchanged();
   } else {
-    replica_->proxies(status_of(discovery_.view()));
+    replica_->set_local_proxies(status_of(discovery_.view()));
   }
   seen_changes_ = changes;
   applied_by_all_ = replica_->applied_by_all();
--- a/src/control/publisher.cpp
+++ b/src/control/publisher.cpp
@@ -21,7 +21,7 @@
 void Publisher::publish_agreed(const agreement::ControlReplica& replica) {
   auto published = replica.published();
   if (published && (!served_ || served_->number != published->number)) publish(*published);
-  Nanos fresh = replica.fresh_for();
+  Nanos fresh = replica.lease_remaining();
   if (fresh == 0 && published) make_closed_set(*published);
   update_gate(replica.agreed(), fresh > 0 ? loop_.now() + fresh : 0);
 }
@@ -44,7 +44,7 @@
   }
   xds::SessionTable::Gate gate{.served = {}, .fresh_until = fresh_until, .closed = closed_};
   for (const auto& [id, disconnected_since] : state.proxies()) {
-    if (disconnected_since == agreement::kHere) gate.served.insert(gate.served.end(), id);
+    if (disconnected_since == agreement::kConnected) gate.served.insert(gate.served.end(), id);
   }
   discovery_.gate(std::move(gate));
 }
--- a/src/control/report_receiver.cpp
+++ b/src/control/report_receiver.cpp
@@ -99,7 +99,7 @@
 
 // To a server that acts on an older assignment, or on none.
 void ReportReceiver::send_assignment(net::Connection& connection, const report::LoadReport& report) {
-  fencing::ShardAssignment assignment = targets_.replica->order_for(report.node);
+  fencing::ShardAssignment assignment = targets_.replica->assignment_for(report.node);
   if (assignment.epoch.number == 0 || assignment.incarnation != report.incarnation) return;
   if (report.epoch >= assignment.epoch) return;
   // No server restarts by a replica that does not know whether its lease still holds.
--- a/src/releases/maintenance_grants.cpp
+++ b/src/releases/maintenance_grants.cpp
@@ -19,7 +19,7 @@
   }
   DisruptionBudget budget(context.view.router.fleet(), context.all_servers(), context.leased);
   propose_drains(context, budget, out);
-  if (context.maintenance.under_way()) propose_updates(context, budget, out);
+  if (context.maintenance.release_in_progress()) propose_updates(context, budget, out);
 }
 
 void MaintenanceGrants::propose_drains(const RolloutContext& context, DisruptionBudget& budget,
@@ -29,7 +29,7 @@
     const routing::ServerStatus* server = context.server(node);
     if (!server || server->last_report_at == 0 || context.leased.contains(node)) continue;
     Grant grant{.node = node,
-                .why = agreement::WHY_DRAIN,
+                .why = agreement::REASON_DRAIN,
                 .duration = options.lease_duration,
                 .reserve = options.reserve};
     grant_within(budget, grant, context.view.now, out);
@@ -39,13 +39,13 @@
 void MaintenanceGrants::propose_updates(const RolloutContext& context, DisruptionBudget& budget,
                                         agreement::Decision& out) {
   const agreement::Plan& plan = context.plan;
-  bool is_rollback = context.release.phase() == agreement::PHASE_BACK;
+  bool is_rollback = context.release.phase() == agreement::PHASE_ROLLING_BACK;
   Nanos duration = plan.empty_within_ns() + plan.back_within_ns() + plan.warm_within_ns() + kLeaseMargin;
   for (const std::string& node : servers_to_update(context)) {
     // What operators want drained is theirs to take out.
     if (context.maintenance.drains().contains(node)) continue;
     Grant grant{.node = node,
-                .why = is_rollback ? agreement::WHY_BACK : agreement::WHY_RELEASE,
+                .why = is_rollback ? agreement::REASON_ROLLBACK : agreement::REASON_RELEASE,
                 .version = is_rollback ? context.updated.at(node)->from_version() : plan.version(),
                 .duration = duration,
                 .reserve = plan.reserve() / kThousandths};
@@ -63,7 +63,7 @@
   last_granted_ = now;
   agreement::MaintenanceStep& step = *out.add_trips();
   step.set_node(grant.node);
-  step.set_input(agreement::TRIP_GRANT);
+  step.set_input(agreement::MAINTENANCE_GRANT);
   step.set_why(grant.why);
   step.set_version(grant.version);
   step.set_for_ns(grant.duration);
--- a/src/releases/maintenance_grants.h
+++ b/src/releases/maintenance_grants.h
@@ -24,7 +24,7 @@
  private:
   struct Grant {
     std::string node;
-    agreement::Why why = agreement::WHY_DRAIN;
+    agreement::MaintenanceReason why = agreement::REASON_DRAIN;
     std::uint32_t version = 0;  // to come back in; 0 for a drain
     Nanos duration = 0;
     double reserve = 0;  // share of the remaining capacity that must stay free
--- a/src/releases/rollout_controller.cpp
+++ b/src/releases/rollout_controller.cpp
@@ -23,15 +23,16 @@
 
 }  // namespace
 
-void RolloutController::watch(const View& view) {
+void RolloutController::observe(const View& view) {
   bool phase_began = monitor_.watch(RolloutContext(view));
   if (phase_began) status_detail_.clear();
 }
 
-void RolloutController::draft(const View& view, agreement::Decision& out) {
+void RolloutController::append_steps(const View& view, agreement::Decision& out) {
   RolloutContext context(view);
   agreement::Budgets budgets = budgets_of(view.router.fleet());
-  bool budgets_agreed = budgets.SerializeAsString() == view.agreed.outings().budgets().SerializeAsString();
+  bool budgets_agreed =
+      budgets.SerializeAsString() == view.agreed.maintenance().budgets().SerializeAsString();
   if (!budgets_agreed) *out.mutable_budgets() = budgets;
   propose_command_result(context, out);
   bool commanded = out.has_release() || out.drains_size() > 0;
--- a/src/releases/service_alarms.cpp
+++ b/src/releases/service_alarms.cpp
@@ -18,7 +18,7 @@
 // version, but no time to go on either.
 Answers answers_of_users(const RolloutContext& context, const fleet::Service& service) {
   Answers out;
-  bool under_way = context.maintenance.under_way();
+  bool under_way = context.maintenance.release_in_progress();
   for (const std::string& node : service.used_by) {
     const routing::ServerStatus* server = context.server(node);
     if (!server || !server->in_service() || (under_way && context.has_target_version(*server))) continue;
@@ -44,7 +44,7 @@
     LateShare& late = by_service_[service.name];
     late.now =
         answers.all < kMinAnswers ? late.at_start : std::clamp(1 - answers.in_time / answers.all, 0.0, 1.0);
-    if (!context.maintenance.under_way()) {
+    if (!context.maintenance.release_in_progress()) {
       late.at_start = late.now;
       late.above_since = 0;
     } else if (late.now <= late.at_start + context.plan.alarm() / kThousandths) {
--- a/tests/replica_processes_test.cpp
+++ b/tests/replica_processes_test.cpp
@@ -25,7 +25,7 @@
   {
     consensus::StoreRaftStorage storage(
         folder, [] { return Nanos{1}; }, [] {});
-    storage.belong_to(1);
+    storage.set_owner(1);
   }
   std::string log = folder + ".out";
   standin::Child child(
--- a/tests/store_raft_storage_test.cpp
+++ b/tests/store_raft_storage_test.cpp
@@ -40,7 +40,7 @@
 TEST_F(StoreRaftStorageTest, LoadsWhatWasSaved) {
   {
     auto storage = open();
-    storage->belong_to(3);
+    storage->set_owner(3);
     ASSERT_TRUE(storage->save_vote(4, 2));
     append(*storage, 1, {entry(3, "a"), entry(3, "b"), entry(4, "c")});
   }
