--- a/measure/incident.cpp
+++ b/measure/incident.cpp
@@ -12,7 +12,7 @@
 namespace myrtlecroft::rehearsal {
 namespace {
 
-using settings::Part;
+using settings::Section;
 
 constexpr std::array<std::pair<const char*, Fault>, 15> kFaults = {{{"kill", Fault::kKill},
                                                                     {"stop", Fault::kPause},
@@ -41,14 +41,14 @@
 constexpr std::array<const char*, 4> kTargetNames = {"leader", "instance", "node", "proxy"};
 
 template <class Table>
-auto value_of(Part& part, const std::string& name, const Table& names) {
+auto value_of(Section& part, const std::string& name, const Table& names) {
   std::string given = part.text(name);
   std::string all;
   for (const auto& [known, value] : names) {
     if (given == known) return value;
     all += (all.empty() ? "" : ", ") + std::string(known);
   }
-  part.bad(name, "is none of " + all);
+  part.fail(name, "is none of " + all);
 }
 
 std::optional<int> parse_number(std::string_view text) {
@@ -68,7 +68,7 @@
 }
 
 // "leader", "instance 2", "node 3-7", "node all", "proxy 1".
-Target read_target(Part& part, const Incident& of) {
+Target read_target(Section& part, const Incident& of) {
   std::string given = part.text("who");
   if (given == "leader") return {};
   std::size_t space = given.find(' ');
@@ -89,47 +89,49 @@
     out.last = range->second - 1;
     return out;
   }
-  part.bad("who",
-           "is none of leader, instance N, node N, proxy N, with N a number, A-B or all, and no more than "
-           "there are");
+  part.fail("who",
+            "is none of leader, instance N, node N, proxy N, with N a number, A-B or all, and no more than "
+            "there are");
 }
 
 // The instances that "to" names, as bits.
-unsigned read_others(Part& part, const Incident& of) {
+unsigned read_others(Section& part, const Incident& of) {
   unsigned out = 0;
-  for (const std::string& given : part.texts("to")) {
+  for (const std::string& given : part.text_list("to")) {
     std::optional<int> number = parse_number(given);
     if (!number || *number < 1 || *number > of.instances)
-      part.bad("to", "holds what is no number of an instance: '" + given + "'");
+      part.fail("to", "holds what is no number of an instance: '" + given + "'");
     out |= 1u << (*number - 1);
   }
   return out;
 }
 
-void read_fault_fields(Part& part, Step& out) {
+void read_fault_fields(Section& part, Step& out) {
   if (out.fault == Fault::kStall) out.direction = value_of(part, "way", kDirections);
-  if (out.fault == Fault::kLate || out.fault == Fault::kDiskSlow) out.by = part.millis("by_ms", 1, 60'000);
-  if (out.fault == Fault::kClock) out.by = part.whole("by_ms", -600'000, 600'000) * kMs;
+  if (out.fault == Fault::kLate || out.fault == Fault::kDiskSlow)
+    out.by = part.milliseconds("by_ms", 1, 60'000);
+  if (out.fault == Fault::kClock) out.by = part.integer("by_ms", -600'000, 600'000) * kMs;
   if (out.fault == Fault::kNoise) out.times = part.number("times", 1, 100);
   if (out.fault == Fault::kCommand) out.command = part.text("say");
-  if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(part.whole("sync", 1, 1000));
-  if (out.fault == Fault::kCutFrame) out.bytes = static_cast<std::size_t>(part.whole("bytes", 0, 10'000'000));
+  if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(part.integer("sync", 1, 1000));
+  if (out.fault == Fault::kCutFrame)
+    out.bytes = static_cast<std::size_t>(part.integer("bytes", 0, 10'000'000));
 }
 
 // Which faults fit which targets.
-void check_target(Part& part, const Step& step) {
+void check_target(Section& part, const Step& step) {
   bool of_servers = step.target.kind == Target::Kind::kServer;
-  if (step.fault == Fault::kNoise && !of_servers) part.bad("what", "is for nodes only");
-  if (step.fault == Fault::kCommand && of_servers) part.bad("what", "is said to instances only");
+  if (step.fault == Fault::kNoise && !of_servers) part.fail("what", "is for nodes only");
+  if (step.fault == Fault::kCommand && of_servers) part.fail("what", "is said to instances only");
   if (step.target.kind == Target::Kind::kProxy && step.fault != Fault::kReset)
-    part.bad("what", "is not for proxies: their streams can only be reset");
+    part.fail("what", "is not for proxies: their streams can only be reset");
   bool of_disk = step.fault == Fault::kLose || step.fault == Fault::kDiskFails ||
                  step.fault == Fault::kDiskFull || step.fault == Fault::kDiskSlow ||
                  step.fault == Fault::kKillAtSync;
-  if (of_disk && of_servers) part.bad("what", "is not for nodes: they keep nothing here");
+  if (of_disk && of_servers) part.fail("what", "is not for nodes: they keep nothing here");
 }
 
-Step read_step(Part part, const Incident& of) {
+Step read_step(Section part, const Incident& of) {
   Step out;
   out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
   out.fault = value_of(part, "what", kFaults);
@@ -137,22 +139,22 @@
   bool once = out.fault == Fault::kReset || out.fault == Fault::kCutFrame || out.fault == Fault::kCommand;
   if (!once) out.length = static_cast<Nanos>(part.number("for_s", 0.05, 600) * static_cast<double>(kSecond));
   if (part.has("to")) {
-    if (!is_link_fault(out.fault)) part.bad("to", "is only for what fails on links");
+    if (!is_link_fault(out.fault)) part.fail("to", "is only for what fails on links");
     out.others = read_others(part, of);
   }
   read_fault_fields(part, out);
   check_target(part, out);
-  part.nothing_else();
+  part.reject_unknown_fields();
   return out;
 }
 
-PlannedRelease read_release(Part part, const Incident& of) {
+PlannedRelease read_release(Section part, const Incident& of) {
   PlannedRelease out;
   out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
-  out.version = static_cast<int>(part.whole("to", 1, 99));
+  out.version = static_cast<int>(part.integer("to", 1, 99));
   if (part.has("bad")) out.defect = value_of(part, "bad", kDefectNames);
   out.instance = static_cast<int>(part.integer_or("by", 1, 1, of.instances)) - 1;
-  part.nothing_else();
+  part.reject_unknown_fields();
   return out;
 }
 
@@ -181,8 +183,8 @@
 
 Incident read_incident(const std::string& path) {
   settings::Document document(path);
-  Part root = document.root();
-  root.whole("version", 1, 1);
+  Section root = document.root();
+  root.integer("version", 1, 1);
   Incident out;
   out.instances = static_cast<int>(root.integer_or("instances", out.instances, 1, 7));
   out.nodes = static_cast<int>(root.integer_or("nodes", out.nodes, 1, 300));
@@ -190,10 +192,10 @@
   out.keys_per_s = root.number_or("keys_per_s", out.keys_per_s, 1, 2000);
   out.length = static_cast<Nanos>(root.number("seconds", 1, 600) * static_cast<double>(kSecond));
   out.faults_per_s = root.number_or("faults_per_s", 0, 0, 20);
-  for (Part& part : root.list("steps")) {
+  for (Section& part : root.list("steps")) {
     out.steps.push_back(read_step(part, out));
     if (out.steps.back().at + out.steps.back().length > out.length)
-      part.bad("at_s", "with for_s ends after the incident");
+      part.fail("at_s", "with for_s ends after the incident");
   }
   std::stable_sort(out.steps.begin(), out.steps.end(),
                    [](const Step& a, const Step& b) { return a.at < b.at; });
@@ -203,11 +205,11 @@
   out.services = static_cast<int>(root.integer_or("services", out.services, 0, 50));
   out.max_unavailable = root.number_or("most_out", out.max_unavailable, 0, 1);
   out.service_max_unavailable = root.number_or("service_most_out", out.service_max_unavailable, 0, 1);
-  out.restart = root.millis_or("restart_ms", out.restart, 1, 60'000);
-  out.soak = root.millis_or("soak_ms", out.soak, 100, 600'000);
+  out.restart = root.milliseconds_or("restart_ms", out.restart, 1, 60'000);
+  out.soak = root.milliseconds_or("soak_ms", out.soak, 100, 600'000);
   out.first_nodes = static_cast<int>(root.integer_or("first_nodes", out.first_nodes, 1, 300));
-  for (Part& part : root.list("releases")) out.releases.push_back(read_release(part, out));
-  root.nothing_else();
+  for (Section& part : root.list("releases")) out.releases.push_back(read_release(part, out));
+  root.reject_unknown_fields();
   return out;
 }
 
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -8,6 +8,7 @@
 #include <csignal>
 #include <cstdio>
 #include <exception>
+#include <optional>
 #include <stdexcept>
 #include <string>
 
@@ -52,13 +53,12 @@
 };
 
 sockaddr_in parse_address(const std::string& text) {
-  std::string host;
-  std::uint16_t port = 0;
-  if (!settings::split_address(text, host, port)) throw AddressError(text);
+  std::optional<settings::HostAndPort> address = settings::parse_address(text);
+  if (!address) throw AddressError(text);
   sockaddr_in out{};
   out.sin_family = AF_INET;
-  out.sin_port = htons(port);
-  inet_pton(AF_INET, host.c_str(), &out.sin_addr);
+  out.sin_port = htons(address->port);
+  inet_pton(AF_INET, address->host.c_str(), &out.sin_addr);
   return out;
 }
 
