--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -13,7 +13,7 @@
 
 // A failed file operation; `code` is its errno.
 struct DiskError : std::runtime_error {
-  DiskError(const std::string& what, int code_) : std::runtime_error(what), code(code_) {}
+  DiskError(const std::string& what, int error_code) : std::runtime_error(what), code(error_code) {}
   int code;
 };
 
--- a/src/store/store_error.h
+++ b/src/store/store_error.h
@@ -10,10 +10,10 @@
 struct StoreError : std::runtime_error {
   enum class Problem { kLockedByAnotherProcess, kNewerFormat, kDamagedHeader, kRecordTooLarge };
 
-  StoreError(Problem problem_, std::string file_, const std::string& message)
-      : std::runtime_error(file_.empty() ? message : file_ + ": " + message),
-        problem(problem_),
-        file(std::move(file_)) {}
+  StoreError(Problem which, std::string file_name, const std::string& message)
+      : std::runtime_error(file_name.empty() ? message : file_name + ": " + message),
+        problem(which),
+        file(std::move(file_name)) {}
 
   Problem problem;
   std::string file;
