--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -1,4 +1,5 @@
-// What the library says, as protobuf, and back.
+// Conversion between libraft's messages, entries and configurations and their protobuf form. Called by
+// RaftNode and its I/O adapter; stateless.
 #pragma once
 
 extern "C" {
@@ -10,14 +11,14 @@
 namespace myrtlecroft::consensus {
 
 void to_proto(const raft_message& in, PeerMessage& out);
-// False where it is none of the library's, or makes no sense. What the library takes over is allocated for
-// it.
+// False where the message is not one of libraft's or is malformed. Buffers that libraft takes over are
+// allocated with raft_malloc.
 bool from_proto(const PeerMessage& in, raft_message& out);
 
 void to_proto(const raft_entry& in, LogEntry& out);
 void to_proto(const raft_configuration& in, LogSnapshot& out);
 bool from_proto(const LogSnapshot& in, raft_configuration& out);
-// All in one batch, as the library wants what came from outside. nullptr for none.
+// All entries in one batch, as libraft requires of received entries; nullptr for none.
 raft_entry* entries_for_library(const google::protobuf::RepeatedPtrField<LogEntry>& in);
 raft_buffer buffer_for_library(const std::string& bytes);
 
--- a/src/consensus/store_raft_storage.h
+++ b/src/consensus/store_raft_storage.h
@@ -1,5 +1,5 @@
-// The common log of one instance on the durable store: its vote, its entries and the last snapshot, each a
-// record. The store's thread writes; what it has done is told from the loop.
+// RaftStorage on the durable store: the vote, each entry and the last snapshot are one record each. Owned by
+// the control service's event loop and used on its thread; the store's own thread writes.
 #pragma once
 
 #include <deque>
@@ -15,14 +15,15 @@
 
 class StoreRaftStorage final : public RaftStorage {
  public:
-  // `wake` is called on the store's thread when take_done() has something to tell. Throws store::StoreError
+  // `wake` is called on the store's thread when take_done() has completions to run. Throws store::StoreError
   // where the folder can't be used, also where another process has it, and std::runtime_error where the log
   // in it has a gap.
   StoreRaftStorage(const std::string& folder, std::function<Nanos()> clock, std::function<void()> wake);
   ~StoreRaftStorage() override;
 
+  // Runs the `Done` callbacks of completed writes.
   void take_done();
-  // Who the folder belongs to: an instance whose id is another's must not use it. 0: nobody yet.
+  // The instance that the folder belongs to; another must not use it. 0: none yet.
   InstanceId owner() const { return owner_; }
   void set_owner(InstanceId id);
 
@@ -32,7 +33,7 @@
   void append(std::uint64_t first, std::vector<LogEntry> entries, Done done) override;
   void truncate(std::uint64_t from) override;
   void save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained, Done done) override;
-  void replace(const PersistentState& kept) override;
+  void replace(const PersistentState& state) override;
 
  private:
   struct Finished {
@@ -40,21 +41,22 @@
     bool durable = false;
   };
   void recover();
+  void read_record(const store::Record& record, std::map<std::uint64_t, LogEntry>& entries);
   void put(const std::string& key, const std::string& value, std::function<void(bool)> done);
   void drop_entry(std::uint64_t index);
-  bool put_and_wait(const std::string& key, const std::string& value);  // false: it is not known to be there
-  Done in_order(Done done, std::function<void()> kept);
+  bool put_and_wait(const std::string& key, const std::string& value);  // false: not known to be durable
+  Done in_order(Done done, std::function<void()> on_durable);
 
   store::FileDisk disk_;
   store::Store store_;
   InstanceId owner_ = 0;
-  // As the disk is known to have it.
-  PersistentState kept_;
-  std::uint64_t highest_ = 0;  // entry that was ever sent there
-  bool failed_ = false;        // something was not kept since the last load
+  // What is known to be durable.
+  PersistentState persisted_;
+  std::uint64_t highest_ = 0;  // index of any entry that was ever written
+  bool failed_ = false;        // a write failed since the last load()
   std::uint64_t generation_ = 0;
   std::deque<Finished> finished_;
-  std::unique_ptr<store::GroupCommitter> committer_;  // last: its thread goes first
+  std::unique_ptr<store::GroupCommitter> committer_;  // last: its thread ends first
 };
 
 }  // namespace myrtlecroft::consensus
