--- a/src/consensus/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -1,5 +1,6 @@
 #include "consensus/messages.h"
 
+#include <algorithm>
 #include <cstring>
 #include <new>
 
@@ -31,7 +32,7 @@
   char* place = batch;
   for (int i = 0; i < in.size(); ++i) {
     const std::string& data = in[i].data();
-    std::memcpy(place, data.data(), data.size());
+    std::copy(data.begin(), data.end(), place);
     out[i] = {.term = in[i].term(),
               .type = static_cast<unsigned short>(in[i].type()),
               .buf = {.base = place, .len = data.size()},
@@ -67,6 +68,8 @@
   return true;
 }
 
+// One case for each kind of message.
+// NOLINTNEXTLINE(readability-function-size)
 void to_proto(const raft_message& in, PeerMessage& out) {
   switch (in.type) {
     case RAFT_IO_REQUEST_VOTE: {
@@ -127,6 +130,8 @@
   }
 }
 
+// One case for each kind of message.
+// NOLINTNEXTLINE(readability-function-size)
 bool from_proto(const PeerMessage& in, raft_message& out) {
   out.server_id = in.from();
   out.server_address = in.address().c_str();
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -10,8 +10,8 @@
 namespace myrtlecroft::consensus {
 
 const char* name_of(Role role) {
-  constexpr const char* names[] = {"unavailable", "follower", "candidate", "leader"};
-  return names[static_cast<std::size_t>(role)];
+  constexpr const char* kNames[] = {"unavailable", "follower", "candidate", "leader"};
+  return kNames[static_cast<std::size_t>(role)];
 }
 
 struct RaftNode::PendingRequest {
@@ -184,7 +184,7 @@
   return std::nullopt;
 }
 
-void RaftNode::propose(std::string entry, CommitCallback committed) {
+void RaftNode::propose(const std::string& entry, CommitCallback committed) {
   PendingRequest* request = PendingRequest::make(*this, std::move(committed));
   raft_buffer buffer = buffer_for_library(entry);
   int code = raft_apply(&raft_, &request->apply, &buffer, 1, [](struct raft_apply* of, int status, void*) {
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -82,7 +82,7 @@
   // Whether it leads and has applied every entry committed in earlier terms.
   bool ready() const { return is_leader() && ready_term_ == term(); }
   // The calls below fail where this node is not the leader.
-  void propose(std::string entry, CommitCallback committed);
+  void propose(const std::string& entry, CommitCallback committed);
   // Membership changes; one at a time. A new member is a learner, which receives entries without a vote,
   // until promoted.
   void add(InstanceId id, const std::string& address, CommitCallback committed);
--- a/src/consensus/store_raft_storage.cpp
+++ b/src/consensus/store_raft_storage.cpp
@@ -180,7 +180,7 @@
     };
     highest_ = std::max(highest_, first + i);
     put(key_of(first + i), entries[i].SerializeAsString(),
-        in_order(i + 1 == count ? std::move(done) : Done(), std::move(on_durable)));
+        in_order(i + 1 == count ? done : Done(), std::move(on_durable)));
   }
 }
 
