--- a/measure/capacity/generated_fleet.cpp
+++ b/measure/capacity/generated_fleet.cpp
@@ -1,3 +1,4 @@
+#include "fleet/fleet_file.h"
 #include "generated_fleet.h"
 
 #include <algorithm>
--- a/measure/measure_xds.cpp
+++ b/measure/measure_xds.cpp
@@ -9,6 +9,7 @@
 #include <filesystem>
 #include <thread>
 
+#include "fleet/fleet_file.h"
 #include "../standin/ads_link.h"
 #include "../standin/control_fleet.h"
 #include "../tests/control_harness.h"
--- a/measure/rehearsal.cpp
+++ b/measure/rehearsal.cpp
@@ -15,6 +15,7 @@
 #include "../standin/node_config.h"
 #include "../standin/proxy.h"
 #include "fleet/fleet.h"
+#include "fleet/fleet_file.h"
 #include "routing/router.h"
 #include "xds/resources.h"
 
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -10,6 +10,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "fleet/fleet_file.h"
 #include "settings/document.h"
 
 namespace myrtlecroft::control {
@@ -197,7 +198,8 @@
 }
 
 void Control::reporter_gone(FrameServer::Id id) {
-  if (std::optional<std::string> node = reporters_.ended(id)) router_.handle_report_connection(*node, false, loop_.now());
+  if (std::optional<std::string> node = reporters_.ended(id))
+    router_.handle_report_connection(*node, false, loop_.now());
 }
 
 // ---- From proxies
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -15,6 +15,7 @@
 #include "control/control.h"
 #include "control/release_watch.h"
 #include "control/tables.h"
+#include "fleet/fleet_file.h"
 #include "net/descriptors.h"
 #include "releases/rollout_plan.h"
 #include "settings/document.h"
--- a/src/fencing/epoch.h
+++ b/src/fencing/epoch.h
@@ -1,4 +1,6 @@
-// Which agreed decision something rests on.
+// The number of an agreed decision, by which a receiver tells an old one from a new one.
+//
+// Used by agreement, report and fencing_guard.h. Plain data.
 #pragma once
 
 #include <compare>
@@ -6,10 +8,10 @@
 
 namespace myrtlecroft::fencing {
 
-// Later ones are greater, whoever leads.
+// Later decisions compare greater, whichever instance led.
 struct Epoch {
-  std::uint64_t term = 0;
-  std::uint64_t number = 0;
+  std::uint64_t term = 0;    // of the leader
+  std::uint64_t number = 0;  // of the decision
   auto operator<=>(const Epoch&) const = default;
 };
 
--- a/src/fencing/fencing_guard.cpp
+++ b/src/fencing/fencing_guard.cpp
@@ -1,3 +1,4 @@
+// Which assignment is in force, and the shard of a key.
 #include "fencing/fencing_guard.h"
 
 #include <algorithm>
--- /dev/null
+++ b/src/fleet/fleet_file.cpp
@@ -0,0 +1,142 @@
+// One function for each part of the file but the request classes.
+#include "fleet/fleet_file.h"
+
+#include <set>
+
+#include "fleet/file_fields.h"
+#include "fleet/request_class_file.h"
+#include "settings/document.h"
+
+namespace myrtlecroft::fleet {
+namespace {
+
+using settings::Part;
+
+constexpr std::size_t kMaxTenants = 200;
+constexpr std::int64_t kMaxProxies = 100'000;
+constexpr int kMaxPriority = 7;
+constexpr double kRounding = 1e-9;  // of a sum of quotas
+
+Node read_node(Part part) {
+  Node node;
+  node.name = read_name(part);
+  node.zone = part.text_or("zone", "default");
+  if (!settings::split_address(part.text("address"), node.host, node.port)) {
+    part.bad("address", "is not an address like 127.0.0.1:4100");
+  }
+  node.capacity = part.number_or("capacity", 1, 0.01, 10'000);
+  node.priority = static_cast<int>(part.integer_or("priority", 0, 0, kMaxPriority));
+  part.nothing_else();
+  return node;
+}
+
+std::vector<Node> read_nodes(Part& root) {
+  std::vector<Node> nodes = read_list<Node>(root, "nodes", kMaxNodes, read_node);
+  if (nodes.empty()) root.bad("nodes", "names no node");
+  std::set<std::string> addresses;
+  for (const Node& node : nodes) {
+    if (!addresses.insert(node.address()).second) {
+      root.bad("nodes", "two nodes have the address " + node.address());
+    }
+  }
+  return nodes;
+}
+
+Tenant read_tenant(Part part) {
+  Tenant tenant;
+  tenant.name = read_name(part);
+  tenant.quota = part.number("share", 0, 1);
+  part.nothing_else();
+  return tenant;
+}
+
+std::vector<Tenant> read_tenants(Part& root) {
+  std::vector<Tenant> tenants = read_list<Tenant>(root, "customers", kMaxTenants, read_tenant);
+  double quotas = 0;
+  for (const Tenant& tenant : tenants) quotas += tenant.quota;
+  if (quotas > 1 + kRounding) root.bad("customers", "have shares of more than 1 together");
+  return tenants;
+}
+
+Service read_service(Part part) {
+  Service service;
+  service.name = read_name(part);
+  service.used_by = part.texts("used_by");
+  service.max_unavailable = read_max_unavailable(part, "most_out", {.by_count = true, .max = 1});
+  part.nothing_else();
+  return service;
+}
+
+// Replaces names of servers and zones by the names of the servers, each once.
+void resolve_used_by(const Part& root, const NodeIndex& nodes, Service& service) {
+  std::vector<std::string> names;
+  std::set<std::uint32_t> listed;
+  for (const std::string& used_by : service.used_by) {
+    const ServerList::Places* found = nodes.find(used_by);
+    if (!found) {
+      root.bad("services", "'" + service.name + "' is used by '" + used_by +
+                               "', which is neither a node nor 'zone NAME'");
+    }
+    for (std::uint32_t place : *found) {
+      if (listed.insert(place).second) names.push_back(nodes.node(place).name);
+    }
+  }
+  service.used_by = std::move(names);
+}
+
+MaintenanceOptions read_maintenance(Part part) {
+  MaintenanceOptions out;
+  out.max_unavailable = read_max_unavailable(part, "most_out", out.max_unavailable);
+  out.zone_max_unavailable = read_max_unavailable(part, "zone_most_out", out.zone_max_unavailable);
+  out.reserve = part.number_or("reserve", out.reserve, 0, 0.9);
+  out.lease_duration = part.millis_or("permit_lasts_ms", out.lease_duration, 1000, kMaxTimeMs);
+  part.nothing_else();
+  return out;
+}
+
+Bounds read_bounds(Part part) {
+  Bounds out;
+  out.lost_after = part.millis_or("silent_ms", out.lost_after, 100, 60'000);
+  out.unresponsive_after = part.millis_or("mute_ms", out.unresponsive_after, 100, 60'000);
+  out.dwell = part.millis_or("dwell_ms", out.dwell, 0, kMaxTimeMs);
+  out.slow_start = part.millis_or("ramp_ms", out.slow_start, 0, kMaxTimeMs);
+  out.initial_slow_start_factor = part.number_or("ramp_from", out.initial_slow_start_factor, 0.01, 1);
+  out.max_unavailable = part.number_or("most_out", out.max_unavailable, 0, 0.9);
+  out.partitioned_at = part.number_or("isolated_at", out.partitioned_at, 0.1, 1);
+  out.weight_step = part.number_or("weight_step", out.weight_step, 0.01, 10);
+  out.min_weight = part.number_or("least_weight", out.min_weight, 0.01, 1);
+  out.shed_step = part.number_or("shed_step", out.shed_step, 0.01, 10);
+  out.min_admitted = part.number_or("least_admitted", out.min_admitted, 0, 1);
+  out.retry_budget = part.number_or("retry_budget", out.retry_budget, 0, 1);
+  out.max_retries = static_cast<int>(part.integer_or("most_retries", out.max_retries, 0, 10));
+  out.shard_digits = static_cast<int>(part.integer_or("shard_digits", out.shard_digits, 1, 3));
+  out.max_migrating = part.number_or("most_moving", out.max_migrating, 0, 1);
+  out.forget_proxies = part.millis_or("forget_proxies_ms", out.forget_proxies, 0, kMaxTimeMs);
+  out.clock_skew = part.millis_or("clock_skew_ms", out.clock_skew, 1, kMaxTimeMs);
+  out.publish_interval = part.millis_or("settle_ms", out.publish_interval, 10, 10'000);
+  part.nothing_else();
+  return out;
+}
+
+}  // namespace
+
+Fleet read_fleet(const std::string& path) {
+  settings::Document document(path);
+  Part root = document.root();
+  Fleet out;
+  root.whole("version", 1, 1);
+  out.listener = root.text_or("listener", "myrtlecroft");
+  out.proxies = static_cast<int>(root.integer_or("proxies", 1, 1, kMaxProxies));
+  out.nodes = read_nodes(root);
+  const NodeIndex index(out.nodes);
+  read_request_classes(root, index, out);
+  out.tenants = read_tenants(root);
+  out.services = read_list<Service>(root, "services", kMaxRequestClasses, read_service);
+  for (Service& service : out.services) resolve_used_by(root, index, service);
+  if (auto maintenance = root.part_if("outings")) out.maintenance = read_maintenance(*maintenance);
+  if (auto bounds = root.part_if("bounds")) out.bounds = read_bounds(*bounds);
+  root.nothing_else();
+  return out;
+}
+
+}  // namespace myrtlecroft::fleet
--- /dev/null
+++ b/src/fleet/fleet_file.h
@@ -0,0 +1,15 @@
+// Reads the fleet file (docs/control.md).
+//
+// Called by control at start and at each reload, on its loop's thread.
+#pragma once
+
+#include <string>
+
+#include "fleet/fleet.h"
+
+namespace myrtlecroft::fleet {
+
+// Throws settings::DocumentError, which names file, line and field.
+Fleet read_fleet(const std::string& path);
+
+}  // namespace myrtlecroft::fleet
--- a/src/fleet/server_list.h
+++ b/src/fleet/server_list.h
@@ -1,4 +1,6 @@
-// The servers that a service runs on.
+// The servers that a request class runs on.
+//
+// Part of the fleet file and of snapshots. Plain data; shared between threads, as it never changes.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +9,8 @@
 
 namespace myrtlecroft::fleet {
 
-// Places in the fleet's list of servers, in ascending order. Shared and never changed: thousands of services
-// may name the same zone.
+// Places in the fleet's list of servers, in ascending order. Shared and never changed: thousands of request
+// classes may name the same zone.
 struct ServerList {
   using Places = std::vector<std::uint32_t>;
   std::shared_ptr<const Places> places;  // null: all servers
--- a/src/routing/server_registry.cpp
+++ b/src/routing/server_registry.cpp
@@ -15,14 +15,14 @@
 std::string line_of(const ServerStatus& server, const StateChange& change, Nanos now) {
   char line[kMaxLine];
   const report::LoadReport& report = server.report;
-  double silent_ms = server.last_report_at > 0
-                         ? static_cast<double>(now - server.last_report_at) / static_cast<double>(kMs)
-                         : -1;
+  double report_age_ms = server.last_report_at > 0
+                             ? static_cast<double>(now - server.last_report_at) / static_cast<double>(kMs)
+                             : -1;
   std::snprintf(line, sizeof line,
                 "server %s %s -> %s: %s; last report %.0f ms ago, window %u, limit %.1f, queued %u, "
                 "unanswered %llu, weight %.2f, flaps %d",
                 server.node.name.c_str(), name_of(server.state), name_of(change.next), change.reason,
-                silent_ms, report.window, report.limit, report.held,
+                report_age_ms, report.window, report.limit, report.held,
                 static_cast<unsigned long long>(unanswered(report)), server.weight, server.flaps);
   return line;
 }
--- a/src/routing/server_states.cpp
+++ b/src/routing/server_states.cpp
@@ -95,32 +95,32 @@
 using enum ServerState;
 constexpr std::array kRows = {
     Row{kAssumedHealthy, is_draining, kDraining, kDrains},
-    Row{kAssumedHealthy, is_silent, kLost, kNoReport},
+    Row{kAssumedHealthy, reports_overdue, kLost, kNoReport},
     Row{kAssumedHealthy, is_unhealthy, kUnhealthy, kReportsFault},
     Row{kAssumedHealthy, is_warming_up, kSlowStart, "reports, and is warming up"},
     Row{kAssumedHealthy, is_healthy, kServing, "reports"},
 
     Row{kSlowStart, is_draining, kDraining, kDrains},
-    Row{kSlowStart, is_silent, kLost, kNoReport},
+    Row{kSlowStart, reports_overdue, kLost, kNoReport},
     Row{kSlowStart, is_unhealthy, kUnhealthy, kReportsFault},
     Row{kSlowStart, is_unresponsive, kUnresponsive, kNoAnswers},
     Row{kSlowStart, has_finished_slow_start, kServing, "slow start is over, and it is warmed up"},
 
     Row{kServing, is_draining, kDraining, kDrains},
-    Row{kServing, is_silent, kLost, kNoReport},
+    Row{kServing, reports_overdue, kLost, kNoReport},
     Row{kServing, is_unhealthy, kUnhealthy, kReportsFault},
     Row{kServing, is_unresponsive, kUnresponsive, kNoAnswers},
     Row{kServing, has_restarted_warm_up, kSlowStart, "came back warming up"},
 
-    Row{kDraining, is_silent, kLost, "no report after its drain"},
+    Row{kDraining, reports_overdue, kLost, "no report after its drain"},
     Row{kDraining, may_return, kSlowStart, "no longer draining, or another incarnation"},
 
     Row{kUnhealthy, is_draining, kDraining, kDrains},
-    Row{kUnhealthy, is_silent, kLost, kNoReport},
+    Row{kUnhealthy, reports_overdue, kLost, kNoReport},
     Row{kUnhealthy, may_return, kSlowStart, "reports that it is healthy"},
 
     Row{kUnresponsive, is_draining, kDraining, kDrains},
-    Row{kUnresponsive, is_silent, kLost, kNoReport},
+    Row{kUnresponsive, reports_overdue, kLost, kNoReport},
     Row{kUnresponsive, is_unhealthy, kUnhealthy, kReportsFault},
     Row{kUnresponsive, may_return, kSlowStart, "time out is over, tried again"},
 
@@ -132,14 +132,14 @@
 }  // namespace
 
 // Before the first report, the time runs from when reports could be received.
-bool is_silent(const ServerStatus& server, const StateContext& context) {
+bool reports_overdue(const ServerStatus& server, const StateContext& context) {
   bool usual = server.connected || server.last_report_at == 0;
   Nanos limit = usual ? context.bounds.lost_after : context.bounds.lost_after / kBrokenConnectionDivisor;
   return context.now - std::max(server.last_report_at, context.reports_due_since) > limit;
 }
 
 bool is_reporting(const ServerStatus& server, const StateContext& context) {
-  return server.last_report_at > 0 && !is_silent(server, context);
+  return server.last_report_at > 0 && !reports_overdue(server, context);
 }
 
 std::optional<StateChange> next_state(const ServerStatus& server, const StateContext& context,
--- a/src/routing/server_states.h
+++ b/src/routing/server_states.h
@@ -32,7 +32,7 @@
                                       bool allow_lost);
 
 // No report for too long; sooner where its report connection is down.
-bool is_silent(const ServerStatus& server, const StateContext& context);
+bool reports_overdue(const ServerStatus& server, const StateContext& context);
 // It has reported, and not too long ago.
 bool is_reporting(const ServerStatus& server, const StateContext& context);
 
--- a/src/routing/snapshot.h
+++ b/src/routing/snapshot.h
@@ -1,4 +1,7 @@
 // Where requests go and how many: one complete, consistent snapshot, never changed once it is made.
+//
+// Made by Router, served by xds, stored and agreed on through routing_state. Plain data; shared between
+// threads as `std::shared_ptr<const PublishedSnapshot>`.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +14,7 @@
 
 namespace myrtlecroft::routing {
 
+// Whether proxies send a server requests; a draining one finishes those it has.
 enum class Health { kHealthy, kDraining, kOut };
 const char* name_of(Health health);
 
@@ -22,65 +26,67 @@
   int priority = 0;
   Health health = Health::kOut;
   std::uint32_t weight = 0;     // relative; above 0 where healthy
-  std::uint32_t in_flight = 0;  // requests that each proxy may have at it at once; 0 = not known
+  std::uint32_t in_flight = 0;  // requests that each proxy may have in flight there; 0 = not known
 
   bool operator==(const NodeRoute&) const = default;
 };
 
-// What a proxy may do again of one request that did not end well.
+// After which failures a proxy may retry a request. The numbers are stored.
 enum class RetryOn {
   kNeverSent,  // no connection, or the server refused the stream
-  kRejected,   // the server said that it never ran
-  kReset,      // the connection broke, or the server said nothing: it may have run
-  kLate        // the time limit of one try is over: it may have run
+  kRejected,   // the server answered that it never ran
+  kReset,      // the connection broke, or the server sent no answer: it may have run
+  kLate        // the time limit of one attempt is over: it may have run
 };
 
 struct RetryPolicy {
   std::vector<RetryOn> on;
-  int retries = 0;
-  bool same_node = false;
+  int retries = 0;                // of one request, beside the first attempt
+  bool same_node = false;         // only at the server of the first attempt
   Nanos per_attempt_timeout = 0;  // 0 = as long as the whole request
-  Nanos backoff_min = 0;          // before a repeat
+  Nanos backoff_min = 0;          // before a retry
   Nanos backoff_max = 0;
 
   bool operator==(const RetryPolicy&) const = default;
 };
 
+// How the requests of one request class are routed.
 struct RequestClassRoute {
   std::string name;
   std::string path;
   Idempotency idempotency = Idempotency::kIdempotent;
   std::string key_header;
-  Nanos timeout = 0;
+  Nanos timeout = 0;  // of the whole request
   RetryPolicy retry_policy;
-  std::uint32_t admitted = 10'000;  // of ten thousand; the rest is rejected by the proxies, and never ran
-  Nanos retry_after = 0;            // told with such a rejection
-  fleet::ServerList servers = {};   // places in Snapshot::servers
-  std::uint32_t subset_size = 0;    // servers that each caller is told of (routing/subsets.h); 0: all of them
+  std::uint32_t admitted = 10'000;  // of ten thousand; the proxies reject the rest, which never runs
+  Nanos retry_after = 0;            // sent with such a rejection
+  fleet::ServerList servers = {};   // places in Snapshot::nodes
+  std::uint32_t subset_size = 0;    // servers that each caller gets (routing/subsets.h); 0: all of them
 
   bool operator==(const RequestClassRoute&) const = default;
 };
 
 struct TenantQuota {
   std::string name;
-  std::uint32_t quota = 0;  // of ten thousand
+  std::uint32_t quota = 0;  // share of the fleet, of ten thousand
 
   bool operator==(const TenantQuota&) const = default;
 };
 
-constexpr int kClosed = -1;  // nobody may run what has a key of this shard
+// In place of an owner: no server may run requests with a key of this shard.
+constexpr int kClosed = -1;
 
 struct Snapshot {
   std::string listener;
   int shard_digits = 2;
-  double retry_budget = 0;  // repeats, as a share of what is in flight
+  double retry_budget = 0;  // retries, as a share of what is in flight
   int expected_proxies = 1;
-  Nanos closed_retry_after = 0;  // how long a closed shard may stay so: told with the answer
+  Nanos closed_retry_after = 0;  // how long a closed shard may stay so: the hold-off of answers for its keys
   std::vector<NodeRoute> nodes;
   std::vector<RequestClassRoute> request_classes;
   std::vector<TenantQuota> tenants;
-  std::vector<int> shards;         // place in `servers` of the one that owns it, or kClosed
-  bool service_listeners = false;  // each group has a listener and routes of its own, by its name
+  std::vector<int> shards;         // place in `nodes` of the owner, or kClosed
+  bool service_listeners = false;  // each request class has a listener and routes of its own, by its name
 
   bool operator==(const Snapshot&) const = default;
 };
--- a/src/routing/subsets.cpp
+++ b/src/routing/subsets.cpp
@@ -1,3 +1,4 @@
+// How servers are divided into subsets, and how a caller's subset is drawn.
 #include "routing/subsets.h"
 
 #include <xxhash.h>
@@ -5,6 +6,7 @@
 #include <algorithm>
 #include <functional>
 #include <map>
+#include <optional>
 #include <queue>
 #include <string>
 #include <utility>
@@ -12,9 +14,9 @@
 namespace myrtlecroft::routing {
 namespace {
 
-// How much larger than the average a subset's part of a cell may be. With no room to spare, one server that
-// goes would move many others, each into the place that the one before it left.
-constexpr std::size_t kRoomQuarters = 5;  // 1.25
+// How much larger than the average a subset's part of a cell may be. Without headroom, one server that is
+// removed would move many others, each into the place that the one before it left.
+constexpr std::size_t kHeadroomQuarters = 5;  // 1.25
 constexpr std::uint64_t kServiceSeed = 0x5e41;
 
 // A finalizer with good avalanche (splitmix64).
@@ -31,7 +33,7 @@
 
 std::uint64_t score_of(std::uint64_t who, std::uint64_t subset) { return mixed(who ^ subset); }
 
-// The one of `count` keys that scores highest with `who`.
+// The place of the one of `count` keys that scores highest with `who`.
 template <class Key>
 std::uint32_t highest(std::uint64_t who, std::uint32_t count, Key key) {
   std::uint32_t best = 0;
@@ -45,65 +47,71 @@
   return best;
 }
 
-// Servers ask for the subset that scores highest with them; one that is full keeps those that score highest,
-// and whoever it rejects asks for its next. What comes of it does not depend on the order (deferred
-// acceptance), and a server that comes or goes moves only those that want the place it takes or leaves.
+// Deferred acceptance: each server proposes to the subset that scores highest with it; a subset that is full
+// keeps the servers that score highest, and the one it rejects proposes to its next. The outcome does not
+// depend on the order of the servers, and a server that is added or removed moves only those that prefer the
+// place it takes or leaves.
 class CellMatching {
  public:
-  CellMatching(std::vector<std::uint64_t> servers, std::vector<std::uint64_t> subsets, std::size_t max)
-      : servers_(std::move(servers)), subsets_(std::move(subsets)), max_(max), held_(subsets_.size()) {
-    for (std::uint32_t server = 0; server < servers_.size(); ++server) place(server);
+  struct Cell {
+    std::vector<std::uint64_t> servers;  // keys
+    std::vector<std::uint64_t> subsets;  // keys
+    std::size_t max;                     // servers of one subset
+  };
+  explicit CellMatching(Cell cell) : cell_(std::move(cell)), accepted_(cell_.subsets.size()) {
+    for (std::uint32_t server = 0; server < cell_.servers.size(); ++server) place(server);
   }
+  // Calls visit(subset, server) for each server, once: it empties the matching.
   template <class Visit>
-  void each(Visit visit) {
-    for (std::size_t subset = 0; subset < held_.size(); ++subset) {
-      for (; !held_[subset].empty(); held_[subset].pop()) visit(subset, held_[subset].top().server);
+  void for_each(Visit visit) {
+    for (std::size_t subset = 0; subset < accepted_.size(); ++subset) {
+      for (; !accepted_[subset].empty(); accepted_[subset].pop())
+        visit(subset, accepted_[subset].top().server);
     }
   }
 
  private:
-  struct Wish {
+  struct Proposal {
     std::uint64_t score = 0;
     std::uint32_t server = 0;
-    bool operator>(const Wish& other) const {
+    bool operator>(const Proposal& other) const {
       return std::pair(score, server) > std::pair(other.score, other.server);
     }
   };
-  // The one that scores highest below `below`; ties do not matter among 64 bits, and would end the search.
-  std::pair<std::size_t, std::uint64_t> next_wish(std::uint32_t server, std::uint64_t below,
-                                                  bool first) const {
-    std::size_t best = subsets_.size();
-    std::uint64_t best_score = 0;
-    for (std::size_t subset = 0; subset < subsets_.size(); ++subset) {
-      std::uint64_t score = score_of(servers_[server], subsets_[subset]);
-      if ((!first && score >= below) || (best < subsets_.size() && score <= best_score)) continue;
-      best = subset;
-      best_score = score;
+  struct Choice {
+    std::size_t subset;  // as many as there are: none is left
+    std::uint64_t score;
+  };
+  // The subset that scores highest below this score. Ties do not matter among 64 bits, and would end the
+  // search.
+  Choice next_choice(std::uint32_t server, std::optional<std::uint64_t> below) const {
+    Choice best{.subset = cell_.subsets.size(), .score = 0};
+    for (std::size_t subset = 0; subset < cell_.subsets.size(); ++subset) {
+      std::uint64_t score = score_of(cell_.servers[server], cell_.subsets[subset]);
+      bool tried = below && score >= *below;
+      if (tried || (best.subset < cell_.subsets.size() && score <= best.score)) continue;
+      best = {subset, score};
     }
-    return {best, best_score};
+    return best;
   }
   void place(std::uint32_t server) {
-    bool first = true;
-    std::uint64_t below = 0;
+    std::optional<std::uint64_t> below;
     for (;;) {
-      auto [subset, score] = next_wish(server, below, first);
-      if (subset == subsets_.size()) return;
-      first = false;
-      below = score;
-      auto& held = held_[subset];
-      held.push({score, server});
-      if (held.size() <= max_) return;
-      Wish refused = held.top();
-      held.pop();
-      server = refused.server;
-      below = refused.score;
+      Choice choice = next_choice(server, below);
+      if (choice.subset == cell_.subsets.size()) return;
+      auto& accepted = accepted_[choice.subset];
+      accepted.push({choice.score, server});
+      if (accepted.size() <= cell_.max) return;
+      Proposal rejected = accepted.top();
+      accepted.pop();
+      server = rejected.server;
+      below = rejected.score;
     }
   }
 
-  std::vector<std::uint64_t> servers_;
-  std::vector<std::uint64_t> subsets_;
-  std::size_t max_;
-  std::vector<std::priority_queue<Wish, std::vector<Wish>, std::greater<>>> held_;  // the lowest on top
+  Cell cell_;
+  std::vector<std::priority_queue<Proposal, std::vector<Proposal>, std::greater<>>>
+      accepted_;  // lowest on top
 };
 
 }  // namespace
@@ -142,9 +150,11 @@
   std::vector<std::uint64_t> subsets;
   for (std::uint32_t subset = 0; subset < per_round_; ++subset) subsets.push_back(subset_key(round, subset));
   const std::size_t average_up = (cell.size() + per_round_ - 1) / per_round_;
-  const std::size_t with_room = kRoomQuarters * cell.size() / (4 * per_round_);
-  CellMatching matching(std::move(servers), std::move(subsets), std::max(average_up, with_room));
-  matching.each([&](std::size_t subset, std::uint32_t server) {
+  const std::size_t with_headroom = kHeadroomQuarters * cell.size() / (4 * per_round_);
+  CellMatching matching({.servers = std::move(servers),
+                         .subsets = std::move(subsets),
+                         .max = std::max(average_up, with_headroom)});
+  matching.for_each([&](std::size_t subset, std::uint32_t server) {
     members_[std::size_t{round} * per_round_ + subset].push_back(cell[server]);
   });
 }
@@ -170,7 +180,7 @@
   const std::size_t first_of_round = subset / per_round_ * per_round_;
   Places out;
   append_healthy(subset, nodes, out);
-  for (std::size_t step = 1; step < per_round_ && out.size() < enough(); ++step) {
+  for (std::size_t step = 1; step < per_round_ && out.size() < min_in_service(); ++step) {
     append_healthy(first_of_round + (subset - first_of_round + step) % per_round_, nodes, out);
   }
   std::sort(out.begin(), out.end());
--- a/src/routing/subsets.h
+++ b/src/routing/subsets.h
@@ -1,7 +1,8 @@
-// Deterministic subsets of a service's servers, and which of them a caller is told of. No I/O.
+// Deterministic subsets of the servers of a request class, and which of them a caller gets.
 //
 // The assignment is made from names, zones and priorities alone, so that it is the same on every instance and
-// over restarts, and health never moves it. docs/design/subsetting.md has the reasons and the bounds.
+// after restarts, and health never moves it. docs/design/subsetting.md has the reasons and the bounds. Made
+// by xds for each placement, never changed afterwards; any thread. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,12 @@
 
 namespace myrtlecroft::routing {
 
-// Times that the servers of a service are divided anew. In each round every server is in exactly one subset.
+// Times that the servers of a service are divided again. In each round every server is in exactly one subset.
 constexpr std::uint32_t kSubsetRounds = 8;
 
+// The hash that stands for a caller, from its id and zone.
 std::uint64_t caller_key(std::string_view id, std::string_view zone);
+// The hash that stands for a service, from its name.
 std::uint64_t service_key(std::string_view service);
 
 class Subsets {
@@ -31,12 +34,12 @@
   const Places& servers() const { return servers_; }
   // By the fleet file, whatever the servers' health.
   const Places& members(std::size_t subset) const { return members_[subset]; }
-  // The subset that a caller is told of.
+  // The subset of a caller; both are keys as above.
   std::size_t of_caller(std::uint64_t caller, std::uint64_t service) const;
-  // Servers in service from which on a subset is not filled up: half its size.
-  std::size_t enough() const { return (size_ + 1) / 2; }
-  // The servers that a subset has in service. One with fewer than enough is filled up from those after it in
-  // its round: none is empty while a server is in service.
+  // A subset with fewer servers in service is filled up: half its size.
+  std::size_t min_in_service() const { return (size_ + 1) / 2; }
+  // The servers that a subset has in service. One with fewer than min_in_service() is filled up from those
+  // after it in its round: none is empty while a server is in service.
   Places in_service(std::size_t subset, const std::vector<NodeRoute>& nodes) const;
 
  private:
--- a/src/xds/placement.cpp
+++ b/src/xds/placement.cpp
@@ -152,7 +152,7 @@
   if (any_touched(members)) return false;
   auto up = std::count_if(members.begin(), members.end(),
                           [&](std::uint32_t place) { return nodes_[place]->health == Health::kHealthy; });
-  return static_cast<std::size_t>(up) >= subsets.enough();
+  return static_cast<std::size_t>(up) >= subsets.min_in_service();
 }
 
 std::vector<NodeListPtr> PlacementTable::serving_of(const routing::Snapshot& snapshot, const Places& servers,
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_file_test.cpp
@@ -1,36 +1,20 @@
-// The fleet file and the frames of server reports: what is read, and what is refused how.
-#include "fleet/fleet.h"
+// The fleet file: what is read, and which error names what.
+#include "fleet/fleet_file.h"
 
 #include <gtest/gtest.h>
-#include <rapidcheck/gtest.h>
-#include <unistd.h>
 
 #include <algorithm>
 #include <chrono>
-#include <cstdio>
-#include <fstream>
 #include <set>
+#include <string>
+#include <vector>
 
-#include "report/load_report.h"
 #include "settings/document.h"
-#include "settings/node_settings.h"
+#include "written_file.h"
 
 namespace myrtlecroft {
 namespace {
 
-class Written {
- public:
-  explicit Written(const std::string& text)
-      : path_("/tmp/myrtlecroft_fleet_test." + std::to_string(getpid())) {
-    std::ofstream(path_) << text;
-  }
-  ~Written() { std::remove(path_.c_str()); }
-  const std::string& path() const { return path_; }
-
- private:
-  std::string path_;
-};
-
 const std::string kGood =
     "version = 1;\n"
     "nodes = ( { name = \"n1\"; address = \"127.0.0.1:4101\"; } );\n"
@@ -40,7 +24,7 @@
     ");\n";
 
 std::string error_of(const std::string& text) {
-  Written file(text);
+  WrittenFile file(text);
   try {
     fleet::read_fleet(file.path());
   } catch (const settings::DocumentError& error) {
@@ -55,8 +39,21 @@
   return out.replace(out.find(from), from.size(), to);
 }
 
+const std::string kSubsetted =
+    "version = 1; listener = \"fleet\";\n"
+    "nodes = ( { name = \"n1\"; address = \"127.0.0.1:1\"; }, { name = \"n2\"; address = \"127.0.0.1:2\"; "
+    "},\n"
+    "  { name = \"n3\"; zone = \"b\"; address = \"127.0.0.1:3\"; } );\n"
+    "subsetting = { size = 2; };\n"
+    "groups = (\n"
+    "  { name = \"read\"; repeats = \"repeatable\"; timeout_ms = 50; },\n"
+    "  { name = \"list\"; repeats = \"mutating\"; timeout_ms = 50; servers = (\"zone b\", \"n1\"); "
+    "subset_size = 1; },\n"
+    "  { name = \"book\"; repeats = \"deduplicated\"; timeout_ms = 50; window_ms = 50; }\n"
+    ");\n";
+
 TEST(FleetFile, IsReadWithDefaults) {
-  Written file(kGood);
+  WrittenFile file(kGood);
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   EXPECT_EQ(fleet.nodes[0].address(), "127.0.0.1:4101");
   EXPECT_EQ(fleet.request_classes[1].key_header, "Replay-Key");
@@ -65,9 +62,9 @@
   EXPECT_EQ(fleet.shards(), 256u);
 }
 
-TEST(FleetFile, ANodeThatAServiceNamesTwiceCountsOnce) {
-  Written file(std::string(kGood) +
-               "\nservices = ({ name = \"ledger\"; used_by = (\"n1\", \"zone default\", \"n1\"); });\n");
+TEST(FleetFile, ServerThatAServiceNamesTwiceCountsOnce) {
+  WrittenFile file(std::string(kGood) +
+                   "\nservices = ({ name = \"ledger\"; used_by = (\"n1\", \"zone default\", \"n1\"); });\n");
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   std::vector<std::string> used_by = fleet.services[0].used_by;
   EXPECT_EQ(std::count(used_by.begin(), used_by.end(), "n1"), 1);
@@ -93,29 +90,16 @@
             "2: nodes: names no node");
 }
 
-const std::string kSubsetted =
-    "version = 1; listener = \"fleet\";\n"
-    "nodes = ( { name = \"n1\"; address = \"127.0.0.1:1\"; }, { name = \"n2\"; address = \"127.0.0.1:2\"; "
-    "},\n"
-    "  { name = \"n3\"; zone = \"b\"; address = \"127.0.0.1:3\"; } );\n"
-    "subsetting = { size = 2; };\n"
-    "groups = (\n"
-    "  { name = \"read\"; repeats = \"repeatable\"; timeout_ms = 50; },\n"
-    "  { name = \"list\"; repeats = \"mutating\"; timeout_ms = 50; servers = (\"zone b\", \"n1\"); "
-    "subset_size = 1; },\n"
-    "  { name = \"book\"; repeats = \"deduplicated\"; timeout_ms = 50; window_ms = 50; }\n"
-    ");\n";
-
-TEST(FleetFile, AServiceNamesItsServersAndHowManyEachCallerGets) {
-  Written file(kSubsetted);
+TEST(FleetFile, RequestClassNamesItsServersAndItsSubsetSize) {
+  WrittenFile file(kSubsetted);
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   EXPECT_TRUE(fleet.service_listeners);
   EXPECT_TRUE(fleet.request_classes[0].servers.all());
   EXPECT_EQ(fleet.request_classes[0].subset_size, 2u);
   EXPECT_EQ(*fleet.request_classes[1].servers.places, (fleet::ServerList::Places{0, 2}));
   EXPECT_EQ(fleet.request_classes[1].subset_size, 1u);
-  EXPECT_EQ(fleet.request_classes[2].subset_size, 0u) << "its keys have one owner each";
-  Written plain(kGood);
+  EXPECT_EQ(fleet.request_classes[2].subset_size, 0u) << "each of its keys has one owner";
+  WrittenFile plain(kGood);
   EXPECT_FALSE(fleet::read_fleet(plain.path()).service_listeners);
   EXPECT_EQ(fleet::read_fleet(plain.path()).request_classes[0].subset_size, 0u);
 }
@@ -146,8 +130,8 @@
   }
 }
 
-// 9,300 services over 6,100 servers: a look through all servers for each name would take minutes.
-TEST(FleetFile, OneOfAWholeRegionIsReadInTime) {
+// 9,300 services over 6,100 servers: looking through all servers for each name would take minutes.
+TEST(FleetFile, FileOfALargeRegionIsReadInTime) {
   std::string text = "version = 1; subsetting = { size = 20; };\nnodes = (";
   for (int i = 0; i < 6100; ++i) {
     text += std::string(i ? "," : "") + "{ name = \"n" + std::to_string(i) + "\"; zone = \"z" +
@@ -162,139 +146,18 @@
       text += (k ? ",\"n" : "\"n") + std::to_string((i * 7 + k * 101) % 6100) + "\"";
     text += "); }\n";
   }
-  Written file(text + ");");
-  auto begun = std::chrono::steady_clock::now();
+  WrittenFile file(text + ");");
+  auto start = std::chrono::steady_clock::now();
   fleet::Fleet fleet = fleet::read_fleet(file.path());
-  double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+  double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   RecordProperty("seconds", std::to_string(took));
   EXPECT_EQ(fleet.request_classes.size(), 9300u);
   EXPECT_LT(took, 10.0);
 }
 
-TEST(FleetFile, OneThatIsNotThereIsSaidSo) {
+TEST(FleetFile, MissingFileIsADocumentError) {
   EXPECT_THROW(fleet::read_fleet("/nowhere/fleet.conf"), settings::DocumentError);
 }
 
-TEST(NodeSettings, AreOffWithoutAFileAndReadFromOne) {
-  EXPECT_TRUE(settings::read_node_settings(nullptr).reports.to.empty());
-  Written file("version = 1; reports = { to = (\"127.0.0.1:7300\"); every_ms = 100; };");
-  EXPECT_EQ(settings::read_node_settings(file.path().c_str()).reports.every, 100 * kMs);
-  Written wrong("version = 1; reports = { to = (\"7300\"); };");
-  EXPECT_THROW(settings::read_node_settings(wrong.path().c_str()), settings::DocumentError);
-}
-
-TEST(NodeSettings, SlowPeersAndTheStoreAreCheckedFieldByField) {
-  auto plain = settings::read_node_settings(nullptr);
-  EXPECT_EQ(plain.slow_peers.min_rate, 500);
-  EXPECT_TRUE(plain.store.folder.empty());
-  Written file(
-      "version = 1; slow_peers = { least_bytes_per_s = 900.0; grace_ms = 200; unread_kb = 32.0; };\n"
-      "store = { folder = \"/tmp/s\"; };");
-  auto read = settings::read_node_settings(file.path().c_str());
-  EXPECT_EQ(read.slow_peers.min_rate, 900);
-  EXPECT_EQ(read.slow_peers.grace, 200 * kMs);
-  EXPECT_EQ(read.slow_peers.unread_share, 32'768u);
-  EXPECT_EQ(read.slow_peers.hurry, plain.slow_peers.hurry);
-  EXPECT_EQ(read.store.folder, "/tmp/s");
-  for (const char* bad : {"slow_peers = { grace_ms = 1; };", "slow_peers = { grace = 200; };",
-                          "slow_peers = { unread_kb = 500.0; };", "store = { folder = 7; };"}) {
-    Written wrong("version = 1;\n" + std::string(bad));
-    try {
-      settings::read_node_settings(wrong.path().c_str());
-      ADD_FAILURE() << bad;
-    } catch (const settings::DocumentError& error) {
-      EXPECT_NE(std::string(error.what()).find(":2"), std::string::npos) << error.what();
-    }
-  }
-}
-
-report::LoadReport some_report() {
-  report::LoadReport out{
-      .node = "n1", .address = "127.0.0.1:4101", .incarnation = 7, .sequence = 9, .sent_unix = -3};
-  out.mode = Mode::kProbing;
-  out.warming_up = true;
-  out.window = 12;
-  out.limit = 3.25;
-  out.request_classes = {{"read", 5, 1, 3, 2, 1}, {"book", 0, 0, 0, 0, 0}};
-  return out;
-}
-
-TEST(ReportFrames, WhatIsWrittenIsReadHoweverItIsSplit) {
-  std::string bytes = report::encode(some_report()) + report::encode(some_report());
-  for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-    std::vector<report::LoadReport> came;
-    auto keep = [&](report::LoadReport report) { came.push_back(std::move(report)); };
-    report::Malformed malformed{};
-    std::size_t taken = report::decode(bytes.substr(0, cut), keep, malformed);
-    ASSERT_EQ(malformed, report::Malformed::kNo);
-    taken += report::decode(bytes.substr(taken), keep, malformed);
-    ASSERT_EQ(taken, bytes.size());
-    ASSERT_EQ(came.size(), 2u);
-    ASSERT_EQ(came[1], some_report());
-  }
-}
-
-RC_GTEST_PROP(ReportFrames, EncodeAndDecodeAreEachOthersInverse, ()) {
-  report::LoadReport in;
-  in.node = "n" + std::to_string(*rc::gen::inRange(0, 1000));
-  in.incarnation = *rc::gen::arbitrary<std::uint64_t>();
-  in.sent_unix = *rc::gen::arbitrary<std::int64_t>();
-  in.window = *rc::gen::arbitrary<std::uint32_t>();
-  in.mode = static_cast<Mode>(*rc::gen::inRange(0, 4));
-  in.draining = *rc::gen::arbitrary<bool>();
-  for (int i = *rc::gen::inRange(0, 20); i > 0; --i) {
-    in.request_classes.push_back({"g" + std::to_string(i), *rc::gen::arbitrary<std::uint64_t>(), 0, 1, 2, 3});
-  }
-  report::Malformed malformed{};
-  std::vector<report::LoadReport> out;
-  report::decode(
-      report::encode(in), [&](report::LoadReport one) { out.push_back(std::move(one)); }, malformed);
-  RC_ASSERT(malformed == report::Malformed::kNo);
-  RC_ASSERT(out.size() == 1u);
-  RC_ASSERT(out[0] == in);
-}
-
-RC_GTEST_PROP(ReportFrames, AnyBytesAreTakenOrRefusedWithinBounds, ()) {
-  auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
-  report::Malformed malformed{};
-  std::size_t taken = report::decode(
-      bytes, [](report::LoadReport) {}, malformed);
-  RC_ASSERT(taken <= bytes.size());
-}
-
-TEST(ReportFrames, EachByteChangedIsRefusedOrReadButNeverRunsOver) {
-  std::string good = report::encode(some_report());
-  for (std::size_t at = 0; at < good.size(); ++at) {
-    for (int flip : {0x01, 0x80, 0xff}) {
-      std::string bad = good;
-      bad[at] = static_cast<char>(bad[at] ^ flip);
-      report::Malformed malformed{};
-      std::size_t taken = report::decode(
-          bad, [](report::LoadReport) {}, malformed);
-      EXPECT_LE(taken, bad.size());
-    }
-  }
-}
-
-TEST(ReportFrames, WhatIsNewerIsPassedOverAndWhatIsTooLargeRefused) {
-  int came = 0;
-  report::Malformed malformed{};
-  std::string unknown_kind = std::string("\0\0\0\x04\x01\x7f??", 8);
-  report::decode(
-      unknown_kind + report::encode(some_report()), [&](report::LoadReport) { ++came; }, malformed);
-  EXPECT_EQ(came, 1);
-  std::string longer = report::encode(some_report());
-  longer[3] = static_cast<char>(longer[3] + 3);
-  report::decode(
-      longer + "new", [&](report::LoadReport) { ++came; }, malformed);
-  EXPECT_EQ(came, 2);
-  report::decode(
-      std::string("\x7f\0\0\0", 4), [&](report::LoadReport) { ++came; }, malformed);
-  EXPECT_EQ(malformed, report::Malformed::kTooLarge);
-  report::decode(
-      std::string("\0\0\0\x02\x09\x01", 6), [&](report::LoadReport) { ++came; }, malformed);
-  EXPECT_EQ(malformed, report::Malformed::kVersion);
-}
-
 }  // namespace
 }  // namespace myrtlecroft
--- a/tests/routing_change_test.cpp
+++ b/tests/incremental_routing_test.cpp
@@ -1,4 +1,4 @@
-// What the decision step brings up to date by what changed, against the same made from nothing.
+// What the decision step updates by what changed equals the same computed from nothing, after each change.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <xxhash.h>
@@ -12,9 +12,7 @@
 namespace myrtlecroft::routing {
 namespace {
 
-// ---- From nothing
-
-// As places among the members.
+// As places among the servers.
 std::vector<int> winners_from_nothing(const std::vector<ServerStatus>& servers, std::size_t shards) {
   std::vector<int> out(shards, kNobody);
   for (std::size_t shard = 0; shard < shards; ++shard) {
@@ -36,8 +34,8 @@
   return out;
 }
 
-std::uint32_t steady(double value, std::uint32_t before, double worth_telling) {
-  if (before > 0 && std::abs(value - before) < worth_telling * before) return before;
+std::uint32_t steady(double value, std::uint32_t before, double min_change) {
+  if (before > 0 && std::abs(value - before) < min_change * before) return before;
   return static_cast<std::uint32_t>(std::max(1.0, std::round(value)));
 }
 
@@ -49,20 +47,20 @@
   NodeRoute out{server.node.name, server.node.zone, server.node.host, server.node.port, server.node.priority};
   out.in_flight = was ? was->in_flight : 0;
   if (!server.in_service()) {
-    bool drains = server.out_for_maintenance || server.state == ServerState::kDraining;
-    out.health = drains ? Health::kDraining : Health::kOut;
+    bool draining = server.out_for_maintenance || server.state == ServerState::kDraining;
+    out.health = draining ? Health::kDraining : Health::kOut;
     return out;
   }
   out.health = Health::kHealthy;
-  double whole = 100 * server.node.capacity;
+  double full = 100 * server.node.capacity;
   double weight = 100 * server.effective_capacity();
-  out.weight = steady(weight, was && weight < whole ? was->weight : 0, 0.05);
-  double takes = 1.5 * (server.report.window + server.report.limit) / proxies;
-  if (server.last_report_at > 0) out.in_flight = steady(std::max(4.0, takes), out.in_flight, 0.25);
+  out.weight = steady(weight, was && weight < full ? was->weight : 0, 0.05);
+  double capacity = 1.5 * (server.report.window + server.report.limit) / proxies;
+  if (server.last_report_at > 0) out.in_flight = steady(std::max(4.0, capacity), out.in_flight, 0.25);
   return out;
 }
 
-Snapshot picture_from_nothing(const Router& router, const Snapshot* before) {
+Snapshot snapshot_from_nothing(const Router& router, const Snapshot* before) {
   const fleet::Fleet& fleet = router.fleet();
   Snapshot out{.listener = fleet.listener,
                .shard_digits = fleet.bounds.shard_digits,
@@ -97,8 +95,6 @@
   return out;
 }
 
-// ---- The same after each of many changes
-
 struct ChangingWorld {
   static fleet::Fleet first() {
     fleet::Fleet out = small_fleet(12);
@@ -121,12 +117,12 @@
     std::vector<int> expected = winners_from_nothing(servers, world.router.shards().all().size());
     for (std::size_t shard = 0; shard < expected.size(); ++shard)
       RC_ASSERT(world.router.shards().winner(shard) == expected[shard]);
-    Snapshot picture = picture_from_nothing(world.router, any ? &before : nullptr);
+    Snapshot expected_snapshot = snapshot_from_nothing(world.router, any ? &before : nullptr);
     if (world.published.size() > published) {
-      RC_ASSERT(world.router.published()->snapshot == picture);
-      RC_ASSERT(!any || picture != before);
-    } else if (!find_error(picture)) {
-      RC_ASSERT(any && picture == before);
+      RC_ASSERT(world.router.published()->snapshot == expected_snapshot);
+      RC_ASSERT(!any || expected_snapshot != before);
+    } else if (!find_error(expected_snapshot)) {
+      RC_ASSERT(any && expected_snapshot == before);
     }
   }
 
@@ -153,6 +149,11 @@
     world.reports[name].node = name;
     world.reports[name].address = added.address();
   }
+  void restart(const std::string& name) {
+    if (!world.reports.contains(name)) return;
+    ++world.reports[name].incarnation;
+    world.reports[name].sequence = 0;
+  }
   void new_options(const std::string& name) {
     if (!node(name)) return;
     node(name)->capacity = *rc::gen::inRange(1, 5);
@@ -167,9 +168,9 @@
     std::string name = any_node();
     switch (*rc::gen::inRange(0, 10)) {
       case 0:
-        return toggle(world.quiet, name);
+        return toggle(world.without_reports, name);
       case 1:
-        return toggle(world.hung, name);  // some of those are kept in
+        return toggle(world.hung, name);  // some of those are kept in rotation
       case 2:
         if (world.reports.contains(name)) world.reports[name].draining = !world.reports[name].draining;
         return;
@@ -177,10 +178,9 @@
         if (out_for_maintenance.erase(name) == 0) out_for_maintenance.insert(name);
         return world.router.set_out_for_maintenance(out_for_maintenance);
       case 4:
-        if (world.reports.contains(name)) ++world.reports[name].incarnation, world.reports[name].sequence = 0;
-        return;
+        return restart(name);
       case 5:
-        world.denies[name] = 2 - std::min<std::uint64_t>(2, world.denies[name]);
+        world.rejects[name] = 2 - std::min<std::uint64_t>(2, world.rejects[name]);
         return;
       case 6:
         if (world.reports.contains(name)) world.reports[name].window = *rc::gen::inRange(1u, 200u);
@@ -201,7 +201,7 @@
   std::set<std::string> out_for_maintenance;
 };
 
-RC_GTEST_PROP(RoutingByChange, WinnersAndSnapshotsAreThoseFromNothingAfterAnyChanges, ()) {
+RC_GTEST_PROP(IncrementalRouting, WinnersAndSnapshotsEqualThoseFromNothingAfterAnyChanges, ()) {
   ChangingWorld changing;
   for (int i = 0; i < 20; ++i) changing.step();
   for (int i = *rc::gen::inRange(10, 120); i > 0; --i) {
@@ -210,38 +210,5 @@
   }
 }
 
-TEST(Admission, AfterAFleetFileWithItsGroupsInAnotherOrderTheSameGroupIsShed) {
-  FleetWorld world;
-  for (auto& [name, report] : world.reports)
-    report.request_classes = {{.request_class = "cheap"}, {.request_class = "read"}};
-  world.run(3 * kSecond);
-  for (const char* node : {"n1", "n2", "n3"}) world.denies[node] = 1;
-  world.run(6 * kSecond);
-  ASSERT_LT(world.router.published()->snapshot.request_classes[0].admitted, 9000u);
-  std::reverse(world.fleet.request_classes.begin(), world.fleet.request_classes.end());
-  world.router.fleet_changed(world.fleet, world.now);
-  world.run(kSecond);
-  const std::vector<RequestClassRoute>& request_classes = world.router.published()->snapshot.request_classes;
-  EXPECT_EQ(request_classes[3].name, "cheap");
-  EXPECT_LT(request_classes[3].admitted, 9000u);
-  for (std::size_t i = 0; i < 3; ++i)
-    EXPECT_EQ(request_classes[i].admitted, 10'000u) << request_classes[i].name;
-}
-
-TEST(ServerRegistry, OneIsFoundByItsNameAndByWhereItListensAfterAnotherFleetFile) {
-  FleetWorld world;
-  std::rotate(world.fleet.nodes.begin(), world.fleet.nodes.begin() + 1, world.fleet.nodes.end());
-  world.fleet.nodes[0].port = 4999;  // n2
-  std::uint64_t layout = world.router.registry().layout();
-  world.router.fleet_changed(world.fleet, world.now);
-  const ServerRegistry& servers = world.router.registry();
-  EXPECT_NE(servers.layout(), layout);
-  EXPECT_EQ(servers.place_of("n1"), 2);
-  EXPECT_EQ(servers.place_of("n9"), -1);
-  ASSERT_TRUE(servers.server_at("127.0.0.1:4999"));
-  EXPECT_EQ(servers.server_at("127.0.0.1:4999")->node.name, "n2");
-  EXPECT_EQ(servers.server_at("127.0.0.1:4102"), nullptr);
-}
-
 }  // namespace
 }  // namespace myrtlecroft::routing
--- /dev/null
+++ b/tests/router_test.cpp
@@ -0,0 +1,60 @@
+// What is published, after a restart and from step to step.
+#include <gtest/gtest.h>
+
+#include "routing_fakes.h"
+
+namespace myrtlecroft::routing {
+namespace {
+
+TEST(Router, RestoredSnapshotIsServedUntilServersReport) {
+  FleetWorld first;
+  first.run(3 * kSecond);
+  first.reports["n2"].draining = true;
+  first.run(3 * kSecond);
+  PersistedState persisted = first.router.persisted_state();
+  FleetWorld second(small_fleet(), persisted, false);
+  second.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
+  second.run(60 * kSecond);
+  ASSERT_TRUE(second.router.published());
+  EXPECT_EQ(second.router.published()->snapshot, first.router.published()->snapshot);
+  EXPECT_EQ(second.published.size(), 1u);
+}
+
+TEST(Router, RestoredSnapshotLosesOnlyServersThatTheFleetFileNoLongerNames) {
+  FleetWorld first;
+  first.run(3 * kSecond);
+  fleet::Fleet fewer = small_fleet();
+  fewer.nodes.erase(fewer.nodes.begin() + 1);
+  FleetWorld second(fewer, first.router.persisted_state(), false);
+  second.without_reports = {{"n1", true}, {"n3", true}};
+  second.run(kSecond);
+  EXPECT_EQ(second.route("n1").health, Health::kHealthy);
+  EXPECT_EQ(second.route("n2").health, Health::kOut);
+  for (std::size_t shard = 0; shard < 256; ++shard) EXPECT_NE(second.owner(shard), "n2");
+}
+
+TEST(Router, LastSnapshotStaysWhenAllServersDrain) {
+  FleetWorld world;
+  world.run(3 * kSecond);
+  for (auto& [name, report] : world.reports) report.draining = true;
+  world.run(5 * kSecond);
+  EXPECT_EQ(find_error(world.router.published()->snapshot), std::nullopt);
+  EXPECT_TRUE(world.logged("snapshot rejected"));
+}
+
+TEST(Router, SmallChangesOfAWindowAreNotPublished) {
+  FleetWorld world;
+  world.run(5 * kSecond);
+  std::size_t before = world.published.size();
+  for (int i = 0; i < 20; ++i) {
+    world.reports["n1"].window = 20 + static_cast<std::uint32_t>(i % 3);
+    world.run(300 * kMs);
+  }
+  EXPECT_EQ(world.published.size(), before);
+  world.reports["n1"].window = 60;
+  world.run(300 * kMs);
+  EXPECT_EQ(world.published.size(), before + 1);
+}
+
+}  // namespace
+}  // namespace myrtlecroft::routing
--- a/tests/routing_fakes.h
+++ b/tests/routing_fakes.h
@@ -1,4 +1,4 @@
-// A fleet without a machine: servers that report as the story says, a clock that only the story moves.
+// A fleet without a machine: servers that report as the test says, a clock that only the test moves.
 #pragma once
 
 #include <map>
@@ -43,10 +43,12 @@
 }
 
 struct FleetWorld {
-  explicit FleetWorld(fleet::Fleet given = small_fleet(), std::optional<PersistedState> memory = std::nullopt,
-                      bool first_start = true)
+  static constexpr std::uint64_t kRequests = 2;  // of one class, between two reports
+
+  explicit FleetWorld(fleet::Fleet given = small_fleet(),
+                      std::optional<PersistedState> persisted = std::nullopt, bool first_start = true)
       : fleet(std::move(given)),
-        router(fleet, std::move(memory), first_start, now,
+        router(fleet, std::move(persisted), first_start, now,
                [this](const std::string& line) { lines.push_back(line); }) {
     for (const fleet::Node& node : fleet.nodes) {
       report::LoadReport& report = reports[node.name];
@@ -64,25 +66,27 @@
   }
 
   ServerRegistry::Verdict report(const std::string& node) {
-    report::LoadReport& told = reports.at(node);
-    ++told.sequence;
-    told.sent_unix = now;
+    report::LoadReport& report = reports.at(node);
+    ++report.sequence;
+    report.sent_unix = now;
     router.handle_report_connection(node, true, now);
-    return router.handle_report(told, now, now);
+    return router.handle_report(report, now, now);
   }
-  // Each server that speaks takes some requests and answers them, a tenth of a second after the other.
+  // Ten times a second, each server that reports receives some requests and answers them.
   void run(Nanos time) {
     for (Nanos end = now + time; now < end;) {
       now += 100 * kMs;
-      for (auto& [name, told] : reports) {
-        if (quiet.contains(name)) continue;
-        for (report::RequestClassCounts& counts : told.request_classes) {
-          counts.read += 2;
-          if (!hung.contains(name)) counts.rejected += denies[name], counts.completed += 2 - denies[name];
+      for (auto& [name, report_of_it] : reports) {
+        if (without_reports.contains(name)) continue;
+        for (report::RequestClassCounts& counts : report_of_it.request_classes) {
+          counts.read += kRequests;
+          if (hung.contains(name)) continue;
+          counts.rejected += rejects[name];
+          counts.completed += kRequests - rejects[name];
         }
         report(name);
       }
-      if (follow) router.all_proxies_applied(router.published() ? router.published()->number : 0);
+      if (proxies_apply) router.all_proxies_applied(router.published() ? router.published()->number : 0);
       if (auto next = router.step(now)) published.push_back(next);
     }
   }
@@ -90,7 +94,7 @@
     for (const ServerStatus& one : router.registry().all()) {
       if (one.node.name == name) return one;
     }
-    throw std::runtime_error("no member " + name);
+    throw std::runtime_error("no server " + name);
   }
   const NodeRoute& route(const std::string& name) const {
     for (const NodeRoute& one : router.published()->snapshot.nodes) {
@@ -114,10 +118,10 @@
   std::vector<std::string> lines;
   Router router;
   std::map<std::string, report::LoadReport> reports;
-  std::map<std::string, bool> quiet;  // sends no reports
-  std::map<std::string, bool> hung;   // takes and answers nothing
-  std::map<std::string, std::uint64_t> denies;
-  bool follow = true;  // proxies apply at once
+  std::map<std::string, bool> without_reports;   // sends none
+  std::map<std::string, bool> hung;              // accepts requests and answers none
+  std::map<std::string, std::uint64_t> rejects;  // of the requests of one class in each report
+  bool proxies_apply = true;                     // what is published, at once
   std::vector<std::shared_ptr<const PublishedSnapshot>> published;
 };
 
--- a/tests/subsets_test.cpp
+++ b/tests/subsets_test.cpp
@@ -1,4 +1,5 @@
-// Subsets of a service's servers: the same everywhere, even, steady when servers come and go, never empty.
+// Subsets of a service's servers: the same everywhere, even, stable when servers are added or removed, never
+// empty.
 #include "routing/subsets.h"
 
 #include <gtest/gtest.h>
@@ -60,25 +61,28 @@
   return out;
 }
 
-TEST(Subsets, OrderOfTheFileChangesNothing) {
+TEST(Subsets, OrderOfTheFleetFileChangesNothing) {
   std::vector<NodeRoute> nodes = servers(300);
   std::vector<NodeRoute> turned(nodes.rbegin(), nodes.rend());
   EXPECT_EQ(pairs_of(Subsets(nodes, all_of(nodes), 20), nodes),
             pairs_of(Subsets(turned, all_of(turned), 20), turned));
-  // Known values: another version of this code must not give callers other subsets unawares.
+  // Known values: another version of this code must not give callers other subsets unnoticed.
   Subsets subsets(nodes, all_of(nodes), 20);
   EXPECT_EQ(subsets.of_caller(caller_key("caller-1", "z1"), service_key("read")), 85u);
   EXPECT_EQ(subsets.of_caller(caller_key("caller-1", "z2"), service_key("read")), 1u);
 }
 
-TEST(Subsets, InEachRoundEveryServerIsInOneSubsetAndEverySubsetSpansTheZones) {
+TEST(Subsets, EveryServerIsInOneSubsetOfEachRoundAndEverySubsetSpansTheZones) {
   std::vector<NodeRoute> nodes = servers(300);
   Subsets subsets(nodes, all_of(nodes), 20);
   ASSERT_EQ(subsets.count(), 15u * kSubsetRounds);
   std::vector<std::uint32_t> times(nodes.size());
   for (std::size_t at = 0; at < subsets.count(); ++at) {
     std::set<std::string> zones;
-    for (std::uint32_t place : subsets.members(at)) ++times[place], zones.insert(nodes[place].zone);
+    for (std::uint32_t place : subsets.members(at)) {
+      ++times[place];
+      zones.insert(nodes[place].zone);
+    }
     EXPECT_EQ(zones.size(), 3u) << at;
     EXPECT_GE(subsets.members(at).size(), 10u) << at;
     EXPECT_LE(subsets.members(at).size(), 25u) << at;
@@ -102,9 +106,11 @@
     constexpr int kCallers = 10'000;
     for (int i = 0; i < kCallers; ++i) {
       std::uint64_t caller = caller_key("caller-" + std::to_string(i), i % 2 ? "z1" : "z2");
-      const auto& told = subsets.members(subsets.of_caller(caller, service_key("read")));
-      for (std::uint32_t place : told)
-        ++callers[place], load[place] += 1.0 / static_cast<double>(told.size());
+      const auto& members = subsets.members(subsets.of_caller(caller, service_key("read")));
+      for (std::uint32_t place : members) {
+        ++callers[place];
+        load[place] += 1.0 / static_cast<double>(members.size());
+      }
     }
     double callers_mean = std::accumulate(callers.begin(), callers.end(), 0.0) / 300;
     double load_mean = kCallers / 300.0;
@@ -118,7 +124,7 @@
 }
 
 // Each round loses or gains one pair; what moves beyond that is bounded.
-TEST(Subsets, AServerThatComesOrGoesMovesNextToNothingElse) {
+TEST(Subsets, AddedOrRemovedServerMovesFewOthers) {
   double moved = 0;
   std::size_t max = 0;
   constexpr int kTrials = 30;
@@ -129,7 +135,7 @@
     std::size_t differ = moved_between(before, after, 20);
     moved += static_cast<double>(differ - kSubsetRounds);
     max = std::max(max, differ - kSubsetRounds);
-    EXPECT_EQ(moved_between(after, before, 20), differ) << "the way back is the same";
+    EXPECT_EQ(moved_between(after, before, 20), differ) << "adding it again moves the same";
   }
   RecordProperty("moved_mean", std::to_string(moved / kTrials));
   EXPECT_LT(moved / kTrials, 2 * kSubsetRounds) << "of 2320 pairs";
@@ -137,13 +143,13 @@
 }
 
 // One subset more: it takes its part from all others, and no more.
-TEST(Subsets, AnotherSubsetMovesAboutAsManyAsItHas) {
+TEST(Subsets, AddedSubsetMovesAboutAsManyServersAsItHas) {
   std::size_t moved = moved_between(servers(300), servers(301), 20);
   RecordProperty("moved", std::to_string(moved));
   EXPECT_LT(moved, 5u * 20 * kSubsetRounds);
 }
 
-TEST(Subsets, ACallerStaysWhereItIsWhenASubsetIsAdded) {
+TEST(Subsets, MostCallersKeepTheirSubsetWhenOneIsAdded) {
   std::vector<NodeRoute> fewer = servers(300);
   std::vector<NodeRoute> more = servers(301);
   Subsets before(fewer, all_of(fewer), 20);
@@ -158,36 +164,37 @@
   EXPECT_LT(moved, 10'000 / 12);
 }
 
-TEST(Subsets, NoneIsEmptyWhileOneServerIsUp) {
+TEST(Subsets, NoneIsEmptyWhileOneServerIsHealthy) {
   for (std::uint32_t size : {1u, 2u, 7u, 20u}) {
     std::vector<NodeRoute> nodes = servers(61, 5);
     Subsets subsets(nodes, all_of(nodes), size);
     for (NodeRoute& node : nodes) node.health = Health::kOut;
     nodes[17].health = Health::kHealthy;
-    for (const auto& told : all_in_service(subsets, nodes)) EXPECT_EQ(told, Subsets::Places{17}) << size;
+    for (const auto& healthy : all_in_service(subsets, nodes))
+      EXPECT_EQ(healthy, Subsets::Places{17}) << size;
     nodes[17].health = Health::kDraining;
-    for (const auto& told : all_in_service(subsets, nodes)) EXPECT_TRUE(told.empty());
+    for (const auto& healthy : all_in_service(subsets, nodes)) EXPECT_TRUE(healthy.empty());
   }
 }
 
-TEST(Subsets, OneWithFewerThanHalfInServiceIsFilledUpAndNoOtherIsTouched) {
+TEST(Subsets, SubsetWithFewerThanHalfInServiceIsFilledUpAndNoOtherChanges) {
   std::vector<NodeRoute> nodes = servers(300);
   Subsets subsets(nodes, all_of(nodes), 20);
   for (std::uint32_t place : subsets.members(3)) nodes[place].health = Health::kOut;
-  auto told = all_in_service(subsets, nodes);
-  EXPECT_GE(told[3].size(), 10u);
+  auto healthy = all_in_service(subsets, nodes);
+  EXPECT_GE(healthy[3].size(), 10u);
   for (std::size_t at = 0; at < 15; ++at) {
     if (at != 3) {
-      EXPECT_EQ(told[at], subsets.members(at)) << "of the same round, at " << at;
+      EXPECT_EQ(healthy[at], subsets.members(at)) << "of the same round, at " << at;
     }
   }
 }
 
-TEST(Subsets, AZoneThatIsLostLeavesEverySubsetItsOtherZones) {
+TEST(Subsets, LostZoneLeavesEverySubsetItsOtherZones) {
   std::vector<NodeRoute> nodes = servers(300);
   Subsets subsets(nodes, all_of(nodes), 20);
   for (NodeRoute& node : nodes) node.health = node.zone == "z1" ? Health::kOut : Health::kHealthy;
-  for (const auto& told : all_in_service(subsets, nodes)) EXPECT_GE(told.size(), 10u);
+  for (const auto& healthy : all_in_service(subsets, nodes)) EXPECT_GE(healthy.size(), 10u);
 }
 
 }  // namespace
