--- a/src/fleet/request_class_file.cpp
+++ b/src/fleet/request_class_file.cpp
@@ -5,6 +5,7 @@
 #include <map>
 #include <memory>
 #include <set>
+#include <utility>
 
 namespace myrtlecroft::fleet {
 namespace {
@@ -122,8 +123,9 @@
       context.subset_size > 0 ||
       std::any_of(parts.begin(), parts.end(), [](const Part& part) { return part.has("subset_size"); });
   out.service_listeners = context.service_listeners;
-  out.request_classes = read_list<RequestClass>(root, "groups", kMaxRequestClasses,
-                                                [&](Part part) { return read_request_class(part, context); });
+  out.request_classes = read_list<RequestClass>(root, "groups", kMaxRequestClasses, [&](Part part) {
+    return read_request_class(std::move(part), context);
+  });
   if (out.request_classes.empty()) root.bad("groups", "names no endpoint group");
   std::set<std::string> paths;
   for (const RequestClass& request_class : out.request_classes) {
--- a/src/routing/connectivity.cpp
+++ b/src/routing/connectivity.cpp
@@ -26,8 +26,8 @@
 }  // namespace
 
 const char* name_of(View view) {
-  constexpr const char* names[] = {"restoring", "connected", "partitioned"};
-  return names[static_cast<std::size_t>(view)];
+  constexpr const char* kNames[] = {"restoring", "connected", "partitioned"};
+  return kNames[static_cast<std::size_t>(view)];
 }
 
 const std::vector<Connectivity::Row> Connectivity::kRows = {
--- a/src/routing/server_status.cpp
+++ b/src/routing/server_status.cpp
@@ -6,9 +6,9 @@
 namespace myrtlecroft::routing {
 
 const char* name_of(ServerState state) {
-  constexpr const char* names[kStates] = {"assumed healthy", "slow start",   "serving", "draining",
-                                          "unhealthy",       "unresponsive", "lost"};
-  return names[static_cast<std::size_t>(state)];
+  constexpr const char* kNames[kStates] = {"assumed healthy", "slow start",   "serving", "draining",
+                                           "unhealthy",       "unresponsive", "lost"};
+  return kNames[static_cast<std::size_t>(state)];
 }
 
 ReportTotals totals_of(const report::LoadReport& report) {
--- a/src/routing/snapshot.cpp
+++ b/src/routing/snapshot.cpp
@@ -71,8 +71,8 @@
 }  // namespace
 
 const char* name_of(Health health) {
-  constexpr const char* names[] = {"healthy", "draining", "out"};
-  return names[static_cast<std::size_t>(health)];
+  constexpr const char* kNames[] = {"healthy", "draining", "out"};
+  return kNames[static_cast<std::size_t>(health)];
 }
 
 std::string SnapshotError::message() const {
--- a/src/routing/subsets.cpp
+++ b/src/routing/subsets.cpp
@@ -150,7 +150,7 @@
   std::vector<std::uint64_t> subsets;
   for (std::uint32_t subset = 0; subset < per_round_; ++subset) subsets.push_back(subset_key(round, subset));
   const std::size_t average_up = (cell.size() + per_round_ - 1) / per_round_;
-  const std::size_t with_headroom = kHeadroomQuarters * cell.size() / (4 * per_round_);
+  const std::size_t with_headroom = kHeadroomQuarters * cell.size() / (4 * std::size_t{per_round_});
   CellMatching matching({.servers = std::move(servers),
                          .subsets = std::move(subsets),
                          .max = std::max(average_up, with_headroom)});
