--- a/src/releases/release_transitions.cpp
+++ b/src/releases/release_transitions.cpp
@@ -23,7 +23,7 @@
 const std::string kNoReason;
 
 struct TransitionRule {
-  agreement::Phase phase;
+  agreement::ReleasePhase phase;
   Reason (*due)(const ReleaseEvidence&);
   agreement::ReleaseInput event;
 };
@@ -68,14 +68,14 @@
 Reason blocked_too_long(const ReleaseEvidence& evidence) {
   const RolloutContext& context = evidence.context;
   Nanos since = std::max(evidence.grants.last_granted(), evidence.monitor.analysis().begun());
-  if (context.any_lease_for(agreement::WHY_RELEASE) || evidence.grants.blocked_reason().empty() ||
+  if (context.any_lease_for(agreement::REASON_RELEASE) || evidence.grants.blocked_reason().empty() ||
       context.view.now - since < context.plan.back_within_ns())
     return std::nullopt;
   return "no server could be taken out: " + evidence.grants.blocked_reason();
 }
 
 Reason wave_is_updated(const ReleaseEvidence& evidence) {
-  if (evidence.context.any_lease_for(agreement::WHY_RELEASE)) return std::nullopt;
+  if (evidence.context.any_lease_for(agreement::REASON_RELEASE)) return std::nullopt;
   if (!servers_to_update(evidence.context).empty()) return std::nullopt;
   return kNoReason;
 }
@@ -108,7 +108,7 @@
 
 Reason all_rolled_back(const ReleaseEvidence& evidence) {
   const RolloutContext& context = evidence.context;
-  if (context.any_lease_for(agreement::WHY_RELEASE) || context.any_lease_for(agreement::WHY_BACK))
+  if (context.any_lease_for(agreement::REASON_RELEASE) || context.any_lease_for(agreement::REASON_ROLLBACK))
     return std::nullopt;
   if (!servers_to_update(context).empty()) return std::nullopt;
   std::vector<std::string> others;
@@ -123,24 +123,24 @@
 // The first rule of the present phase that is due gives its event.
 constexpr TransitionRule kTransitionRules[] = {
     {agreement::PHASE_ROLLING, quorum_was_lost, agreement::RELEASE_HALT},
-    {agreement::PHASE_ROLLING, analysis_failed_with_rollback, agreement::RELEASE_GO_BACK},
+    {agreement::PHASE_ROLLING, analysis_failed_with_rollback, agreement::RELEASE_ROLL_BACK},
     {agreement::PHASE_ROLLING, analysis_failed, agreement::RELEASE_HALT},
-    {agreement::PHASE_ROLLING, too_many_servers_failed_with_rollback, agreement::RELEASE_GO_BACK},
+    {agreement::PHASE_ROLLING, too_many_servers_failed_with_rollback, agreement::RELEASE_ROLL_BACK},
     {agreement::PHASE_ROLLING, too_many_servers_failed, agreement::RELEASE_HALT},
     {agreement::PHASE_ROLLING, service_alarm, agreement::RELEASE_HALT},
     {agreement::PHASE_ROLLING, blocked_too_long, agreement::RELEASE_HALT},
-    {agreement::PHASE_ROLLING, wave_is_updated, agreement::RELEASE_WAVE_BACK},
+    {agreement::PHASE_ROLLING, wave_is_updated, agreement::RELEASE_WAVE_UPDATED},
 
     {agreement::PHASE_SOAKING, quorum_was_lost, agreement::RELEASE_HALT},
-    {agreement::PHASE_SOAKING, analysis_failed_with_rollback, agreement::RELEASE_GO_BACK},
+    {agreement::PHASE_SOAKING, analysis_failed_with_rollback, agreement::RELEASE_ROLL_BACK},
     {agreement::PHASE_SOAKING, analysis_failed, agreement::RELEASE_HALT},
     {agreement::PHASE_SOAKING, service_alarm, agreement::RELEASE_HALT},
     {agreement::PHASE_SOAKING, last_wave_passed, agreement::RELEASE_FINISH},
     {agreement::PHASE_SOAKING, analysis_passed, agreement::RELEASE_NEXT_WAVE},
     {agreement::PHASE_SOAKING, inconclusive_too_long, agreement::RELEASE_HALT},
 
-    {agreement::PHASE_BACK, quorum_was_lost, agreement::RELEASE_HALT},
-    {agreement::PHASE_BACK, all_rolled_back, agreement::RELEASE_IS_BACK},
+    {agreement::PHASE_ROLLING_BACK, quorum_was_lost, agreement::RELEASE_HALT},
+    {agreement::PHASE_ROLLING_BACK, all_rolled_back, agreement::RELEASE_ROLLED_BACK},
 };
 
 }  // namespace
--- a/src/releases/rollout_controller.h
+++ b/src/releases/rollout_controller.h
@@ -20,9 +20,9 @@
   explicit RolloutController(Log log) : log_(log), monitor_(std::move(log)) {}
 
   // Measures; at every tick on every replica.
-  void watch(const View& view) override;
+  void observe(const View& view) override;
   // Adds steps to the decision; on the leader only.
-  void draft(const View& view, agreement::Decision& out) override;
+  void append_steps(const View& view, agreement::Decision& out) override;
 
   // What the release waits for, or the figures of its latest analysis round, as measured here; one line.
   const std::string& status_detail() const { return status_detail_; }
