--- a/src/fleet/file_fields.cpp
+++ b/src/fleet/file_fields.cpp
@@ -15,22 +15,22 @@
 
 }  // namespace
 
-std::string read_name(settings::Part& part) {
+std::string read_name(settings::Section& part) {
   std::string name = part.text("name");
   bool plain = std::all_of(name.begin(), name.end(), is_name_character);
   if (!plain || name.size() > kMaxNameLength) {
-    part.bad("name", "is not a name of at most 64 letters, digits, '-', '_' and '.'");
+    part.fail("name", "is not a name of at most 64 letters, digits, '-', '_' and '.'");
   }
   return name;
 }
 
-MaxUnavailable read_max_unavailable(settings::Part& part, const char* field, MaxUnavailable otherwise) {
+MaxUnavailable read_max_unavailable(settings::Section& part, const char* field, MaxUnavailable otherwise) {
   if (!part.has(field)) {
     part.number_or(field, 1, 0, 1);  // so that the field counts as known
     return otherwise;
   }
   if (part.is_integer(field))
-    return {.by_count = true, .max = static_cast<double>(part.whole(field, 0, kMaxNodes))};
+    return {.by_count = true, .max = static_cast<double>(part.integer(field, 0, kMaxNodes))};
   return {.by_count = false, .max = part.number(field, 0, 1)};
 }
 
--- a/src/fleet/file_fields.h
+++ b/src/fleet/file_fields.h
@@ -21,10 +21,10 @@
 
 // The field `name`. Throws where it has anything but letters, digits, '-', '_' and '.': names stand in
 // resource names and log lines.
-std::string read_name(settings::Part& part);
+std::string read_name(settings::Section& part);
 
 // A whole number is a count of servers, any other number a share of the capacity.
-MaxUnavailable read_max_unavailable(settings::Part& part, const char* field, MaxUnavailable otherwise);
+MaxUnavailable read_max_unavailable(settings::Section& part, const char* field, MaxUnavailable otherwise);
 
 // Servers by name and by zone. Without it each name in a list would be looked for among all servers. Refers
 // to `nodes`, which must outlive it.
@@ -44,14 +44,14 @@
 // The list `field` with each entry read by `read`. Throws where it is too long, or at the second of two
 // entries of the same name.
 template <class Entry, class Read>
-std::vector<Entry> read_list(settings::Part& root, const char* field, std::size_t max, Read read) {
+std::vector<Entry> read_list(settings::Section& root, const char* field, std::size_t max, Read read) {
   std::vector<Entry> out;
   std::set<std::string> names;
-  std::vector<settings::Part> parts = root.list(field);
-  if (parts.size() > max) root.bad(field, "has more than " + std::to_string(max) + " entries");
-  for (const settings::Part& part : parts) {
+  std::vector<settings::Section> parts = root.list(field);
+  if (parts.size() > max) root.fail(field, "has more than " + std::to_string(max) + " entries");
+  for (const settings::Section& part : parts) {
     out.push_back(read(part));
-    if (!names.insert(out.back().name).second) part.bad("name", "comes twice: '" + out.back().name + "'");
+    if (!names.insert(out.back().name).second) part.fail("name", "comes twice: '" + out.back().name + "'");
   }
   return out;
 }
--- a/src/fleet/request_class_file.h
+++ b/src/fleet/request_class_file.h
@@ -9,6 +9,6 @@
 
 // Sets request_classes and service_listeners of a fleet whose listener is known. Throws
 // settings::DocumentError.
-void read_request_classes(settings::Part& root, const NodeIndex& nodes, Fleet& out);
+void read_request_classes(settings::Section& root, const NodeIndex& nodes, Fleet& out);
 
 }  // namespace myrtlecroft::fleet
--- a/tests/fleet_file_test.cpp
+++ b/tests/fleet_file_test.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "settings/document.h"
-#include "written_file.h"
+#include "temporary_file.h"
 
 namespace myrtlecroft {
 namespace {
@@ -24,7 +24,7 @@
     ");\n";
 
 std::string error_of(const std::string& text) {
-  WrittenFile file(text);
+  TemporaryFile file(text);
   try {
     fleet::read_fleet(file.path());
   } catch (const settings::DocumentError& error) {
@@ -53,7 +53,7 @@
     ");\n";
 
 TEST(FleetFile, IsReadWithDefaults) {
-  WrittenFile file(kGood);
+  TemporaryFile file(kGood);
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   EXPECT_EQ(fleet.nodes[0].address(), "127.0.0.1:4101");
   EXPECT_EQ(fleet.request_classes[1].key_header, "Replay-Key");
@@ -63,8 +63,9 @@
 }
 
 TEST(FleetFile, ServerThatAServiceNamesTwiceCountsOnce) {
-  WrittenFile file(std::string(kGood) +
-                   "\nservices = ({ name = \"ledger\"; used_by = (\"n1\", \"zone default\", \"n1\"); });\n");
+  TemporaryFile file(
+      std::string(kGood) +
+      "\nservices = ({ name = \"ledger\"; used_by = (\"n1\", \"zone default\", \"n1\"); });\n");
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   std::vector<std::string> used_by = fleet.services[0].used_by;
   EXPECT_EQ(std::count(used_by.begin(), used_by.end(), "n1"), 1);
@@ -91,7 +92,7 @@
 }
 
 TEST(FleetFile, RequestClassNamesItsServersAndItsSubsetSize) {
-  WrittenFile file(kSubsetted);
+  TemporaryFile file(kSubsetted);
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   EXPECT_TRUE(fleet.service_listeners);
   EXPECT_TRUE(fleet.request_classes[0].servers.all());
@@ -99,7 +100,7 @@
   EXPECT_EQ(*fleet.request_classes[1].servers.places, (fleet::ServerList::Places{0, 2}));
   EXPECT_EQ(fleet.request_classes[1].subset_size, 1u);
   EXPECT_EQ(fleet.request_classes[2].subset_size, 0u) << "each of its keys has one owner";
-  WrittenFile plain(kGood);
+  TemporaryFile plain(kGood);
   EXPECT_FALSE(fleet::read_fleet(plain.path()).service_listeners);
   EXPECT_EQ(fleet::read_fleet(plain.path()).request_classes[0].subset_size, 0u);
 }
@@ -146,7 +147,7 @@
       text += (k ? ",\"n" : "\"n") + std::to_string((i * 7 + k * 101) % 6100) + "\"";
     text += "); }\n";
   }
-  WrittenFile file(text + ");");
+  TemporaryFile file(text + ");");
   auto start = std::chrono::steady_clock::now();
   fleet::Fleet fleet = fleet::read_fleet(file.path());
   double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
