--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -8,7 +8,7 @@
 #include <iterator>
 #include <utility>
 
-#include "fleet/fleet.h"
+#include "fleet/fleet_file.h"
 
 namespace myrtlecroft::control {
 namespace {
