--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,9 @@
 # Short names for what README describes.
 CONFIG ?= deploy/example.json
-# What .lint-folders lists. Tests are formatted and not linted: their GoogleTest headers would double the time.
+# All sources are formatted; what .lint-folders lists is linted, tests left out: their GoogleTest headers would double
+# the time.
 LISTED := $(shell sed '/^\#/d' .lint-folders)
+FORMATTED := $(filter %.h %.cpp,$(shell git ls-files include src standin measure tests))
 SOURCES := $(filter %.h %.cpp,$(shell git ls-files $(LISTED)))
 empty :=
 LISTED_HEADERS := $(CURDIR)/($(subst $(empty) $(empty),|,$(strip $(LISTED))))
@@ -46,11 +48,11 @@
 lint: setup
 	cmake -B build/ci $(CI_FORM)
 	cmake --build build/ci -j4 --target myrtlecroft_proto
-	clang-format --dry-run --Werror $(SOURCES)
+	clang-format --dry-run --Werror $(FORMATTED)
 	printf '%s\n' $(LINTED) | xargs -P4 -n1 clang-tidy -quiet -p build/ci --header-filter='$(LISTED_HEADERS)'
 
 format:
-	clang-format -i $(SOURCES)
+	clang-format -i $(FORMATTED)
 
 # Nodes, engines, database, control and proxies on this machine, one node failing: about 20 s.
 demo: build
--- a/measure/capacity/generated_fleet.cpp
+++ b/measure/capacity/generated_fleet.cpp
@@ -1,4 +1,3 @@
-#include "fleet/fleet_file.h"
 #include "generated_fleet.h"
 
 #include <algorithm>
@@ -8,6 +7,8 @@
 #include <stdexcept>
 #include <system_error>
 
+#include "fleet/fleet_file.h"
+
 namespace myrtlecroft::capacity {
 namespace {
 
--- a/measure/measure_xds.cpp
+++ b/measure/measure_xds.cpp
@@ -9,12 +9,12 @@
 #include <filesystem>
 #include <thread>
 
-#include "fleet/fleet_file.h"
 #include "../standin/ads_link.h"
 #include "../standin/control_fleet.h"
 #include "../tests/control_harness.h"
 #include "control/admin_client.h"
 #include "discovery.pb.h"
+#include "fleet/fleet_file.h"
 #include "xds/session_table.h"
 #include "xds/wire.h"
 
--- a/src/agreement/control_replica.h
+++ b/src/agreement/control_replica.h
@@ -59,7 +59,7 @@
   ControlReplica(const ReplicaOptions& options, consensus::RaftStorage& storage,
                  consensus::Transport& transport, fleet::Fleet fleet, bool first_start,
                  std::function<Nanos()> clock, std::uint32_t seed, Log log);
-  ~ControlReplica();
+  ~ControlReplica() override;
 
   void start();
   // Several times in a heartbeat. True: something new is agreed, and what is served may have changed.
@@ -76,7 +76,7 @@
   std::uint64_t submit_command(const std::string& text);
   void forget_command(std::uint64_t id) { own_commands_.erase(id); }
   // Not left to the beat.
-  void decide_soon() { due_at_ = 0; }
+  void decide_soon() { next_decision_at_ = 0; }
 
   const ReplicatedState& agreed() const { return state_; }
   // The snapshot in force, made once for each; nullptr: none was ever agreed.
@@ -120,21 +120,21 @@
   bool restore(std::string_view snapshot) override;
 
  private:
-  void join();
-  void rejoin();
-  void prove(const consensus::PeerMessage& message);
+  void start_raft_node();
+  void recover_from_disk_failure();
+  void verify_storage(const consensus::PeerMessage& message);
   consensus::PeerMessage message_to(consensus::InstanceId id) const;
-  void say();
+  void send_heartbeats();
   void decide();
   void propose(Decision decision);
-  void take_up();
-  void promote_who_caught_up();
-  void pass_commands();
+  void adopt_agreed_state();
+  void promote_caught_up_learners();
+  void forward_commands();
   std::uint32_t format_of_all() const;
   DecisionSection::View view(Nanos time, std::uint64_t applied) const;
-  void follow_target();
-  void hear(const consensus::PeerMessage& message);
-  void in_force();
+  void check_caught_up();
+  void handle_heartbeat(const consensus::PeerMessage& message);
+  void decision_applied();
   void index_owners();
   Nanos elapsed() const;
   Nanos now() const { return clock_(); }
@@ -157,29 +157,30 @@
   bool storage_verified_ = false;
   Nanos started_at_ = 0;
   std::uint64_t stored_decision_ = 0;
-  bool changing_ = false;  // who belongs
+  bool membership_changing_ = false;  // who belongs
   google::protobuf::RepeatedPtrField<consensus::ProxyStatus> local_proxies_;
   std::unordered_map<std::string, std::vector<std::uint16_t>>
       owned_;             // by each server, as agreed; only looked up
   Epoch owned_at_;        // the decision that `owned_` is of
   Nanos applied_at_ = 0;  // when the last decision was applied here
-  Nanos due_at_ = 0;
-  Nanos said_at_ = 0;
+  Nanos next_decision_at_ = 0;
+  Nanos heartbeat_at_ = 0;
   Nanos proposed_at_ = 0;
   Nanos rejoin_at_ = 0;
-  std::uint64_t target_ = 0;  // what the leader had applied when it answered a stamp of ours
-  Nanos target_at_ = 0;       // that stamp; 0: no target
-  Nanos caught_up_at_ = 0;    // the last stamp whose target was reached here
-  std::uint64_t seen_ = 0;   // the highest decision that was applied here, also by an earlier part in the log
-  std::uint64_t asked_ = 0;  // the proposal that is out; 0: none
-  std::uint64_t asks_ = 0;
+  std::uint64_t catch_up_target_ = 0;  // what the leader had applied when it answered a stamp of ours
+  Nanos catch_up_stamp_ = 0;           // that stamp; 0: no target
+  Nanos caught_up_at_ = 0;             // the last stamp whose target was reached here
+  std::uint64_t highest_applied_ =
+      0;  // the highest decision that was applied here, also by an earlier part in the log
+  std::uint64_t pending_proposal_ = 0;  // the proposal that is out; 0: none
+  std::uint64_t proposals_ = 0;
   DecisionSection* section_ = nullptr;
   std::map<std::uint64_t, std::string> own_commands_;  // asked here
   std::map<std::uint64_t, std::string> commands_;      // to be decided, where this one leads
-  Nanos passed_at_ = 0;
+  Nanos forwarded_at_ = 0;
   bool leading_ = false;
-  bool new_ = false;
-  bool was_in_touch_ = false;
+  bool changed_ = false;
+  bool had_quorum_ = false;
   std::uint64_t invalid_proposals_ = 0;  // refused by the rules though nobody else had decided meanwhile
   std::string fault_;
 };
--- a/src/agreement/leader_lease.cpp
+++ b/src/agreement/leader_lease.cpp
@@ -7,27 +7,27 @@
 namespace myrtlecroft::agreement {
 
 void LeaderLease::fill_stamps(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader,
-                              Nanos now, consensus::Heartbeat& word) const {
-  word.set_term(term);
-  word.set_leader(leader);
-  word.set_stamp(static_cast<std::uint64_t>(now));
+                              Nanos now, consensus::Heartbeat& heartbeat) const {
+  heartbeat.set_term(term);
+  heartbeat.set_leader(leader);
+  heartbeat.set_stamp(static_cast<std::uint64_t>(now));
   auto found = peers_.find(to);
-  if (found != peers_.end()) word.set_your_stamp(found->second.their_stamp);
+  if (found != peers_.end()) heartbeat.set_your_stamp(found->second.their_stamp);
 }
 
-void LeaderLease::receive(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
-                          consensus::InstanceId leader) {
+void LeaderLease::receive(consensus::InstanceId from, const consensus::Heartbeat& heartbeat,
+                          std::uint64_t term, consensus::InstanceId leader) {
   Peer& peer = peers_[from];
-  peer.their_stamp = std::max(peer.their_stamp, word.stamp());
-  if (word.term() != term) return;
-  if (leader == self_ && word.leader() == self_) {
+  peer.their_stamp = std::max(peer.their_stamp, heartbeat.stamp());
+  if (heartbeat.term() != term) return;
+  if (leader == self_ && heartbeat.leader() == self_) {
     if (peer.echoed_term != term) peer.echoed = 0;
-    peer.echoed = std::max(peer.echoed, word.your_stamp());
+    peer.echoed = std::max(peer.echoed, heartbeat.your_stamp());
     peer.echoed_term = term;
   }
-  if (leader == from && word.leader() == from && word.confirmed()) {
+  if (leader == from && heartbeat.leader() == from && heartbeat.confirmed()) {
     if (peer.confirmed_term != term) peer.confirmed = 0;
-    peer.confirmed = std::max(peer.confirmed, word.your_stamp());
+    peer.confirmed = std::max(peer.confirmed, heartbeat.your_stamp());
     peer.confirmed_term = term;
   }
 }
--- a/src/agreement/leader_lease.h
+++ b/src/agreement/leader_lease.h
@@ -18,9 +18,9 @@
 
   // The stamps of a word to another instance, and whom we follow.
   void fill_stamps(consensus::InstanceId to, std::uint64_t term, consensus::InstanceId leader, Nanos now,
-                   consensus::Heartbeat& word) const;
+                   consensus::Heartbeat& heartbeat) const;
   // A word that came. `term` and `leader` are ours at this moment.
-  void receive(consensus::InstanceId from, const consensus::Heartbeat& word, std::uint64_t term,
+  void receive(consensus::InstanceId from, const consensus::Heartbeat& heartbeat, std::uint64_t term,
                consensus::InstanceId leader);
   void remove(consensus::InstanceId one) { peers_.erase(one); }
 
--- a/src/agreement/maintenance_state.cpp
+++ b/src/agreement/maintenance_state.cpp
@@ -29,32 +29,6 @@
      MaintenancePhase::kSlowStart},  // it had gone all the same
 };
 
-struct ReleaseRule {
-  ReleasePhase phase;
-  ReleaseInput input;
-  ReleasePhase next;
-};
-
-constexpr ReleaseRule kReleaseRules[] = {
-    {PHASE_NONE, RELEASE_START, PHASE_ROLLING},
-    {PHASE_DONE, RELEASE_START, PHASE_ROLLING},
-    {PHASE_ROLLED_BACK, RELEASE_START, PHASE_ROLLING},
-    {PHASE_ROLLING, RELEASE_WAVE_UPDATED, PHASE_SOAKING},
-    {PHASE_SOAKING, RELEASE_NEXT_WAVE, PHASE_ROLLING},
-    {PHASE_SOAKING, RELEASE_FINISH, PHASE_DONE},
-    {PHASE_ROLLING, RELEASE_HALT, PHASE_HALTED},
-    {PHASE_SOAKING, RELEASE_HALT, PHASE_HALTED},
-    {PHASE_HALTED, RELEASE_RESUME, PHASE_ROLLING},
-    {PHASE_HALTED, RELEASE_FINISH, PHASE_DONE},  // left as it is
-    {PHASE_ROLLING, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
-    {PHASE_SOAKING, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
-    {PHASE_HALTED, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
-    {PHASE_ROLLING_BACK, RELEASE_ROLLED_BACK, PHASE_ROLLED_BACK},
-    {PHASE_ROLLING_BACK, RELEASE_HALT, PHASE_ROLLBACK_HALTED},
-    {PHASE_ROLLBACK_HALTED, RELEASE_RESUME, PHASE_ROLLING_BACK},
-    {PHASE_ROLLBACK_HALTED, RELEASE_FINISH, PHASE_ROLLED_BACK},
-};
-
 bool serves(const routing_state::PersistedNode& node) {
   return node.state() == routing_state::stored_name(routing::ServerState::kServing);
 }
@@ -62,29 +36,8 @@
 }  // namespace
 
 const char* name_of(MaintenancePhase phase) {
-  constexpr const char* names[kMaintenancePhases] = {"emptying", "empty", "ordered", "warming", "returning"};
-  return names[static_cast<std::size_t>(phase)];
-}
-
-const char* name_of(ReleasePhase phase) {
-  switch (phase) {
-    case PHASE_ROLLING:
-      return "rolling";
-    case PHASE_SOAKING:
-      return "soaking";
-    case PHASE_HALTED:
-      return "halted";
-    case PHASE_ROLLING_BACK:
-      return "going back";
-    case PHASE_ROLLBACK_HALTED:
-      return "halted on the way back";
-    case PHASE_DONE:
-      return "done";
-    case PHASE_ROLLED_BACK:
-      return "taken back";
-    default:
-      return "none";
-  }
+  constexpr const char* kNames[kMaintenancePhases] = {"emptying", "empty", "ordered", "warming", "returning"};
+  return kNames[static_cast<std::size_t>(phase)];
 }
 
 bool MaintenanceState::has_changes(const Decision& decision) {
@@ -92,7 +45,7 @@
          decision.has_release() || decision.results_size() > 0;
 }
 
-bool MaintenanceState::apply(const Decision& decision, const Around& around) {
+bool MaintenanceState::apply(const Decision& decision, const Context& context) {
   orders_changed_ = false;
   if (decision.has_budgets()) {
     budgets_ = decision.budgets();
@@ -105,22 +58,22 @@
     auto lease = leases_.find(one.node());
     bool ends = !one.wanted() && lease != leases_.end() && lease->second.reason == REASON_DRAIN;
     if (ends && lease->second.is_out_of_rotation())
-      enter(lease->second, MaintenancePhase::kCancelling, around);
+      enter(lease->second, MaintenancePhase::kCancelling, context);
   }
-  if (decision.has_release() && !step(decision.release(), around)) return false;
+  if (decision.has_release() && !step(decision.release(), context)) return false;
   for (const MaintenanceStep& one : decision.trips()) {
-    if (!step(one, around)) return false;
+    if (!step(one, context)) return false;
   }
   // What is shown out from now on is out in this publication.
-  for (const routing_state::NodeRoute& node : around.picture.nodes()) {
+  for (const routing_state::NodeRoute& node : context.snapshot.nodes()) {
     auto lease = leases_.find(node.name());
     if (lease == leases_.end() || lease->second.published_in != 0 || !lease->second.is_out_of_rotation())
       continue;
-    if (node.weight() == 0) lease->second.published_in = around.picture.number();
+    if (node.weight() == 0) lease->second.published_in = context.snapshot.number();
   }
   std::vector<std::string> over;
   for (const auto& [node, lease] : leases_) {
-    if (lease.until <= around.time) over.push_back(node);
+    if (lease.until <= context.time) over.push_back(node);
   }
   for (const std::string& node : over) end(node, "its permit ran out");
   for (const CommandResult& one : decision.results()) {
@@ -133,13 +86,13 @@
 
 // ---- Servers that are out
 
-void MaintenanceState::enter(MaintenanceLease& lease, MaintenancePhase phase, const Around& around) {
+void MaintenanceState::enter(MaintenanceLease& lease, MaintenancePhase phase, const Context& context) {
   if (lease.phase == MaintenancePhase::kRestarting && phase == MaintenancePhase::kCancelling)
-    lease.cancelled_in = around.number;
+    lease.cancelled_in = context.number;
   orders_changed_ = orders_changed_ || lease.phase == MaintenancePhase::kRestarting ||
                     phase == MaintenancePhase::kRestarting;
   lease.phase = phase;
-  lease.since = around.time;
+  lease.since = context.time;
 }
 
 void MaintenanceState::mark_failed(const std::string& node, const std::string& failed) {
@@ -178,22 +131,22 @@
 const Budget* MaintenanceState::exceeded_budget(const std::string& node, const Nodes& nodes) const {
   bool already = is_out(node, nodes);
   auto known = nodes.find(node);
-  bool stuck = known != nodes.end() &&
-               (known->second.state() == routing_state::stored_name(routing::ServerState::kUnhealthy) ||
-                known->second.state() == routing_state::stored_name(routing::ServerState::kUnresponsive));
+  bool unhealthy = known != nodes.end() &&
+                   (known->second.state() == routing_state::stored_name(routing::ServerState::kUnhealthy) ||
+                    known->second.state() == routing_state::stored_name(routing::ServerState::kUnresponsive));
   for (const Budget& budget : budgets_.budgets()) {
     if (std::find(budget.nodes().begin(), budget.nodes().end(), node) == budget.nodes().end()) continue;
     std::uint64_t more = already ? 0 : budget.by_count() ? kOne : capacity_of(node);
-    if (budget.most() == 0 || (!stuck && unavailable_capacity(budget, nodes) + more > budget.most()))
+    if (budget.most() == 0 || (!unhealthy && unavailable_capacity(budget, nodes) + more > budget.most()))
       return &budget;
   }
   return nullptr;
 }
 
-bool MaintenanceState::grant(const MaintenanceStep& step, const Around& around) {
-  auto known = around.nodes.find(step.node());
-  if (leases_.contains(step.node()) || known == around.nodes.end() || step.for_ns() <= 0) return false;
-  if (capacity_of(step.node()) == 0 || exceeded_budget(step.node(), around.nodes)) return false;
+bool MaintenanceState::grant(const MaintenanceStep& step, const Context& context) {
+  auto known = context.nodes.find(step.node());
+  if (leases_.contains(step.node()) || known == context.nodes.end() || step.for_ns() <= 0) return false;
+  if (capacity_of(step.node()) == 0 || exceeded_budget(step.node(), context.nodes)) return false;
   const UpdatedServer* before = updated_server(step.node());
   switch (step.why()) {
     case REASON_DRAIN:
@@ -223,57 +176,70 @@
                           .incarnation = known->second.life(),
                           .published_in = 0,
                           .cancelled_in = 0,
-                          .granted = around.time,
-                          .since = around.time,
-                          .until = around.time + step.for_ns()};
+                          .granted = context.time,
+                          .since = context.time,
+                          .until = context.time + step.for_ns()};
   return true;
 }
 
-bool MaintenanceState::step(const MaintenanceStep& step, const Around& around) {
-  if (step.input() == MAINTENANCE_GRANT) return grant(step, around);
+bool MaintenanceState::step(const MaintenanceStep& step, const Context& context) {
+  if (step.input() == MAINTENANCE_GRANT) return grant(step, context);
   auto found = leases_.find(step.node());
   if (found == leases_.end()) return false;
   MaintenanceLease& lease = found->second;
-  auto known = around.nodes.find(step.node());
-  std::uint64_t incarnation = known == around.nodes.end() ? 0 : known->second.life();
-  bool serving = known != around.nodes.end() && serves(known->second);
   switch (step.input()) {
     case MAINTENANCE_EXTEND:
       if (step.for_ns() <= 0) return false;
-      lease.until = around.time + step.for_ns();
+      lease.until = context.time + step.for_ns();
       return true;
     case MAINTENANCE_FAIL:
       end(step.node(), step.reason());
       return true;
-    case MAINTENANCE_COMPLETE: {
-      bool stayed = lease.phase == MaintenancePhase::kCancelling && incarnation == lease.incarnation;
-      if (!serving || !(stayed || lease.phase == MaintenancePhase::kSlowStart)) return false;
+    case MAINTENANCE_COMPLETE:
+      if (!may_complete(step.node(), lease, context)) return false;
       end(step.node(), "");
       return true;
-    }
-    case MAINTENANCE_DRAINED:
-      if (lease.published_in == 0 || around.applied < lease.published_in) return false;
+    default:
       break;
+  }
+  if (!may_change_phase(step, lease, context)) return false;
+  if (step.input() == MAINTENANCE_CANCEL && !step.reason().empty() && lease.reason != REASON_DRAIN)
+    mark_failed(step.node(), step.reason());
+  for (const MaintenanceRule& rule : kMaintenanceRules) {
+    if (rule.phase != lease.phase || rule.input != step.input()) continue;
+    enter(lease, rule.next, context);
+    return true;
+  }
+  return false;
+}
+
+// In service again, either after its restart or without one.
+bool MaintenanceState::may_complete(const std::string& node, const MaintenanceLease& lease,
+                                    const Context& context) {
+  auto known = context.nodes.find(node);
+  if (known == context.nodes.end() || !serves(known->second)) return false;
+  bool same_incarnation = known->second.life() == lease.incarnation;
+  return lease.phase == MaintenancePhase::kSlowStart ||
+         (lease.phase == MaintenancePhase::kCancelling && same_incarnation);
+}
+
+bool MaintenanceState::may_change_phase(const MaintenanceStep& step, const MaintenanceLease& lease,
+                                        const Context& context) {
+  auto known = context.nodes.find(step.node());
+  std::uint64_t incarnation = known == context.nodes.end() ? 0 : known->second.life();
+  switch (step.input()) {
+    case MAINTENANCE_DRAINED:
+      return lease.published_in != 0 && context.applied >= lease.published_in;
     case MAINTENANCE_RESTART:
-      if (lease.reason == REASON_DRAIN || incarnation != lease.incarnation) return false;
-      break;
+      return lease.reason != REASON_DRAIN && incarnation == lease.incarnation;
     case MAINTENANCE_RESTARTED:
       if (incarnation == lease.incarnation) return false;
-      if (lease.phase == MaintenancePhase::kRestarting && known->second.version() != lease.version)
-        return false;
-      break;
+      return lease.phase != MaintenancePhase::kRestarting || known->second.version() == lease.version;
     case MAINTENANCE_CANCEL:
-      if (!step.reason().empty() && lease.reason != REASON_DRAIN) mark_failed(step.node(), step.reason());
-      break;
+      return true;
     default:
       return false;
   }
-  for (const MaintenanceRule& rule : kMaintenanceRules) {
-    if (rule.phase != lease.phase || rule.input != step.input()) continue;
-    enter(lease, rule.next, around);
-    return true;
-  }
-  return false;
 }
 
 std::set<std::string> MaintenanceState::out_for_maintenance() const {
@@ -284,59 +250,6 @@
   return out;
 }
 
-// ---- A release
-
-const UpdatedServer* MaintenanceState::updated_server(const std::string& node) const {
-  for (const UpdatedServer& one : release_.taken()) {
-    if (one.node() == node) return &one;
-  }
-  return nullptr;
-}
-
-// At once, also those that have their order: a later one says that they may stay.
-void MaintenanceState::call_back(MaintenanceReason reason, const Around& around) {
-  for (auto& [node, lease] : leases_) {
-    if (lease.reason == reason && lease.is_out_of_rotation())
-      enter(lease, MaintenancePhase::kCancelling, around);
-  }
-}
-
-bool MaintenanceState::step(const ReleaseStep& step, const Around& around) {
-  for (const ReleaseRule& rule : kReleaseRules) {
-    if (rule.phase != release_.phase() || rule.input != step.input()) continue;
-    switch (step.input()) {
-      case RELEASE_START: {
-        if (step.plan().waves_size() == 0) return false;
-        std::uint64_t id = release_.id() + 1;
-        release_.Clear();
-        release_.set_id(id);
-        *release_.mutable_plan() = step.plan();
-        release_.set_started_ns(around.time);
-        break;
-      }
-      case RELEASE_NEXT_WAVE:
-        release_.set_wave(release_.wave() + 1);
-        break;
-      case RELEASE_HALT:
-        call_back(rule.phase == PHASE_ROLLING_BACK ? REASON_ROLLBACK : REASON_RELEASE, around);
-        break;
-      case RELEASE_ROLL_BACK:
-        call_back(REASON_RELEASE, around);
-        [[fallthrough]];
-      case RELEASE_RESUME:
-        for (UpdatedServer& one : *release_.mutable_taken()) one.clear_failed();
-        break;
-      default:
-        break;
-    }
-    release_.set_phase(rule.next);
-    release_.set_since_ns(around.time);
-    release_.set_reason(step.reason());
-    return true;
-  }
-  return false;
-}
-
 const CommandResult* MaintenanceState::result(std::uint64_t id) const {
   for (const CommandResult& one : results_) {
     if (one.id() == id) return &one;
@@ -344,47 +257,4 @@
   return nullptr;
 }
 
-// ---- As bytes
-
-void MaintenanceState::fill(MaintenanceImage& out) const {
-  *out.mutable_budgets() = budgets_;
-  for (const auto& [node, lease] : leases_) {
-    MaintenanceLeaseRecord& to = *out.add_trips();
-    to.set_node(node);
-    to.set_place(static_cast<std::uint32_t>(lease.phase));
-    to.set_why(lease.reason);
-    to.set_version(lease.version);
-    to.set_life(lease.incarnation);
-    to.set_shown_in(lease.published_in);
-    to.set_recalled(lease.cancelled_in);
-    to.set_granted_ns(lease.granted);
-    to.set_since_ns(lease.since);
-    to.set_until_ns(lease.until);
-  }
-  for (const std::string& node : drains_) out.add_drains(node);
-  *out.mutable_release() = release_;
-  for (const CommandResult& one : results_) *out.add_results() = one;
-}
-
-bool MaintenanceState::restore(const MaintenanceImage& in) {
-  budgets_ = in.budgets();
-  for (const Capacity& one : budgets_.capacities()) capacities_[one.node()] = one.capacity();
-  for (const MaintenanceLeaseRecord& lease : in.trips()) {
-    if (lease.place() >= kMaintenancePhases) return false;
-    leases_[lease.node()] = {.phase = static_cast<MaintenancePhase>(lease.place()),
-                             .reason = lease.why(),
-                             .version = lease.version(),
-                             .incarnation = lease.life(),
-                             .published_in = lease.shown_in(),
-                             .cancelled_in = lease.recalled(),
-                             .granted = lease.granted_ns(),
-                             .since = lease.since_ns(),
-                             .until = lease.until_ns()};
-  }
-  drains_.insert(in.drains().begin(), in.drains().end());
-  release_ = in.release();
-  results_.assign(in.results().begin(), in.results().end());
-  return true;
-}
-
 }  // namespace myrtlecroft::agreement
--- a/src/agreement/maintenance_state.h
+++ b/src/agreement/maintenance_state.h
@@ -50,15 +50,15 @@
  public:
   using Nodes = std::map<std::string, routing_state::PersistedNode>;
   // What else is agreed, as the decision leaves it.
-  struct Around {
+  struct Context {
     const Nodes& nodes;
-    const routing_state::Snapshot& picture;
+    const routing_state::Snapshot& snapshot;
     std::uint64_t applied = 0;  // the publication that all proxies have
     Nanos time = 0;
     std::uint64_t number = 0;  // of the decision
   };
   // False: some step breaks a rule, and what is left in here is of no use.
-  bool apply(const Decision& decision, const Around& around);
+  bool apply(const Decision& decision, const Context& context);
   static bool has_changes(const Decision& decision);
 
   void fill(MaintenanceImage& out) const;
@@ -89,11 +89,14 @@
   bool orders_changed() const { return orders_changed_; }
 
  private:
-  bool step(const MaintenanceStep& step, const Around& around);
-  bool grant(const MaintenanceStep& step, const Around& around);
-  bool step(const ReleaseStep& step, const Around& around);
-  void enter(MaintenanceLease& lease, MaintenancePhase phase, const Around& around);
-  void call_back(MaintenanceReason reason, const Around& around);
+  bool step(const MaintenanceStep& step, const Context& context);
+  bool grant(const MaintenanceStep& step, const Context& context);
+  static bool may_complete(const std::string& node, const MaintenanceLease& lease, const Context& context);
+  static bool may_change_phase(const MaintenanceStep& step, const MaintenanceLease& lease,
+                               const Context& context);
+  bool step(const ReleaseStep& step, const Context& context);
+  void enter(MaintenanceLease& lease, MaintenancePhase phase, const Context& context);
+  void cancel_leases(MaintenanceReason reason, const Context& context);
   void end(const std::string& node, const std::string& failed);
   void mark_failed(const std::string& node, const std::string& failed);
   std::uint64_t capacity_of(const std::string& node) const;
--- a/src/agreement/proposal.cpp
+++ b/src/agreement/proposal.cpp
@@ -13,7 +13,7 @@
 using routing::Shard;
 using routing::ShardState;
 
-constexpr double kWeightWorthAgreeing = 0.05;  // it is for the next leader to start from, not to be followed
+constexpr double kMinWeightChange = 0.05;  // it is for the next leader to start from, not to be followed
 
 // By which step one state follows from another; none where none leads there.
 ShardTransition step_between(const Shard& from, const Shard& to) {
@@ -35,7 +35,7 @@
   return STEP_NONE;
 }
 
-void draft_shards(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
+void propose_shards(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
   const std::vector<Shard>& wanted = leading.router->shards().all();
   bool begins = agreed.shards().size() != wanted.size();
   if (begins) {
@@ -56,7 +56,7 @@
   }
 }
 
-void draft_nodes(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
+void propose_servers(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
   const routing::ServerRegistry& members = leading.router->registry();
   for (const routing::ServerStatus& server : members.all()) {
     auto known = agreed.nodes().find(server.node.name);
@@ -64,7 +64,7 @@
     bool same = known != agreed.nodes().end() && known->second.state() == state &&
                 known->second.life() == server.incarnation && known->second.flaps() == server.flaps &&
                 (known->second.version() == server.version || leading.format < kMaintenanceFormat) &&
-                std::abs(known->second.weight() - server.weight) < kWeightWorthAgreeing;
+                std::abs(known->second.weight() - server.weight) < kMinWeightChange;
     if (same) continue;
     *out.add_nodes() = routing_state::to_proto(routing::PersistedState::Node{
         server.node.name, server.state, server.incarnation, server.weight, server.flaps,
@@ -76,7 +76,7 @@
 }
 
 // Both are in order, and walked through once.
-void draft_proxies(const ReplicatedState& agreed, const std::set<std::string>& here, Decision& out) {
+void propose_proxies(const ReplicatedState& agreed, const std::set<std::string>& here, Decision& out) {
   auto known = agreed.proxies().begin();
   const auto end = agreed.proxies().end();
   auto pass = [&] {
@@ -109,7 +109,7 @@
   auto before = by_instance_.find(by);
   if (before != by_instance_.end() && say_the_same(before->second.words, proxies)) return refresh(by, now);
   ++revision_;
-  Told next{.at = now, .words = proxies, .proxies = {}};
+  ReceivedList next{.at = now, .words = proxies, .proxies = {}};
   for (const consensus::ProxyStatus& proxy : proxies) next.proxies[proxy.id()] = proxy;
   for (const auto& [id, was] : by_instance_[by].proxies) {
     auto found = next.proxies.find(id);
@@ -120,8 +120,8 @@
 
 ProxyRegistry::Basis ProxyRegistry::basis(const ReplicatedState& agreed, Nanos now) const {
   Basis out{.revision = revision_, .proxies_epoch = agreed.proxies_epoch(), .fresh = {}};
-  for (const auto& [instance, told] : by_instance_) {
-    if (now - told.at <= fresh_for_) out.fresh.push_back(instance);
+  for (const auto& [instance, received] : by_instance_) {
+    if (now - received.at <= fresh_for_) out.fresh.push_back(instance);
   }
   return out;
 }
@@ -137,14 +137,14 @@
 
 std::uint64_t ProxyRegistry::min_applied(const ReplicatedState& agreed, Nanos now) const {
   std::uint64_t out = std::numeric_limits<std::uint64_t>::max();
-  for (const auto& [id, gone] : agreed.proxies()) {
+  for (const auto& [id, gone_since] : agreed.proxies()) {
     // The least that those say who have it; of fresh words, else of old ones.
     std::optional<std::uint64_t> fresh;
     std::optional<std::uint64_t> old;
-    for (const auto& [instance, told] : by_instance_) {
-      auto found = told.proxies.find(id);
-      if (found == told.proxies.end() || !found->second.here()) continue;
-      std::optional<std::uint64_t>& min = now - told.at <= fresh_for_ ? fresh : old;
+    for (const auto& [instance, received] : by_instance_) {
+      auto found = received.proxies.find(id);
+      if (found == received.proxies.end() || !found->second.here()) continue;
+      std::optional<std::uint64_t>& min = now - received.at <= fresh_for_ ? fresh : old;
       min = min ? std::min(*min, found->second.applied()) : found->second.applied();
     }
     auto last = last_.find(id);
@@ -158,8 +158,8 @@
   if (here_of_ == revision_) return here_;
   here_of_ = revision_;
   here_.clear();
-  for (const auto& [instance, told] : by_instance_) {
-    for (const auto& [id, proxy] : told.proxies) {
+  for (const auto& [instance, received] : by_instance_) {
+    for (const auto& [id, proxy] : received.proxies) {
       if (proxy.here()) here_.insert(id);
     }
   }
@@ -174,22 +174,22 @@
   if (window != agreed.window()) out.set_window_ns(window);
   if (fleet.bounds.forget_proxies != agreed.forget_proxies())
     out.set_forget_proxies_ns(fleet.bounds.forget_proxies);
-  draft_nodes(agreed, leading, out);
-  draft_shards(agreed, leading, out);
+  propose_servers(agreed, leading, out);
+  propose_shards(agreed, leading, out);
   out.set_applied(leading.applied);
   bool begins_anew = out.begin_shards() > 0 && !out.first_start();
   if (leading.next && !begins_anew) {
     *out.mutable_picture() = routing_state::to_proto(leading.next->snapshot);
     out.mutable_picture()->set_number(leading.next->number);
   }
-  draft_proxies(agreed, leading.proxies->here(), out);
-  for (const auto& [id, said] : leading.instances) {
+  propose_proxies(agreed, leading.proxies->here(), out);
+  for (const auto& [id, reported] : leading.instances) {
     auto known = agreed.instances().find(id);
-    if (known != agreed.instances().end() && known->second == said) continue;
-    InstanceRecord& word = *out.add_instances();
-    word.set_id(id);
-    word.set_format(said.format);
-    word.set_settings(said.settings);
+    if (known != agreed.instances().end() && known->second == reported) continue;
+    InstanceRecord& record = *out.add_instances();
+    record.set_id(id);
+    record.set_format(reported.format);
+    record.set_settings(reported.settings);
   }
   for (const auto& [id, known] : agreed.instances()) {
     if (!leading.members.contains(id)) out.add_instances_gone(id);
--- a/src/agreement/proposal.h
+++ b/src/agreement/proposal.h
@@ -39,10 +39,10 @@
   const std::set<std::string>& here();
 
  private:
-  using Words = google::protobuf::RepeatedPtrField<consensus::ProxyStatus>;
-  struct Told {
+  using ProxyStatuses = google::protobuf::RepeatedPtrField<consensus::ProxyStatus>;
+  struct ReceivedList {
     Nanos at = 0;
-    Words words;  // as they came
+    ProxyStatuses words;  // as they came
     std::map<std::string, consensus::ProxyStatus> proxies;
   };
   // What the least of all proxies was found from: it is the same for as long as this is.
@@ -57,7 +57,7 @@
   std::uint64_t min_applied(const ReplicatedState& agreed, Nanos now) const;
 
   Nanos fresh_for_;
-  std::map<consensus::InstanceId, Told> by_instance_;
+  std::map<consensus::InstanceId, ReceivedList> by_instance_;
   std::map<std::string, std::uint64_t> last_;  // applied, of those who left
   std::uint64_t revision_ = 1;                 // grows with each word that says something else than before
   Basis min_of_;
--- a/src/agreement/replicated_state.cpp
+++ b/src/agreement/replicated_state.cpp
@@ -31,9 +31,9 @@
 }  // namespace
 
 const char* name_of(ApplyResult verdict) {
-  constexpr const char* names[] = {"taken",   "old basis", "old term", "time",       "shards",
-                                   "picture", "outings",   "proxies",  "unreadable", "newer"};
-  return names[static_cast<std::size_t>(verdict)];
+  constexpr const char* kNames[] = {"taken",   "old basis", "old term", "time",       "shards",
+                                    "picture", "outings",   "proxies",  "unreadable", "newer"};
+  return kNames[static_cast<std::size_t>(verdict)];
 }
 
 ApplyResult ReplicatedState::apply(std::string_view entry) {
@@ -64,121 +64,140 @@
   epoch_ = {decision.term(), epoch_.number + 1};
   form_ = std::max(form_, decision.format());
   time_ += decision.elapsed_ns();
-  // A longer window holds for what cools already; so does a shorter one, as what it was made for is over.
+  // A longer window holds for shards in quarantine too; so does a shorter one, as its reason is over.
   if (decision.window_ns() > 0) window_ = decision.window_ns();
   if (decision.forget_proxies_ns() > 0) forget_proxies_ = decision.forget_proxies_ns();
-  bool incarnations = std::any_of(decision.nodes().begin(), decision.nodes().end(),
-                                  [&](const routing_state::PersistedNode& node) {
-                                    auto known = nodes_.find(node.name());
-                                    return known == nodes_.end() || known->second.life() != node.life();
-                                  });
-  if (incarnations || decision.begin_shards() > 0 || decision.shards_size() > 0) owners_epoch_ = epoch_;
+  apply_servers(decision);
+  if (!apply_shards(decision)) return ApplyResult::kInvalidShards;
+  if (!apply_snapshot(decision)) return ApplyResult::kInvalidSnapshot;
+  if (!apply_proxies(decision)) return ApplyResult::kInvalidProxies;
+  if (!apply_maintenance(decision)) return ApplyResult::kInvalidMaintenance;
+  for (const InstanceRecord& one : decision.instances())
+    instances_[one.id()] = {one.format(), one.settings()};
+  for (std::uint64_t id : decision.instances_gone()) instances_.erase(id);
+  return ApplyResult::kApplied;
+}
+
+void ReplicatedState::apply_servers(const Decision& decision) {
+  bool new_incarnations = std::any_of(decision.nodes().begin(), decision.nodes().end(),
+                                      [&](const routing_state::PersistedNode& node) {
+                                        auto known = nodes_.find(node.name());
+                                        return known == nodes_.end() || known->second.life() != node.life();
+                                      });
+  if (new_incarnations || decision.begin_shards() > 0 || decision.shards_size() > 0) owners_epoch_ = epoch_;
   for (const routing_state::PersistedNode& node : decision.nodes()) nodes_[node.name()] = node;
   for (const std::string& name : decision.nodes_gone()) nodes_.erase(name);
+}
 
-  if (decision.begin_shards() > kMaxShards) return ApplyResult::kInvalidShards;
+bool ReplicatedState::apply_shards(const Decision& decision) {
+  if (decision.begin_shards() > kMaxShards) return false;
   if (decision.begin_shards() > 0) {
-    // What ran where is not known, unless nothing ever ran.
-    if (decision.first_start() && epoch_.number != 1) return ApplyResult::kInvalidShards;
+    // Where keys ran is not known, unless nothing ever ran.
+    if (decision.first_start() && epoch_.number != 1) return false;
     Shard unknown;
     unknown.state = decision.first_start() ? ShardState::kQuarantined : ShardState::kClosing;
     unknown.since = time_;
     shards_.assign(decision.begin_shards(), unknown);
   }
-  for (const ShardStep& step : decision.shards()) {
-    if (ApplyResult verdict = step_shard(step, decision); verdict != ApplyResult::kApplied) return verdict;
-  }
+  return std::all_of(decision.shards().begin(), decision.shards().end(),
+                     [&](const ShardStep& step) { return apply_shard_step(step, decision); });
+}
+
+bool ReplicatedState::apply_snapshot(const Decision& decision) {
   if (decision.has_picture()) {
-    if (decision.picture().number() != picture_->number() + 1) return ApplyResult::kInvalidSnapshot;
-    if (!shows_what_is_agreed(decision.picture())) return ApplyResult::kInvalidSnapshot;
-    picture_ = std::make_shared<const routing_state::Snapshot>(decision.picture());
+    if (decision.picture().number() != snapshot_->number() + 1) return false;
+    if (!matches_agreed_owners(decision.picture())) return false;
+    snapshot_ = std::make_shared<const routing_state::Snapshot>(decision.picture());
   }
-  // What is closed in what is served from now on is closed in this publication.
+  // A shard that is closed in the published snapshot from now on is closed in this publication.
   for (std::size_t at = 0; at < shards_.size(); ++at) {
     Shard& shard = shards_[at];
-    bool shown = at < static_cast<std::size_t>(picture_->shards_size());
-    if (shard.state == ShardState::kClosing && shard.closed_in == 0 && shown &&
-        picture_->shards(static_cast<int>(at)) == routing::kClosed) {
-      shard.closed_in = picture_->number();
+    bool published = at < static_cast<std::size_t>(snapshot_->shards_size());
+    if (shard.state == ShardState::kClosing && shard.closed_in == 0 && published &&
+        snapshot_->shards(static_cast<int>(at)) == routing::kClosed) {
+      shard.closed_in = snapshot_->number();
     }
   }
+  return true;
+}
 
+bool ReplicatedState::apply_proxies(const Decision& decision) {
   for (const std::string& id : decision.proxies_here()) proxies_[id] = kConnected;
   for (const std::string& id : decision.proxies_gone()) {
     auto found = proxies_.find(id);
-    if (found == proxies_.end()) return ApplyResult::kInvalidProxies;
+    if (found == proxies_.end()) return false;
     if (found->second == kConnected) found->second = time_;
   }
-  // Forgotten by agreed time, the same on every instance.
+  // Forgotten by agreed time, the same on every replica.
   std::size_t forgotten = std::erase_if(proxies_, [&](const auto& one) {
     return one.second != kConnected && forget_proxies_ > 0 && time_ - one.second >= forget_proxies_;
   });
   if (decision.proxies_here_size() > 0 || decision.proxies_gone_size() > 0 || forgotten > 0)
     proxies_epoch_ = epoch_;
+  return true;
+}
 
-  if (MaintenanceState::has_changes(decision) && decision.format() < kMaintenanceFormat)
-    return ApplyResult::kInvalidMaintenance;
-  if (!maintenance_.apply(decision, {nodes_, *picture_, decision.applied(), time_, epoch_.number}))
-    return ApplyResult::kInvalidMaintenance;
+bool ReplicatedState::apply_maintenance(const Decision& decision) {
+  if (MaintenanceState::has_changes(decision) && decision.format() < kMaintenanceFormat) return false;
+  if (!maintenance_.apply(decision, {nodes_, *snapshot_, decision.applied(), time_, epoch_.number}))
+    return false;
   if (maintenance_.orders_changed()) owners_epoch_ = epoch_;
-  for (const InstanceRecord& one : decision.instances())
-    instances_[one.id()] = {one.format(), one.settings()};
-  for (std::uint64_t id : decision.instances_gone()) instances_.erase(id);
-  return ApplyResult::kApplied;
+  return true;
 }
 
-ApplyResult ReplicatedState::step_shard(const ShardStep& step, const Decision& decision) {
-  if (step.shard() >= shards_.size()) return ApplyResult::kInvalidShards;
+bool ReplicatedState::apply_shard_step(const ShardStep& step, const Decision& decision) {
+  if (step.shard() >= shards_.size()) return false;
   Shard& shard = shards_[step.shard()];
   for (const ShardRule& rule : kShardRules) {
     if (rule.state != shard.state || rule.step != step.step()) continue;
-    switch (rule.step) {
-      case STEP_SET_INCARNATION:
-        if (shard.incarnation != 0 || step.life() == 0) return ApplyResult::kInvalidShards;
-        shard.incarnation = step.life();
-        return ApplyResult::kApplied;  // since when it is owned stays
-      case STEP_CLOSE:
-        shard.closed_in = 0;
-        shard.migrating = step.moves();
-        break;
-      case STEP_REOPEN:
-        // Who ran its keys goes on with them: nobody else did meanwhile.
-        if (shard.owner.empty() || shard.migrating || step.owner() != shard.owner ||
-            step.life() != shard.incarnation) {
-          return ApplyResult::kInvalidShards;
-        }
-        shard.closed_in = 0;
-        break;
-      case STEP_QUARANTINE:
-        if (shard.closed_in == 0 || decision.applied() < shard.closed_in) return ApplyResult::kInvalidShards;
-        break;
-      case STEP_ASSIGN: {
-        bool first = epoch_.number == 1 && decision.first_start();
-        if (step.owner().empty() || (!first && time_ - shard.since < window_))
-          return ApplyResult::kInvalidShards;
-        shard.owner = step.owner();
-        shard.incarnation = step.life();
-        shard.closed_in = 0;
-        shard.migrating = false;
-        break;
-      }
-      default:
-        return ApplyResult::kInvalidShards;
-    }
+    if (!take_shard_step(step, decision, shard)) return false;
+    if (rule.step == STEP_SET_INCARNATION) return true;  // the time since when it is owned stays
     shard.state = rule.next;
     shard.since = time_;
-    return ApplyResult::kApplied;
+    return true;
+  }
+  return false;
+}
+
+bool ReplicatedState::take_shard_step(const ShardStep& step, const Decision& decision, Shard& shard) const {
+  switch (step.step()) {
+    case STEP_SET_INCARNATION:
+      if (shard.incarnation != 0 || step.life() == 0) return false;
+      shard.incarnation = step.life();
+      return true;
+    case STEP_CLOSE:
+      shard.closed_in = 0;
+      shard.migrating = step.moves();
+      return true;
+    case STEP_REOPEN:
+      // Its owner goes on with its keys: no other server ran them meanwhile.
+      if (shard.owner.empty() || shard.migrating) return false;
+      if (step.owner() != shard.owner || step.life() != shard.incarnation) return false;
+      shard.closed_in = 0;
+      return true;
+    case STEP_QUARANTINE:
+      return shard.closed_in != 0 && decision.applied() >= shard.closed_in;
+    case STEP_ASSIGN: {
+      bool first = epoch_.number == 1 && decision.first_start();
+      if (step.owner().empty() || (!first && time_ - shard.since < window_)) return false;
+      shard.owner = step.owner();
+      shard.incarnation = step.life();
+      shard.closed_in = 0;
+      shard.migrating = false;
+      return true;
+    }
+    default:
+      return false;
   }
-  return ApplyResult::kInvalidShards;
 }
 
-bool ReplicatedState::shows_what_is_agreed(const routing_state::Snapshot& picture) const {
-  if (static_cast<std::size_t>(picture.shards_size()) != shards_.size()) return false;
+bool ReplicatedState::matches_agreed_owners(const routing_state::Snapshot& snapshot) const {
+  if (static_cast<std::size_t>(snapshot.shards_size()) != shards_.size()) return false;
   for (std::size_t at = 0; at < shards_.size(); ++at) {
-    int owner = picture.shards(static_cast<int>(at));
+    int owner = snapshot.shards(static_cast<int>(at));
     if (owner == routing::kClosed) continue;
-    if (owner < 0 || owner >= picture.nodes_size()) return false;
-    if (shards_[at].state != ShardState::kOwned || shards_[at].owner != picture.nodes(owner).name())
+    if (owner < 0 || owner >= snapshot.nodes_size()) return false;
+    if (shards_[at].state != ShardState::kOwned || shards_[at].owner != snapshot.nodes(owner).name())
       return false;
   }
   return true;
@@ -204,10 +223,10 @@
     to.set_closed_in(shard.closed_in);
     to.set_moves(shard.migrating);
   }
-  *out.mutable_picture() = *picture_;
-  for (const auto& [id, gone] : proxies_) {
+  *out.mutable_picture() = *snapshot_;
+  for (const auto& [id, gone_since] : proxies_) {
     out.add_proxies()->set_id(id);
-    out.mutable_proxies()->rbegin()->set_gone_since_ns(gone);
+    out.mutable_proxies()->rbegin()->set_gone_since_ns(gone_since);
   }
   if (form_ >= kMaintenanceFormat) maintenance_.fill(*out.mutable_outings());
   for (const auto& [id, instance] : instances_) {
@@ -240,7 +259,7 @@
                            .closed_in = shard.closed_in(),
                            .migrating = shard.moves()});
   }
-  out.picture_ = std::make_shared<const routing_state::Snapshot>(in.picture());
+  out.snapshot_ = std::make_shared<const routing_state::Snapshot>(in.picture());
   for (const ProxyState& proxy : in.proxies()) out.proxies_[proxy.id()] = proxy.gone_since_ns();
   if (!out.maintenance_.restore(in.outings())) return false;
   for (const InstanceRecord& one : in.instances()) out.instances_[one.id()] = {one.format(), one.settings()};
--- a/src/agreement/replicated_state.h
+++ b/src/agreement/replicated_state.h
@@ -69,8 +69,8 @@
   Nanos forget_proxies() const { return forget_proxies_; }
   const std::vector<routing::Shard>& shards() const { return shards_; }
   std::size_t closed_shards() const;  // shards that nobody may run
-  const routing_state::Snapshot& snapshot() const { return *picture_; }
-  std::uint64_t published() const { return picture_->number(); }
+  const routing_state::Snapshot& snapshot() const { return *snapshot_; }
+  std::uint64_t published() const { return snapshot_->number(); }
   const std::map<std::string, routing_state::PersistedNode>& nodes() const { return nodes_; }
   const std::map<std::string, Nanos>& proxies() const { return proxies_; }  // since when gone, or kConnected
   Epoch proxies_epoch() const { return proxies_epoch_; }  // the last that changed proxies(), or a later one
@@ -84,8 +84,15 @@
 
  private:
   ApplyResult check_and_apply(const Decision& decision);
-  ApplyResult step_shard(const ShardStep& step, const Decision& decision);
-  bool shows_what_is_agreed(const routing_state::Snapshot& picture) const;
+  // Parts of it, in this order. False where that part of the decision is invalid.
+  void apply_servers(const Decision& decision);
+  bool apply_shards(const Decision& decision);
+  bool apply_snapshot(const Decision& decision);
+  bool apply_proxies(const Decision& decision);
+  bool apply_maintenance(const Decision& decision);
+  bool apply_shard_step(const ShardStep& step, const Decision& decision);
+  bool take_shard_step(const ShardStep& step, const Decision& decision, routing::Shard& shard) const;
+  bool matches_agreed_owners(const routing_state::Snapshot& snapshot) const;
 
   std::uint32_t knows_;
   std::uint32_t form_ = 1;  // the newest of what was agreed: an image is of no newer one
@@ -97,7 +104,8 @@
   std::map<std::string, routing_state::PersistedNode> nodes_;
   std::vector<routing::Shard> shards_;
   // Shared: a decision is tried on a copy of the state, and most leave the snapshot as it is.
-  std::shared_ptr<const routing_state::Snapshot> picture_ = std::make_shared<const routing_state::Snapshot>();
+  std::shared_ptr<const routing_state::Snapshot> snapshot_ =
+      std::make_shared<const routing_state::Snapshot>();
   std::map<std::string, Nanos> proxies_;
   Epoch proxies_epoch_;
   MaintenanceState maintenance_;
--- a/src/control/admin_names.cpp
+++ b/src/control/admin_names.cpp
@@ -6,8 +6,8 @@
 namespace myrtlecroft::control {
 
 const char* name_of(Mode mode) {
-  constexpr std::array names = {"serving", "stalled", "trial", "leaving"};
-  return names.at(static_cast<std::size_t>(mode));
+  constexpr std::array kNames = {"serving", "stalled", "trial", "leaving"};
+  return kNames.at(static_cast<std::size_t>(mode));
 }
 
 const char* name_of(agreement::MaintenanceReason reason) {
--- a/src/control/admin_query.cpp
+++ b/src/control/admin_query.cpp
@@ -21,7 +21,7 @@
 };
 
 const std::vector<TopicRule>& topic_rules() {
-  static const std::vector<TopicRule> rules = {
+  static const std::vector<TopicRule> kRules = {
       {"nodes", Topic::kServers, {"zone", "state", "name", "page"}},
       {"proxies", Topic::kProxies, {"zone", "name", "page"}},
       {"snapshot", Topic::kSnapshot, {"zone", "state", "name", "page"}},
@@ -29,7 +29,7 @@
       {"outings", Topic::kMaintenance, {"name", "page"}},
       {"release status", Topic::kReleaseStatus, {"page"}},
   };
-  return rules;
+  return kRules;
 }
 
 const TopicRule* find_rule(std::string_view line) {
--- a/src/xds/resource_builder.cpp
+++ b/src/xds/resource_builder.cpp
@@ -100,7 +100,8 @@
   // All that routes by owner are made from, beside their group.
   bool find_same_owners() const {
     return old_ && placements_.same_places() && old_->snapshot.shards == from_.shards &&
-           old_->snapshot.shard_digits == from_.shard_digits && old_->snapshot.closed_retry_after == from_.closed_retry_after;
+           old_->snapshot.shard_digits == from_.shard_digits &&
+           old_->snapshot.closed_retry_after == from_.closed_retry_after;
   }
   bool same_routes_of(std::size_t at) const {
     const RequestClassRoute* old = old_class(at);
--- a/src/xds/route_messages.cpp
+++ b/src/xds/route_messages.cpp
@@ -86,7 +86,8 @@
     }
     retry.set_retry_on(on);
     retry.mutable_num_retries()->set_value(static_cast<std::uint32_t>(rule.retries));
-    if (rule.per_attempt_timeout > 0) set_duration(*retry.mutable_per_try_timeout(), rule.per_attempt_timeout);
+    if (rule.per_attempt_timeout > 0)
+      set_duration(*retry.mutable_per_try_timeout(), rule.per_attempt_timeout);
     set_duration(*retry.mutable_retry_back_off()->mutable_base_interval(), rule.backoff_min);
     set_duration(*retry.mutable_retry_back_off()->mutable_max_interval(), rule.backoff_max);
   }
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -37,10 +37,10 @@
 
 constexpr int kHealth = 9;  // the request's number
 
-struct EndingStory : FrontStory {
-  explicit EndingStory(const peers::SlowClientOptions& options = {})
-      : FrontStory(64, 4'000'000, options, 1'000'000) {}
-  ~EndingStory() override {
+struct ConnectionEndingTest : FastCgiServerTest {
+  explicit ConnectionEndingTest(const peers::SlowClientOptions& options = {})
+      : FastCgiServerTest(64, 4'000'000, options, 1'000'000) {}
+  ~ConnectionEndingTest() override {
     g_before_accept = nullptr;
     g_after_last_accept = nullptr;
   }
@@ -65,7 +65,7 @@
 // ---- The listener
 
 // Every error of accept was taken for an empty backlog: callers in it were reset with the listener.
-struct AcceptErrors : EndingStory, testing::WithParamInterface<int> {};
+struct AcceptErrors : ConnectionEndingTest, testing::WithParamInterface<int> {};
 
 TEST_P(AcceptErrors, OnTheWayOutThoseInTheBacklogAreAnswered) {
   Plain peer = connected_unturned();
@@ -84,7 +84,7 @@
                          testing::Values(EMFILE, ENFILE, ENOBUFS, EINTR, ECONNABORTED, EPROTO));
 
 // A caller that came in after the last accept was reset by the close, its request written.
-TEST_F(EndingStory, NobodyIsLetInBetweenTheLastAcceptAndTheClose) {
+TEST_F(ConnectionEndingTest, NobodyIsLetInBetweenTheLastAcceptAndTheClose) {
   Plain late;
   bool let_in = false;
   g_after_last_accept = [&] {
@@ -104,7 +104,7 @@
 }
 
 // Where fewer descriptors are to be had than was told, callers that rest kept all others out for good.
-TEST_F(EndingStory, OutOfDescriptorsThoseThatRestGiveWay) {
+TEST_F(ConnectionEndingTest, OutOfDescriptorsThoseThatRestGiveWay) {
   std::vector<Plain> resting;
   for (int i = 0; i < 4; ++i) {
     resting.push_back(connected());
@@ -123,7 +123,7 @@
 
 // ---- Connections
 
-TEST_F(EndingStory, ACallerSlowToCloseMeetsNoReset) {
+TEST_F(ConnectionEndingTest, ACallerSlowToCloseMeetsNoReset) {
   Plain peer = connected();
   peer.write(health(0));
   turn(300 * kMs);  // our end is there since long, and it is still busy sending
@@ -139,7 +139,7 @@
 
 // Its sender waits for us before it asks again: with the answer before it owed for a minute, it waited up to
 // the stop.
-TEST_F(EndingStory, WhatCrossesOurCloseIsSettledSoon) {
+TEST_F(ConnectionEndingTest, WhatCrossesOurCloseIsSettledSoon) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/read", first));
   ASSERT_TRUE(until([&] { return world.count("run " + first) == 1; }));
@@ -153,7 +153,7 @@
   EXPECT_EQ(world.count("run " + second), 0);
 }
 
-TEST_F(EndingStory, WhatCameBeforeBytesThatMakeNoSenseIsAnswered) {
+TEST_F(ConnectionEndingTest, WhatCameBeforeBytesThatMakeNoSenseIsAnswered) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/read", first));
   ASSERT_TRUE(until([&] { return world.count("run " + first) == 1; }));
@@ -168,7 +168,7 @@
 }
 
 // The connection was closed over what ran beside three requests that made no sense.
-TEST_F(EndingStory, WhatRunsBesideWhatIsUnfoundedIsAnswered) {
+TEST_F(ConnectionEndingTest, WhatRunsBesideWhatIsUnfoundedIsAnswered) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/read", first));
   ASSERT_TRUE(until([&] { return world.count("run " + first) == 1; }));
@@ -181,7 +181,7 @@
 }
 
 // A request that came while the last answers were being sent, before our close, was drained unread.
-TEST_F(EndingStory, ARequestThatComesBeforeOurCloseIsAnswered) {
+TEST_F(ConnectionEndingTest, ARequestThatComesBeforeOurCloseIsAnswered) {
   Plain peer;
   peer.receive_at_most(2'048);
   peer.connect(port);
@@ -202,7 +202,7 @@
 }
 
 // Read after our close it could not be answered: whoever sent it takes it for one that never ran.
-TEST_F(EndingStory, WhatComesAfterOurCloseDoesNotRun) {
+TEST_F(ConnectionEndingTest, WhatComesAfterOurCloseDoesNotRun) {
   Plain peer = connected();
   peer.write(health());
   EXPECT_TRUE(comes(peer, "Status: 200"));
@@ -215,7 +215,7 @@
 }
 
 // A request that waits to be read in the turn in which its resting connection falls due.
-TEST_F(EndingStory, ARequestThatWaitsKeepsARestingConnection) {
+TEST_F(ConnectionEndingTest, ARequestThatWaitsKeepsARestingConnection) {
   Plain peer = connected();
   peer.write(health());
   EXPECT_TRUE(comes(peer, "Status: 200"));
@@ -227,7 +227,7 @@
   EXPECT_TRUE(comes(peer, "Status: 200"));
 }
 
-TEST_F(EndingStory, ManyRequestsInOneWriteAreAnsweredEachOnce) {
+TEST_F(ConnectionEndingTest, ManyRequestsInOneWriteAreAnsweredEachOnce) {
   Plain peer = connected();
   std::string all;
   for (int i = 0; i < 300; ++i) all += health();
@@ -240,7 +240,7 @@
   EXPECT_EQ(times(got + peer.read(), "Status: 200"), 300);
 }
 
-TEST_F(EndingStory, ManyConnectionsAtOnceAreAnsweredEach) {
+TEST_F(ConnectionEndingTest, ManyConnectionsAtOnceAreAnsweredEach) {
   std::vector<Plain> peers;
   for (int i = 0; i < 60; ++i) {
     peers.push_back(connected_unturned());
@@ -256,7 +256,7 @@
 // ---- On the way out
 
 // Those whose reading is held back, since they leave answers unread, were closed over what they had sent.
-TEST_F(EndingStory, WhatACallerSentThatIsHeldBackIsAnswered) {
+TEST_F(ConnectionEndingTest, WhatACallerSentThatIsHeldBackIsAnswered) {
   Plain peer;
   peer.receive_at_most(2'048);
   peer.connect(port);
@@ -281,7 +281,7 @@
   EXPECT_TRUE(all.ends_with("(end)"));
 }
 
-TEST_F(EndingStory, TheRestOfARequestThatComesSoonIsTaken) {
+TEST_F(ConnectionEndingTest, TheRestOfARequestThatComesSoonIsTaken) {
   Plain peer = connected();
   std::string whole = health();
   peer.write(whole.substr(0, 20));
@@ -294,7 +294,7 @@
   EXPECT_TRUE(all.ends_with("(end)"));
 }
 
-TEST_F(EndingStory, TheRestOfARequestThatNeverComesHoldsNobodyUp) {
+TEST_F(ConnectionEndingTest, TheRestOfARequestThatNeverComesHoldsNobodyUp) {
   Plain peer = connected();
   peer.write(health().substr(0, 20));
   turn(5 * kMs);
@@ -310,7 +310,7 @@
 // 25 senders, each with a connection of its own and none knowing of the others, at once and again after each
 // answer they get: together they never have more on the cores than a cold server survives, and who is sent
 // away is told to stay away while others wait.
-struct ColdStory : EndingStory, testing::WithParamInterface<unsigned> {
+struct WarmUpTest : ConnectionEndingTest, testing::WithParamInterface<unsigned> {
   static constexpr int kSenders = 25;
   static ServiceConfig options() {
     ServiceConfig options = calling_much();
@@ -326,7 +326,7 @@
   }
 };
 
-TEST_P(ColdStory, ManySendersTogetherStayWithinWhatAColdServerSurvives) {
+TEST_P(WarmUpTest, ManySendersTogetherStayWithinWhatAColdServerSurvives) {
   FakeWorld warming_up(options(), 1'000);
   warming_up.time = loop.now();
   warming_up.engine_up();
@@ -389,11 +389,11 @@
   EXPECT_TRUE(advised);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, ColdStory, testing::Values(1u, 2u, 3u, 4u, 5u));
+INSTANTIATE_TEST_SUITE_P(Seeds, WarmUpTest, testing::Values(1u, 2u, 3u, 4u, 5u));
 
 // ---- Engine
 
-TEST_F(NetStory, ALinkThatSaysNothingIsMadeAnew) {
+TEST_F(NetTest, ALinkThatSaysNothingIsMadeAnew) {
   Plain listener;
   EngineClient link(loop, *this, at_port(listener.listen()), 65'536, 200 * kMs);
   service::EngineSession session(link, world.service);
@@ -415,7 +415,7 @@
 }
 
 // A notice that breaks off at any of its bytes is taken once, when it comes whole.
-TEST_F(NetStory, ANoticeThatBreaksOffAnywhereIsTakenOnce) {
+TEST_F(NetTest, ANoticeThatBreaksOffAnywhereIsTakenOnce) {
   Plain listener;
   EngineClient link(loop, *this, at_port(listener.listen()));
   link.begin(world.service.engine());
@@ -445,7 +445,7 @@
 // ---- Database
 
 // A reply that breaks off at any of its bytes tells nothing, and its call may have run.
-TEST_F(NetStory, AReplyThatBreaksOffAnywhereIsNoReply) {
+TEST_F(NetTest, AReplyThatBreaksOffAnywhereIsNoReply) {
   Plain listener;
   DatabaseClient database(loop, *this, at_port(listener.listen()), 4);
   database.begin(world.service);
@@ -469,7 +469,7 @@
 
 // Two calls share a connection that breaks. What the first one's request makes of it gives up the second
 // call and makes it anew: the break is not the new call's.
-TEST_F(NetStory, ABreakIsNotToldOfACallThatWasGivenUpMeanwhile) {
+TEST_F(NetTest, ABreakIsNotToldOfACallThatWasGivenUpMeanwhile) {
   Plain listener;
   DatabaseClient database(loop, *this, at_port(listener.listen()), 1);
   database.begin(world.service);
@@ -498,9 +498,9 @@
 
 // ---- Membership
 
-struct MembershipStory : NetStory {
-  MembershipStory() : service(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) { bind_again(0); }
-  ~MembershipStory() override { ::close(service); }
+struct MembershipClientTest : NetTest {
+  MembershipClientTest() : service(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) { bind_again(0); }
+  ~MembershipClientTest() override { ::close(service); }
   void bind_again(int at) {
     sockaddr_in address = at_port(at);
     socklen_t size = sizeof address;
@@ -519,7 +519,7 @@
   int port = 0;
 };
 
-TEST_F(MembershipStory, ASocketThatCouldNotBeMadeAtTheStartIsMadeLater) {
+TEST_F(MembershipClientTest, ASocketThatCouldNotBeMadeAtTheStartIsMadeLater) {
   std::optional<NoDescriptors> none(std::in_place);
   MembershipClient membership(loop, "n1", at_port(port));
   membership.report(true);
@@ -528,7 +528,7 @@
 }
 
 // Each datagram to where nobody listens comes back as an error of the next send.
-TEST_F(MembershipStory, AServiceThatIsDownAndComesBackHearsOfUs) {
+TEST_F(MembershipClientTest, AServiceThatIsDownAndComesBackHearsOfUs) {
   int where = port;
   ::close(service);
   MembershipClient membership(loop, "n1", at_port(where));
@@ -543,7 +543,7 @@
 
 // It is held at its start by a file that does not come to its end; the notice came before it was heeded, and
 // killed it.
-TEST_F(ProgramStory, ANoticeAtTheStartIsHeeded) {
+TEST_F(ProgramTest, ANoticeAtTheStartIsHeeded) {
   std::string held = config + ".held";
   ASSERT_EQ(mkfifo(held.c_str(), 0600), 0);
   setenv("MYRTLECROFT_SETTINGS", held.c_str(), 1);
@@ -563,12 +563,12 @@
   std::remove(held.c_str());
 }
 
-TEST_F(ProgramStory, NoticesAndReloadsDuringADrainLoseNothing) {
+TEST_F(ProgramTest, NoticesAndReloadsDuringADrainLoseNothing) {
   start();
   Plain engine = engine_up();
   ASSERT_FALSE(HasFailure());
   Plain peer = connected();
-  peer.write(FrontStory::request(1, "/api/v2/read", "00000000000000aa"));
+  peer.write(FastCgiServerTest::request(1, "/api/v2/read", "00000000000000aa"));
   EXPECT_TRUE(comes(engine, "RUN"));
   kill(process, SIGTERM);
   bool out = false;
@@ -590,7 +590,7 @@
 
 // Clients that rest fill the descriptors before the engine is up, and the membership service is down. The
 // engine, checks and requests get through all the same, and nothing that is accepted starves.
-TEST_F(ProgramStory, RestingClientsKeepNobodyOut) {
+TEST_F(ProgramTest, RestingClientsKeepNobodyOut) {
   write_config(listener_port, free_port(), 64);
   start();
   std::vector<Plain> resting(120);
@@ -605,15 +605,15 @@
   Plain engine = engine_up();
   ASSERT_FALSE(HasFailure());
   Plain peer = connected();
-  peer.write(FrontStory::request(1, "/-/healthy", ""));
+  peer.write(FastCgiServerTest::request(1, "/-/healthy", ""));
   EXPECT_TRUE(comes(peer, "Status: 200"));
-  for (Plain& each : resting) each.offer(FrontStory::request(1, "/-/healthy", "").substr(0, 10));
-  peer.write(FrontStory::request(2, "/api/v2/read", "00000000000000aa"));
+  for (Plain& each : resting) each.offer(FastCgiServerTest::request(1, "/-/healthy", "").substr(0, 10));
+  peer.write(FastCgiServerTest::request(2, "/api/v2/read", "00000000000000aa"));
   EXPECT_TRUE(comes(engine, "RUN"));
   engine.write(done_line(1, "00000000000000aa"));
   EXPECT_TRUE(comes(peer, "\r\n\r\nABC"));
   Plain next = connected();
-  next.write(FrontStory::request(1, "/-/healthy", ""));
+  next.write(FastCgiServerTest::request(1, "/-/healthy", ""));
   EXPECT_TRUE(comes(next, "Status: 200"));
   kill(process, SIGTERM);
   next.close(), peer.close(), resting.clear();
@@ -621,13 +621,13 @@
 }
 
 // An engine that never answers, a caller that never closes: all is answered, and it ends before it is killed.
-TEST_F(ProgramStory, AtTheLastMomentEverythingHasItsAnswer) {
+TEST_F(ProgramTest, AtTheLastMomentEverythingHasItsAnswer) {
   start();
   Plain engine = engine_up();
   ASSERT_FALSE(HasFailure());
   Plain peer = connected();
   for (int i = 1; i <= 5; ++i)
-    peer.write(FrontStory::request(i, "/api/v2/read", "00000000000000a" + std::to_string(i)));
+    peer.write(FastCgiServerTest::request(i, "/api/v2/read", "00000000000000a" + std::to_string(i)));
   EXPECT_TRUE(comes(engine, "a2\""));
   kill(process, SIGTERM);
   std::string all;
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -9,7 +9,7 @@
 constexpr int kPlannedTenants = 380'000;
 constexpr long kMaxBytesATenant = 85;  // its name and quota, its rate and its place in the index
 
-struct MemoryStory : ProgramStory {
+struct MemoryTest : ProgramTest {
   void set_tenants(int count) const {
     std::ifstream in(config);
     std::string text((std::istreambuf_iterator<char>(in)), {});
@@ -43,7 +43,7 @@
 };
 
 // They were held twice, and their text a third time.
-TEST_F(MemoryStory, TheTenantsOfALargeDeploymentAreHeldOnce) {
+TEST_F(MemoryTest, TheTenantsOfALargeDeploymentAreHeldOnce) {
   long few = resident_kb_with(2);
   long planned = resident_kb_with(kPlannedTenants);
   ASSERT_GT(few, 0);
--- a/tests/net_story.h
+++ b/tests/net_story.h
@@ -118,7 +118,7 @@
   return config;
 }
 
-struct NetStory : testing::Test, service::Logger {
+struct NetTest : testing::Test, service::Logger {
   void line(const std::string& text) override { lines.push_back(text); }
   void frequent(const std::string& text) override { lines.push_back(text); }
   void routine(const std::string& text) override { lines.push_back(text); }
@@ -150,7 +150,7 @@
     until([&, end = loop.now() + how_long] { return loop.now() >= end; });
   }
 
-  explicit NetStory(std::size_t result_bytes = 1'000) : world(calling_much(), result_bytes) {
+  explicit NetTest(std::size_t result_bytes = 1'000) : world(calling_much(), result_bytes) {
     world.time = loop.now();
   }
 
@@ -159,11 +159,11 @@
   FakeWorld world;
 };
 
-struct FrontStory : NetStory {
-  FrontStory() : FrontStory(12, 300'000, {}, 1'000) {}
-  FrontStory(std::size_t connections, std::size_t bytes, const peers::SlowClientOptions& config,
-             std::size_t result_bytes)
-      : NetStory(result_bytes),
+struct FastCgiServerTest : NetTest {
+  FastCgiServerTest() : FastCgiServerTest(12, 300'000, {}, 1'000) {}
+  FastCgiServerTest(std::size_t connections, std::size_t bytes, const peers::SlowClientOptions& config,
+                    std::size_t result_bytes)
+      : NetTest(result_bytes),
         port(free_port()),
         front(loop, *this, at_port(port), connections, bytes, config) {
     world.engine_up();
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -14,7 +14,7 @@
 
 // ---- Front
 
-TEST_F(FrontStory, AnswersGoOutInAnyOrderOnOneConnection) {
+TEST_F(FastCgiServerTest, AnswersGoOutInAnyOrderOnOneConnection) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/read", first) + request(2, "/api/v2/read", second));
   ASSERT_TRUE(until([&] { return world.count("run " + second) == 1; }));
@@ -24,7 +24,7 @@
   EXPECT_TRUE(comes(peer, "Status: 500"));
 }
 
-TEST_F(FrontStory, HealthFollowsTheReport) {
+TEST_F(FastCgiServerTest, HealthFollowsTheReport) {
   Plain peer = connected();
   peer.write(request(1, "/-/healthy", "deep=0", 0));
   EXPECT_TRUE(comes(peer, "Status: 200"));
@@ -36,7 +36,7 @@
   EXPECT_TRUE(comes(prober, "Status: 503"));
 }
 
-TEST_F(FrontStory, ABadExchangeEndsAloneAndBadBytesEndTheirConnection) {
+TEST_F(FastCgiServerTest, ABadExchangeEndsAloneAndBadBytesEndTheirConnection) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/nothing", first) + request(2, "/api/v2/read", second));
   EXPECT_TRUE(comes(peer, "Status: 500"));
@@ -50,8 +50,8 @@
 }
 
 // Such requests were taken and completed, or held places until the engine turned them away.
-TEST_F(FrontStory, WhatIsOutOfTheProtocolsRangeIsTerminatedUnrun) {
-  const FrontStory::Pairs wrong = {
+TEST_F(FastCgiServerTest, WhatIsOutOfTheProtocolsRangeIsTerminatedUnrun) {
+  const FastCgiServerTest::Pairs wrong = {
       {"HTTP_PROJECT", "nobody"}, {"HTTP_RESERVE_KB", "2000"}, {"HTTP_RESERVE_KB", "nan"},
       {"HTTP_STANDING", "1.5"},   {"HTTP_EXPECTED_MS", "-3"},  {"HTTP_MAX_WAIT_MS", "99999999999999999999"},
       {"HTTP_MAX_WAIT_MS", "-5"}, {"HTTP_CLIENT_NO", "one"},   {"HTTP_ACCEPTED_AT_MS", "-1"},
@@ -64,7 +64,7 @@
   EXPECT_EQ(world.count("run " + first), 0);
 }
 
-TEST_F(FrontStory, ACallerThatGoesOnWithWhatIsUnfoundedIsLetGo) {
+TEST_F(FastCgiServerTest, ACallerThatGoesOnWithWhatIsUnfoundedIsLetGo) {
   Plain peer = connected();
   for (int i = 1; i <= 3; ++i) peer.write(request(i, "/api/v2/read", "00000000000000a" + std::to_string(i)));
   ASSERT_TRUE(until([&] { return world.count("run 00000000000000a2") == 1; }));
@@ -76,7 +76,7 @@
 
 // A balancer whose requests were over before they could run, or that was wrong now and then over a long day,
 // was taken for such a caller, and lost all that it had open.
-TEST_F(FrontStory, ABalancerIsNotLetGoForRunsThatCameTooLateOrForRareMistakes) {
+TEST_F(FastCgiServerTest, ABalancerIsNotLetGoForRunsThatCameTooLateOrForRareMistakes) {
   Plain peer = connected();
   auto id = [](int i) { return "00000000000000b" + std::to_string(i); };
   for (int i = 1; i <= 8; ++i) {
@@ -97,7 +97,7 @@
   EXPECT_EQ(peer.read(), "");
 }
 
-TEST_F(FrontStory, OnlyConnectionsWithNothingOpenAreClosedAsIdle) {
+TEST_F(FastCgiServerTest, OnlyConnectionsWithNothingOpenAreClosedAsIdle) {
   Plain busy = connected();
   Plain idle = connected();
   idle.write(request(1, "/-/healthy", ""));
@@ -112,7 +112,7 @@
   EXPECT_TRUE(comes(busy, "Status: 200"));
 }
 
-TEST_F(FrontStory, ALostConnectionLeavesItsWorkToOthersAndHarmsNothing) {
+TEST_F(FastCgiServerTest, ALostConnectionLeavesItsWorkToOthersAndHarmsNothing) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/read", first) + request(2, "/api/v2/read", second));
   ASSERT_TRUE(until([&] { return world.count("run " + second) == 1; }));
@@ -125,7 +125,7 @@
   EXPECT_TRUE(until([&] { return world.count("run 00000000000000cc") == 1; }));
 }
 
-TEST_F(FrontStory, FinishingAnswersWhatIsOpenThenPartsAndTakesNoMore) {
+TEST_F(FastCgiServerTest, FinishingAnswersWhatIsOpenThenPartsAndTakesNoMore) {
   Plain busy = connected();
   Plain idle = connected();
   busy.write(request(1, "/api/v2/read", first));
@@ -139,7 +139,7 @@
   EXPECT_TRUE(until([&] { return finished; }));
 }
 
-TEST_F(FrontStory, FinishingReadsWhatHasComeFirst) {
+TEST_F(FastCgiServerTest, FinishingReadsWhatHasComeFirst) {
   Plain peer = connected();
   peer.write(request(1, "/-/healthy", ""));
   front.finish();
@@ -147,7 +147,7 @@
   EXPECT_TRUE(comes(peer, "(end)"));
 }
 
-TEST_F(FrontStory, APeerThatReadsNothingIsLetGo) {
+TEST_F(FastCgiServerTest, APeerThatReadsNothingIsLetGo) {
   Plain peer = connected();
   std::string ask;
   for (int i = 0; i < 500; ++i) ask += record(77, 0, "");
@@ -157,7 +157,7 @@
   }));
 }
 
-TEST_F(FrontStory, OutOfDescriptorsItWaitsAndThenAcceptsAgain) {
+TEST_F(FastCgiServerTest, OutOfDescriptorsItWaitsAndThenAcceptsAgain) {
   std::vector<Plain> waiting;
   for (int i = 0; i < 8; ++i) waiting.emplace_back();
   {
@@ -173,7 +173,7 @@
 
 // Callers that keep a connection for good, or connect and say nothing, took the last descriptor: balancers
 // and the links to engine and database got none.
-TEST_F(FrontStory, CrowdedItClosesTheSilentThenTheLongestIdleAndNeverABusyOne) {
+TEST_F(FastCgiServerTest, CrowdedItClosesTheSilentThenTheLongestIdleAndNeverABusyOne) {
   Plain busy = connected();
   busy.write(request(1, "/api/v2/read", first));
   Plain idle = connected();
@@ -200,7 +200,7 @@
 }
 
 // A flood of silent callers pushed out balancers whose first request was about to be read.
-TEST_F(FrontStory, CrowdedItDoesNotCloseTheOneWhoseRequestWaitsToBeRead) {
+TEST_F(FastCgiServerTest, CrowdedItDoesNotCloseTheOneWhoseRequestWaitsToBeRead) {
   std::vector<Plain> silent;
   Plain first_come;
   first_come.connect(port);
@@ -209,7 +209,7 @@
   EXPECT_TRUE(comes(first_come, "Status: 200"));
 }
 
-TEST_F(FrontStory, HalfRequestsThatFillTheMemoryEndTheirConnection) {
+TEST_F(FastCgiServerTest, HalfRequestsThatFillTheMemoryEndTheirConnection) {
   Plain peers[] = {connected(), connected()};
   Plain good = connected();
   good.write(request(1, "/api/v2/read", first));
@@ -223,7 +223,7 @@
   EXPECT_TRUE(comes(good, "Status: 200"));
 }
 
-TEST_F(FrontStory, OneThatNeverBringsAWholeRequestIsClosedInTime) {
+TEST_F(FastCgiServerTest, OneThatNeverBringsAWholeRequestIsClosedInTime) {
   Plain silent = connected();
   Plain half = connected();
   Nanos began = loop.now();
@@ -237,8 +237,8 @@
 
 // ---- Engine link
 
-struct EngineLinkStory : NetStory {
-  EngineLinkStory() : link(loop, *this, at_port(listener.listen())), session(link, world.service) {
+struct EngineClientTest : NetTest {
+  EngineClientTest() : link(loop, *this, at_port(listener.listen())), session(link, world.service) {
     link.begin(session);
   }
   Plain listener;
@@ -246,7 +246,7 @@
   service::EngineSession session;
 };
 
-TEST_F(EngineLinkStory, TheEngineLinkComesBackAndAsksForWhatItHasNotRead) {
+TEST_F(EngineClientTest, TheEngineLinkComesBackAndAsksForWhatItHasNotRead) {
   Plain engine = accepted_by(listener);
   EXPECT_TRUE(comes(engine, "{\"cmd\":\"ATTACH\",\"offset\":0}\n"));
   engine.write("{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":5}\n{\"cmd\":\"NOTE\",\"offset\":4,");
@@ -264,7 +264,7 @@
 }
 
 // Moved, nothing that was on its way on the old link may be in doubt, and no notice is lost or read twice.
-TEST_F(EngineLinkStory, TheEngineMovesAndTheOldLinkStaysUntilWhatItCarriedHasArrived) {
+TEST_F(EngineClientTest, TheEngineMovesAndTheOldLinkStaysUntilWhatItCarriedHasArrived) {
   Plain old = accepted_by(listener);
   const std::string hello = "{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":5}\n";
   auto stats = [](int token) {
@@ -288,7 +288,7 @@
 }
 
 // Half a line of the old link was dropped while the new one was not yet open.
-TEST_F(EngineLinkStory, WhileTheNewLinkCannotBeOpenedTheOldOneGoesOn) {
+TEST_F(EngineClientTest, WhileTheNewLinkCannotBeOpenedTheOldOneGoesOn) {
   Plain old = accepted_by(listener);
   ASSERT_TRUE(comes(old, "ATTACH"));
   link.move(at_port(free_port()));
@@ -299,7 +299,7 @@
   EXPECT_FALSE(logged("malformed"));
 }
 
-TEST_F(EngineLinkStory, AnEngineLineTooLongToKeepIsLeftOutAndTheNextIsRead) {
+TEST_F(EngineClientTest, AnEngineLineTooLongToKeepIsLeftOutAndTheNextIsRead) {
   Plain engine = accepted_by(listener);
   EXPECT_TRUE(comes(engine, "ATTACH"));
   std::string part(100'000, 'x');
@@ -314,7 +314,7 @@
 }
 
 // The process stood still for a second.
-TEST_F(FrontStory, AfterAPauseRunsThatEndedAreTakenBeforeWhatIsNew) {
+TEST_F(FastCgiServerTest, AfterAPauseRunsThatEndedAreTakenBeforeWhatIsNew) {
   Plain listener;
   EngineClient link(loop, *this, at_port(listener.listen()));
   link.begin(world.service.engine());
@@ -337,7 +337,7 @@
 }
 
 // What comes while the timers of a turn expire is not yet known to the loop.
-TEST_F(FrontStory, ATimerThatIsLateLetsTheSocketsGoFirst) {
+TEST_F(FastCgiServerTest, ATimerThatIsLateLetsTheSocketsGoFirst) {
   Plain peer = connected();
   long ran = -1;
   Timer earlier(loop.base(), [&] { peer.write(request(1, "/api/v2/read", first)); });
@@ -350,7 +350,7 @@
 
 // ---- Log
 
-TEST_F(NetStory, AStormOfLinesIsCutAndCrowdsOutNoOther) {
+TEST_F(NetTest, AStormOfLinesIsCutAndCrowdsOutNoOther) {
   testing::internal::CaptureStdout();
   {
     Log log(world);
@@ -367,8 +367,8 @@
 
 // ---- Database
 
-struct DatabaseStory : NetStory {
-  DatabaseStory() : database(loop, *this, at_port(listener.listen()), 4) {
+struct DatabaseClientTest : NetTest {
+  DatabaseClientTest() : database(loop, *this, at_port(listener.listen()), 4) {
     database.begin(world.service);
     world.engine_up();
   }
@@ -384,7 +384,7 @@
 };
 
 // One spoilt reply took all calls of a shared connection with it.
-TEST_F(DatabaseStory, CallsHaveConnectionsOfTheirOwnSoThatASpoiltReplyEndsOne) {
+TEST_F(DatabaseClientTest, CallsHaveConnectionsOfTheirOwnSoThatASpoiltReplyEndsOne) {
   service::ServerRequest& one = calling("a");
   service::ServerRequest& two = calling("b");
   database.call(one, "x", 250 * kMs);
@@ -399,7 +399,7 @@
   EXPECT_TRUE(until([&] { return world.count("feed b bb") == 1; }));
 }
 
-TEST_F(DatabaseStory, WithAllConnectionsTakenCallsShareThem) {
+TEST_F(DatabaseClientTest, WithAllConnectionsTakenCallsShareThem) {
   for (const char* id : {"a", "b", "c", "d", "e"}) database.call(calling(id), "x", 250 * kMs);
   std::vector<Plain> peers;
   for (int i = 0; i < 4; ++i) peers.push_back(accept());
@@ -407,7 +407,7 @@
   EXPECT_LT(listener.accept(), 0);
 }
 
-TEST_F(DatabaseStory, ALineThatDoesNotEndEndsItsCallSoon) {
+TEST_F(DatabaseClientTest, ALineThatDoesNotEndEndsItsCallSoon) {
   service::ServerRequest& request = calling("a");
   database.call(request, "x", 60 * kSecond);
   Plain peer = accept();
@@ -416,7 +416,7 @@
 }
 
 // The request calls again: a copy of its first reply must not be taken for the second call's.
-TEST_F(DatabaseStory, ASecondCopyOfAReplyIsNotTheNextCalls) {
+TEST_F(DatabaseClientTest, ASecondCopyOfAReplyIsNotTheNextCalls) {
   service::ServerRequest& request = calling("a");
   database.call(request, "first", 250 * kMs);
   Plain one = accept();
@@ -430,7 +430,7 @@
   EXPECT_EQ(world.count("feed a old"), 1);
 }
 
-TEST_F(DatabaseStory, AReplyThatCrossesAGiveUpIsNotTheNextCalls) {
+TEST_F(DatabaseClientTest, AReplyThatCrossesAGiveUpIsNotTheNextCalls) {
   service::ServerRequest& request = calling("a");
   database.call(request, "first", 250 * kMs);
   Plain one = accept();
@@ -446,7 +446,7 @@
 
 // The database closed connections as soon as they were idle, or forgot them: a call that crossed this looked
 // like one that ran.
-TEST_F(DatabaseStory, NoCallMeetsAConnectionThatWasIdle) {
+TEST_F(DatabaseClientTest, NoCallMeetsAConnectionThatWasIdle) {
   for (const char* id : {"a", "b"}) {
     database.call(calling(id), "x", 250 * kMs);
     Plain peer = accept();
@@ -456,7 +456,7 @@
   }
 }
 
-TEST_F(DatabaseStory, MovedItCallsElsewhereAndWhatIsOutEndsWhereItIs) {
+TEST_F(DatabaseClientTest, MovedItCallsElsewhereAndWhatIsOutEndsWhereItIs) {
   database.call(calling("a"), "x", 250 * kMs);
   Plain old = accept();
   Plain elsewhere;
@@ -468,7 +468,7 @@
   EXPECT_TRUE(until([&] { return world.count("feed a r") == 1; }));
 }
 
-TEST_F(DatabaseStory, ARefusedConnectionProvesThatNothingRanAndABreakDoesNot) {
+TEST_F(DatabaseClientTest, ARefusedConnectionProvesThatNothingRanAndABreakDoesNot) {
   service::ServerRequest& request = calling("a");
   database.call(request, "x", 250 * kMs);
   accept().close();
@@ -482,7 +482,7 @@
 
 // ---- The whole program
 
-TEST_F(ProgramStory, ServesThenDrainsAndEndsByItself) {
+TEST_F(ProgramTest, ServesThenDrainsAndEndsByItself) {
   start();
   Plain engine = engine_up();
   ASSERT_FALSE(HasFailure());
@@ -490,16 +490,16 @@
   EXPECT_TRUE(until([&] { return up = up || reported("HB n7 UP"); }));
   Plain peer = connected();
   const std::string id = "00000000000000aa";
-  peer.write(FrontStory::request(1, "/-/healthy", ""));
+  peer.write(FastCgiServerTest::request(1, "/-/healthy", ""));
   EXPECT_TRUE(comes(peer, "Status: 200"));
-  peer.write(FrontStory::request(2, "/api/v2/read", id));
+  peer.write(FastCgiServerTest::request(2, "/api/v2/read", id));
   EXPECT_TRUE(
       comes(engine, R"({"cmd":"RUN","req":"00000000000000aa","method":"read","payload":"Ym9keQ=="})"));
   kill(process, SIGTERM);
   bool out = false;
   EXPECT_TRUE(until([&] { return out = out || reported("HB n7 OUT"); }));
   usleep(300'000);
-  peer.write(FrontStory::request(3, "/api/v2/read", "00000000000000bb"));
+  peer.write(FastCgiServerTest::request(3, "/api/v2/read", "00000000000000bb"));
   EXPECT_TRUE(comes(peer, "Status: 503"));
   engine.write(done_line(1, id));
   EXPECT_TRUE(comes(peer, "\r\n\r\nABC"));
@@ -509,7 +509,7 @@
 }
 
 // SIGHUP ended the process. A file that makes no sense leaves all as it was.
-TEST_F(ProgramStory, ReloadMovesTheEngineAndABadFileChangesNothing) {
+TEST_F(ProgramTest, ReloadMovesTheEngineAndABadFileChangesNothing) {
   start();
   Plain engine = linked();
   ASSERT_FALSE(HasFailure());
@@ -528,7 +528,7 @@
 
 // The table of descriptors grew at the 257th connection, amid a storm of them, and with the log's thread
 // beside it all servers stood still for 6 s.
-TEST_F(ProgramStory, HasRoomForAllItsDescriptorsBeforeTheFirstConnection) {
+TEST_F(ProgramTest, HasRoomForAllItsDescriptorsBeforeTheFirstConnection) {
   start();
   Plain engine = linked();
   ASSERT_FALSE(HasFailure());
@@ -540,7 +540,7 @@
   EXPECT_GE(room, 1024);
 }
 
-TEST_F(ProgramStory, AConfigThatMakesNoSenseEndsTheStartWithOne) {
+TEST_F(ProgramTest, AConfigThatMakesNoSenseEndsTheStartWithOne) {
   std::ofstream(config) << "{\"name\":\"n7\"}";
   start();
   EXPECT_EQ(exit_code(), 1);
--- a/tests/program_story.h
+++ b/tests/program_story.h
@@ -13,8 +13,8 @@
 namespace myrtlecroft::net {
 
 // One server in a process of its own; the story is its engine, its membership service and its balancer.
-struct ProgramStory : testing::Test {
-  ProgramStory() {
+struct ProgramTest : testing::Test {
+  ProgramTest() {
     members = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0);
     sockaddr_in address = at_port(0);
     socklen_t size = sizeof address;
@@ -37,7 +37,7 @@
         << R"("hardLimitNs":5000000000,"dedupWindowNs":60000000000}],"familyInfo":{"nCores":2,"ramKb":50000,"meters":["core_use"]},)"
         << R"("limits":{},"rules":{"overloadFactor":5,"overloadForNs":1000000000,"drainGraceNs":200000000}}})";
   }
-  ~ProgramStory() override {
+  ~ProgramTest() override {
     if (process > 0) kill(process, SIGKILL), waitpid(process, nullptr, 0);
     ::close(members);
     std::remove(config.c_str());
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -6,9 +6,9 @@
 namespace myrtlecroft::net {
 namespace {
 
-struct ReloadStory : ProgramStory {
-  ReloadStory() : kept(config + ".kept") {}
-  ~ReloadStory() override { std::remove(kept.c_str()); }
+struct ReloadTest : ProgramTest {
+  ReloadTest() : kept(config + ".kept") {}
+  ~ReloadTest() override { std::remove(kept.c_str()); }
 
   // Whoever opens it to read waits until somebody opens it to write.
   void put_a_pipe_in_place() const {
@@ -25,7 +25,7 @@
   }
   static bool answers_checks(Plain& peer, int count) {
     for (int i = 0; i < count; ++i) {
-      peer.write(FrontStory::request(1, "/-/healthy", ""));
+      peer.write(FastCgiServerTest::request(1, "/-/healthy", ""));
       if (!comes(peer, "Status: 200")) return false;
     }
     return true;
@@ -35,7 +35,7 @@
 };
 
 // 380,000 tenants were read in the loop, which answered nobody meanwhile.
-TEST_F(ReloadStory, RequestsAreAnsweredWhileTheFileIsRead) {
+TEST_F(ReloadTest, RequestsAreAnsweredWhileTheFileIsRead) {
   start();
   Plain engine = engine_up();
   Plain peer = connected();
@@ -47,7 +47,7 @@
   EXPECT_TRUE(answers_checks(peer, 1));
 }
 
-TEST_F(ReloadStory, ASignalDuringAReadingIsFollowedByAnother) {
+TEST_F(ReloadTest, ASignalDuringAReadingIsFollowedByAnother) {
   start();
   Plain engine = engine_up();
   Plain peer = connected();
--- a/tests/server_registry_test.cpp
+++ b/tests/server_registry_test.cpp
@@ -50,9 +50,11 @@
     EXPECT_EQ(world.router.handle_report(report, world.now, world.now), ServerRegistry::Verdict::kFuture);
     report.sent_unix = world.now;
     report.address = "127.0.0.1:9999";
-    EXPECT_EQ(world.router.handle_report(report, world.now, world.now), ServerRegistry::Verdict::kOtherAddress);
+    EXPECT_EQ(world.router.handle_report(report, world.now, world.now),
+              ServerRegistry::Verdict::kOtherAddress);
     report.node = "stranger";
-    EXPECT_EQ(world.router.handle_report(report, world.now, world.now), ServerRegistry::Verdict::kUnknownNode);
+    EXPECT_EQ(world.router.handle_report(report, world.now, world.now),
+              ServerRegistry::Verdict::kUnknownNode);
   }
   EXPECT_EQ(world.server("n1").state, ServerState::kLost);
   report::LoadReport old = world.reports["n2"];
--- a/tests/server_restart_test.cpp
+++ b/tests/server_restart_test.cpp
@@ -9,7 +9,7 @@
 namespace myrtlecroft::net {
 namespace {
 
-struct ServerRestartTest : ProgramStory {
+struct ServerRestartTest : ProgramTest {
   ServerRestartTest() {
     char name[] = "/tmp/myrtlecroft_durable.XXXXXX";
     folder = mkdtemp(name);
@@ -34,7 +34,7 @@
     process = 0;
   }
   static std::string booking(int id, const std::string& trace, const std::string& key) {
-    return FrontStory::request(id, "/api/v2/book", trace, 1, {{"HTTP_REPLAY_KEY", key}});
+    return FastCgiServerTest::request(id, "/api/v2/book", trace, 1, {{"HTTP_REPLAY_KEY", key}});
   }
   std::string folder;
   std::string settings;
--- a/tests/slow_client_policy_test.cpp
+++ b/tests/slow_client_policy_test.cpp
@@ -27,8 +27,8 @@
   ConnectionAccount account;
 };
 
-struct PacingStory : testing::Test {
-  ~PacingStory() override {
+struct SlowClientPolicyTest : testing::Test {
+  ~SlowClientPolicyTest() override {
     for (Peer& peer : peers) pacing.leave(peer.account);
   }
   Peer& comes(BalancerKey key = {1, 1}) {
@@ -69,7 +69,7 @@
   std::deque<Peer> peers;
 };
 
-TEST_F(PacingStory, AQuietPeerIsNeverLookedAt) {
+TEST_F(SlowClientPolicyTest, AQuietPeerIsNeverLookedAt) {
   Peer& peer = comes();
   EXPECT_EQ(pacing.next_look(), 0);
   pass(100 * kSecond);
@@ -77,7 +77,7 @@
   EXPECT_TRUE(peer.effects.empty());
 }
 
-TEST_F(PacingStory, OneThatWritesSlowlyButSteadilyAboveTheRateIsServed) {
+TEST_F(SlowClientPolicyTest, OneThatWritesSlowlyButSteadilyAboveTheRateIsServed) {
   Peer& peer = writes(50);
   pass(4 * kSecond, [&] { peer.now.in += 30; });  // 600 bytes a second
   EXPECT_EQ(peer.account.state(), State::kActive);
@@ -87,7 +87,7 @@
   EXPECT_TRUE(peer.effects.empty());
 }
 
-TEST_F(PacingStory, OneThatStopsAByteBeforeTheEndIsHurriedThenDropped) {
+TEST_F(SlowClientPolicyTest, OneThatStopsAByteBeforeTheEndIsHurriedThenDropped) {
   Peer& peer = writes(400);
   pass(1100 * kMs);
   EXPECT_EQ(peer.account.state(), State::kFinalWarning);
@@ -98,7 +98,7 @@
   EXPECT_EQ(pacing.watched(), 0u);
 }
 
-TEST_F(PacingStory, AHurriedOneThatDoesBetterIsServed) {
+TEST_F(SlowClientPolicyTest, AHurriedOneThatDoesBetterIsServed) {
   Peer& peer = writes(10);
   pass(1200 * kMs);
   ASSERT_EQ(peer.account.state(), State::kFinalWarning);
@@ -106,27 +106,27 @@
   EXPECT_EQ(peer.account.state(), State::kActive);
 }
 
-TEST_F(PacingStory, AByteJustInsideEveryTimeLimitDoesNotHelp) {
+TEST_F(SlowClientPolicyTest, AByteJustInsideEveryTimeLimitDoesNotHelp) {
   Peer& peer = writes(1);
   int step = 0;
   pass(3 * kSecond, [&] { peer.now.in += ++step % 8 == 0; });
   EXPECT_TRUE(peer.dropped());
 }
 
-TEST_F(PacingStory, OneRequestDribbledAmongOthersIsCancelledAlone) {
+TEST_F(SlowClientPolicyTest, OneRequestDribbledAmongOthersIsCancelledAlone) {
   Peer& peer = writes(100);
   pass(5300 * kMs, [&] { peer.now.in += 500; });  // others come whole beside it
   EXPECT_EQ(peer.effects, std::vector{Effect::kCancel});
   EXPECT_FALSE(peer.dropped());
 }
 
-TEST_F(PacingStory, WithManyRequestsOneAfterTheOtherEachHasItsOwnTime) {
+TEST_F(SlowClientPolicyTest, WithManyRequestsOneAfterTheOtherEachHasItsOwnTime) {
   Peer& peer = writes(100);
   pass(20 * kSecond, [&] { peer.now.in += 500, peer.now.awaited += 2; });
   EXPECT_TRUE(peer.effects.empty());
 }
 
-TEST_F(PacingStory, OneThatTakesNothingIsPausedThenDropped) {
+TEST_F(SlowClientPolicyTest, OneThatTakesNothingIsPausedThenDropped) {
   Peer& peer = reads(100'000);
   pass(200 * kMs);
   EXPECT_EQ(peer.account.state(), State::kPaused);
@@ -137,7 +137,7 @@
   EXPECT_EQ(peer.effects.back(), Effect::kDropUnread);
 }
 
-TEST_F(PacingStory, WhatIsOpenIsAnsweredBeforeABlockedPeerIsDropped) {
+TEST_F(SlowClientPolicyTest, WhatIsOpenIsAnsweredBeforeABlockedPeerIsDropped) {
   Peer& peer = reads(100'000);
   peer.now.open = 3;
   pass(4 * kSecond);
@@ -148,7 +148,7 @@
   EXPECT_TRUE(peer.dropped());
 }
 
-TEST_F(PacingStory, APausedOneThatReadsIsReadAgainOnceHalfItsShareIsFree) {
+TEST_F(SlowClientPolicyTest, APausedOneThatReadsIsReadAgainOnceHalfItsShareIsFree) {
   Peer& peer = reads(100'000);
   pass(200 * kMs);
   ASSERT_FALSE(peer.reading);
@@ -159,14 +159,14 @@
   EXPECT_EQ(peer.account.state(), State::kActive);
 }
 
-TEST_F(PacingStory, AOneByteWindowIsBelowTheRate) {
+TEST_F(SlowClientPolicyTest, AOneByteWindowIsBelowTheRate) {
   Peer& peer = reads(3'000);
   pass(2 * kSecond, [&] { peer.now.out += 1, peer.now.unread -= 1; });
   EXPECT_EQ(peer.effects.back(), Effect::kDropUnread);
 }
 
 // Many answers that end in one turn wait together for a moment on any connection.
-TEST_F(PacingStory, AnswersWrittenTogetherPauseNoQuickPeer) {
+TEST_F(SlowClientPolicyTest, AnswersWrittenTogetherPauseNoQuickPeer) {
   Peer& peer = comes();
   for (int i = 0; i < 20; ++i) {
     peer.now.unread = 130'000;
@@ -178,7 +178,7 @@
   EXPECT_TRUE(peer.effects.empty());
 }
 
-TEST_F(PacingStory, APausedPeerIsNotBlamedForWhatWeDoNotRead) {
+TEST_F(SlowClientPolicyTest, APausedPeerIsNotBlamedForWhatWeDoNotRead) {
   Peer& peer = reads(100'000);
   peer.now.awaited = 2;
   pass(900 * kMs, [&] { peer.now.out += 3'000, peer.now.unread -= 3'000; });
@@ -192,7 +192,7 @@
   EXPECT_EQ(peer.account.state(), State::kActive);
 }
 
-TEST_F(PacingStory, AStopOfOurOwnProcessIsTakenForNobodysSlowness) {
+TEST_F(SlowClientPolicyTest, AStopOfOurOwnProcessIsTakenForNobodysSlowness) {
   for (int i = 0; i < 60; ++i) i % 2 ? writes(200) : reads(2'000);
   pass(500 * kMs);
   time += 20 * kSecond;  // stopped and continued
@@ -206,7 +206,7 @@
 }
 
 // A word may come before the look that is late, when the loop reads sockets before timers.
-TEST_F(PacingStory, NeitherWhenAPeerSpeaksBeforeTheLateLook) {
+TEST_F(SlowClientPolicyTest, NeitherWhenAPeerSpeaksBeforeTheLateLook) {
   Peer& peer = writes(600);
   pass(500 * kMs);
   time += 20 * kSecond;
@@ -218,7 +218,7 @@
   EXPECT_TRUE(peer.dropped());
 }
 
-TEST_F(PacingStory, WithRoomRunningOutTheLeastRateRises) {
+TEST_F(SlowClientPolicyTest, WithRoomRunningOutTheLeastRateRises) {
   Peer& peer = writes(500);
   EXPECT_EQ(pacing.strictness(), 1);
   pass(2 * kSecond, [&] { peer.now.in += 40; });
@@ -229,7 +229,7 @@
   EXPECT_TRUE(peer.dropped());
 }
 
-TEST_F(PacingStory, WhoHoldsMostForLongestGoesFirst) {
+TEST_F(SlowClientPolicyTest, WhoHoldsMostForLongestGoesFirst) {
   Peer& large_new = writes(100);
   Peer& small_old = writes(100);
   Peer& large_old = writes(100);
@@ -243,7 +243,7 @@
   EXPECT_TRUE(pacing.crowded(small_old.account));
 }
 
-TEST_F(PacingStory, ABalancerBesideOthersIsBoundByItselfAndAloneIsNot) {
+TEST_F(SlowClientPolicyTest, ABalancerBesideOthersIsBoundByItselfAndAloneIsNot) {
   Peer& slow = writes(100, {1, 1});
   pacing.hold(slow.account, 800'000);
   EXPECT_FALSE(pacing.crowded(slow.account));
@@ -258,7 +258,7 @@
   EXPECT_EQ(other.account.state(), State::kActive);
 }
 
-TEST_F(PacingStory, APeerThatTellsItsBalancersNumberTakesWhatItHoldsAlong) {
+TEST_F(SlowClientPolicyTest, APeerThatTellsItsBalancersNumberTakesWhatItHoldsAlong) {
   Peer& peer = writes(100, {1, -1});
   comes({1, 7});
   pacing.hold(peer.account, 800'000);
@@ -267,7 +267,7 @@
   EXPECT_FALSE(pacing.crowded(peer.account));  // the only balancer now
 }
 
-TEST_F(PacingStory, ForItsDescriptorTheSlowestOfTheLargestBalancerGoes) {
+TEST_F(SlowClientPolicyTest, ForItsDescriptorTheSlowestOfTheLargestBalancerGoes) {
   writes(100, {1, 1});
   Peer& first = writes(100, {1, 2});
   Peer& second = writes(100, {1, 2});
@@ -278,7 +278,7 @@
 }
 
 // All connections of one balancer are slow; another's beside it are as they were.
-TEST_F(PacingStory, AWholeSlowBalancerIsLetGoAndTheQuickOneBesideItIsNot) {
+TEST_F(SlowClientPolicyTest, AWholeSlowBalancerIsLetGoAndTheQuickOneBesideItIsNot) {
   std::vector<Peer*> quick;
   for (int i = 0; i < 40; ++i) writes(100, {1, 1});
   for (int i = 0; i < 10; ++i) quick.push_back(&reads(8'000, {2, 2}));
@@ -289,7 +289,7 @@
   for (Peer* peer : quick) EXPECT_TRUE(peer->effects.empty());
 }
 
-TEST_F(PacingStory, OnesThatLeaveAreForgotten) {
+TEST_F(SlowClientPolicyTest, OnesThatLeaveAreForgotten) {
   for (int i = 0; i < 10; ++i) {
     Peer& peer = writes(100, {1, i});
     pacing.hold(peer.account, 1'000);
--- a/tests/slow_peers_test.cpp
+++ b/tests/slow_peers_test.cpp
@@ -14,8 +14,8 @@
   return options;
 }
 
-struct SlowStory : FrontStory {
-  SlowStory() : FrontStory(64, 4'000'000, short_times(), 10'000'000) {}
+struct SlowClientsTest : FastCgiServerTest {
+  SlowClientsTest() : FastCgiServerTest(64, 4'000'000, short_times(), 10'000'000) {}
   static std::string keyed(int id, const std::string& trace, const std::string& key) {
     return request(id, "/api/v2/write", trace, 1, {{"HTTP_REPLAY_KEY", key}});
   }
@@ -64,7 +64,7 @@
   const std::string large = std::string(4'000, 'r');
 };
 
-TEST_F(SlowStory, WhoeverStopsAnywhereInARequestIsLetGoAndNoOther) {
+TEST_F(SlowClientsTest, WhoeverStopsAnywhereInARequestIsLetGoAndNoOther) {
   std::string whole = request(1, "/api/v2/read", first);
   std::size_t body = whole.size() - 8 - 4 - 8;
   std::vector<Plain> stopped;
@@ -79,7 +79,7 @@
   EXPECT_EQ(world.count("run " + first), 0);
 }
 
-TEST_F(SlowStory, AByteJustInsideEveryTimeLimitDoesNotHelp) {
+TEST_F(SlowClientsTest, AByteJustInsideEveryTimeLimitDoesNotHelp) {
   Plain peer = connected();
   std::string whole = request(1, "/api/v2/read", first);
   std::size_t sent = 0;
@@ -91,7 +91,7 @@
   EXPECT_LT(sent, 20u);
 }
 
-TEST_F(SlowStory, OneThatIsSlowButAboveTheRateIsServed) {
+TEST_F(SlowClientsTest, OneThatIsSlowButAboveTheRateIsServed) {
   Plain peer = connected();
   std::string whole = request(1, "/api/v2/read", first);
   for (std::size_t at = 0; at < whole.size(); at += 60) {
@@ -104,7 +104,7 @@
 }
 
 // Bytes that are no request, as fast as anybody's.
-TEST_F(SlowStory, PaddingForEverIsNoRequest) {
+TEST_F(SlowClientsTest, PaddingForEverIsNoRequest) {
   Plain peer = connected();
   std::string padded = {1, 9, 0, 0, 0, 0, static_cast<char>(255), 0};
   padded.append(255, ' ');
@@ -117,7 +117,7 @@
 }
 
 // Beside whole requests on the same connection it is the dribbled one that ends.
-TEST_F(SlowStory, ARequestDribbledBesideOthersEndsAlone) {
+TEST_F(SlowClientsTest, ARequestDribbledBesideOthersEndsAlone) {
   Plain peer = connected();
   std::string dribbled = request(7, "/api/v2/read", first).substr(0, 16) + record(4, 7, "xx");
   peer.write(dribbled);
@@ -136,7 +136,7 @@
 }
 
 // What is dropped is the copy on the wire, never the record.
-TEST_F(SlowStory, ManyThatDoNotReadDeduplicatedAnswersLeaveTheirRecords) {
+TEST_F(SlowClientsTest, ManyThatDoNotReadDeduplicatedAnswersLeaveTheirRecords) {
   constexpr int kPeers = 3;
   std::vector<Plain> readers;
   std::uint64_t all = 0;
@@ -163,7 +163,7 @@
   EXPECT_EQ(completed(kWriteClass), all + kPeers);
 }
 
-TEST_F(SlowStory, OneThatOpensItsWindowByAByteIsLetGo) {
+TEST_F(SlowClientsTest, OneThatOpensItsWindowByAByteIsLetGo) {
   Plain peer = narrow();
   EXPECT_GT(completes_unread(peer, 1), 20);
   EXPECT_TRUE(until([&] {
@@ -174,7 +174,7 @@
 }
 
 // Requests at full speed from one that reads nothing: soon none of them is read any more.
-TEST_F(SlowStory, OneThatFloodsAndReadsNothingIsHeldBack) {
+TEST_F(SlowClientsTest, OneThatFloodsAndReadsNothingIsHeldBack) {
   Plain flood = narrow();
   Plain good = connected();
   good.write(request(1, "/-/healthy", ""));
@@ -194,7 +194,7 @@
 }
 
 // A caller that closes its sending side waits for its answer all the same.
-TEST_F(SlowStory, AHalfClosedCallerGetsWhatIsOpen) {
+TEST_F(SlowClientsTest, AHalfClosedCallerGetsWhatIsOpen) {
   Plain peer = connected();
   peer.write(request(1, "/api/v2/read", first) + request(2, "/api/v2/read", second).substr(0, 30));
   peer.shut_sending();
@@ -206,7 +206,7 @@
   EXPECT_TRUE(until([&] { return logged("ended: peer-closed"); }));
 }
 
-TEST_F(SlowStory, OneThatResetsAmidAnAnswerLeavesTheRecordBehind) {
+TEST_F(SlowClientsTest, OneThatResetsAmidAnAnswerLeavesTheRecordBehind) {
   {
     Plain peer = narrow();
     for (int i = 1; i <= 10; ++i) {
@@ -229,7 +229,7 @@
 }
 
 // Many more slow ones than descriptors: whoever speaks finds room.
-TEST_F(SlowStory, SlowPeersBeyondTheDescriptorsLeaveRoomForOthers) {
+TEST_F(SlowClientsTest, SlowPeersBeyondTheDescriptorsLeaveRoomForOthers) {
   std::vector<Plain> slow;
   std::string whole = request(1, "/api/v2/read", first);
   for (int i = 0; i < 300; ++i) {
@@ -245,7 +245,7 @@
 
 // A slow reader and a dribbler during a drain: the one has its answer flushed as far as it takes it, and both
 // are gone before the stop.
-TEST_F(SlowStory, ADrainIsOverInTimeWithSlowPeers) {
+TEST_F(SlowClientsTest, ADrainIsOverInTimeWithSlowPeers) {
   Plain dribbler = connected();
   dribbler.write(request(1, "/api/v2/read", first).substr(0, 40));
   Plain reader = narrow();
@@ -273,7 +273,7 @@
 }
 
 // With one that sends large bodies at full speed, a small request is answered in the same few turns.
-TEST_F(SlowStory, AFastPeerTakesItsTurnLikeAnyOther) {
+TEST_F(SlowClientsTest, AFastPeerTakesItsTurnLikeAnyOther) {
   Plain fast = connected();
   std::string much;
   for (int i = 0; i < 2'000; ++i) much += record(77, 0, std::string(1'000, 'x'));
@@ -294,7 +294,7 @@
 // ---- Below
 
 // An engine that reads nothing: what waits for it is bounded, and told anew on the next link.
-TEST_F(NetStory, AnEngineThatReadsNothingDoesNotFillTheMemory) {
+TEST_F(NetTest, AnEngineThatReadsNothingDoesNotFillTheMemory) {
   Plain listener;
   EngineClient link(loop, *this, at_port(listener.listen(4'096)), 65'536);
   service::EngineSession session(link, world.service);
@@ -313,7 +313,7 @@
 }
 
 // A database connection that takes no bytes costs the call that is on it.
-TEST_F(NetStory, ADatabaseConnectionThatTakesNothingIsChargedToItsCallAlone) {
+TEST_F(NetTest, ADatabaseConnectionThatTakesNothingIsChargedToItsCallAlone) {
   Plain listener;
   DatabaseClient database(loop, *this, at_port(listener.listen(4'096)), 2);
   database.begin(world.service);
--- a/tests/start_test.cpp
+++ b/tests/start_test.cpp
@@ -14,8 +14,8 @@
   std::string text;  // both outputs
 };
 
-struct StartStory : testing::Test {
-  ~StartStory() override { std::remove(file.c_str()); }
+struct ServerStartTest : testing::Test {
+  ~ServerStartTest() override { std::remove(file.c_str()); }
   // No shell metacharacters come from anywhere but here.
   Said run(const std::string& arguments, const std::string& config) {
     std::string line = "LB_CONFIG=" + config + " timeout 10 " MYRTLECROFT_PROGRAM " " + arguments + " 2>&1";
@@ -46,7 +46,7 @@
   }
 };
 
-TEST_F(StartStory, TellsOfItselfWithoutAnyFile) {
+TEST_F(ServerStartTest, TellsOfItselfWithoutAnyFile) {
   Said help = run("--help", "");
   EXPECT_EQ(help.code, 0);
   EXPECT_TRUE(has(help, "--check"));
@@ -55,20 +55,20 @@
   EXPECT_TRUE(has(version, "myrtlecroft "));
 }
 
-TEST_F(StartStory, UnknownWordsAreNotPassedOver) {
+TEST_F(ServerStartTest, UnknownWordsAreNotPassedOver) {
   EXPECT_EQ(run("--chek", "").code, 2);
   Said two = run("--check now", "");
   EXPECT_EQ(two.code, 2);
   EXPECT_TRUE(has(two, "now"));
 }
 
-TEST_F(StartStory, CheckFindsAGoodFileGood) {
+TEST_F(ServerStartTest, CheckFindsAGoodFileGood) {
   Said said = check(good);
   EXPECT_EQ(said.code, 0);
   EXPECT_TRUE(has(said, ": good"));
 }
 
-TEST_F(StartStory, CheckNamesFileLineAndField) {
+TEST_F(ServerStartTest, CheckNamesFileLineAndField) {
   Said wrong = check(with("\"gain\":1", "\"gain\":\"much\""));
   EXPECT_EQ(wrong.code, 2);
   EXPECT_TRUE(has(wrong, file + ":3: settings.classes[0].gain: is not a number")) << wrong.text;
@@ -79,7 +79,7 @@
 }
 
 // A server of a deployment that shares nothing below did not start: it is told of no database.
-TEST_F(StartStory, ADatabaseIsNamedOnlyWhereOneIsShared) {
+TEST_F(ServerStartTest, ADatabaseIsNamedOnlyWhereOneIsShared) {
   good = with("\"db\":\"127.0.0.1:8900\",", "");
   EXPECT_EQ(check(good).code, 0);
   Said shared = check(with("\"nCores\":2", "\"nCores\":2,\"downstream\":\"one_for_all\""));
@@ -87,7 +87,7 @@
 }
 
 // Our own deployments, as a server of each was told of it (deploy/sites).
-TEST_F(StartStory, TheSettingsOfOurOwnDeploymentsAreTaken) {
+TEST_F(ServerStartTest, TheSettingsOfOurOwnDeploymentsAreTaken) {
   for (const char* name : {"harrow-ledger", "tarn-feed"}) {
     Said said = run("--check", MYRTLECROFT_SITES "/" + std::string(name) + "/server.json");
     EXPECT_EQ(said.code, 0) << said.text;
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_F(StartStory, CheckNamesTheLineWhereTextStopsToBeJson) {
+TEST_F(ServerStartTest, CheckNamesTheLineWhereTextStopsToBeJson) {
   Said said = check(with("2000000000", "2.0.0"));
   EXPECT_EQ(said.code, 2);
   EXPECT_TRUE(has(said, file + ":3: ")) << said.text;
--- a/tests/tenant_index_test.cpp
+++ b/tests/tenant_index_test.cpp
@@ -61,7 +61,7 @@
   }
 }
 
-struct TenantIndexTest : net::FrontStory {
+struct TenantIndexTest : net::FastCgiServerTest {
   // What a server with so many tenants uses for a hundred requests, one after the other.
   double cpu_of_requests(int count) {
     ServiceConfig config = net::calling_much();
