--- a/src/overload/controller_core.cpp
+++ b/src/overload/controller_core.cpp
@@ -36,7 +36,7 @@
       memory_(config),
       concurrency_(config),
       capacity_(config, concurrency_),
-      health_(min_latency_objective(config)),
+      health_(min_latency_objective(config), concurrency_, capacity_),
       dependency_(config, concurrency_, capacity_),
       advice_(config, seed),
       idle_connections_(config) {}
@@ -260,8 +260,7 @@
 }
 
 void Controller::Core::change_health() {
-  double core_time = capacity_.core_time(now_);
-  auto transition = health_.next({.running = concurrency_.running(), .core_time = core_time}, now_);
+  auto transition = health_.next(now_);
   if (!transition) {
     health_.clear_progress();
     return;
@@ -270,8 +269,8 @@
   std::snprintf(line, sizeof line,
                 "%s -> %s: %s; running %d, queued %zu, window %d, limit %.1f, core time %.3f s, failed %.2f",
                 overload::name_of(transition->from), overload::name_of(transition->to), transition->reason,
-                concurrency_.running(), queue_.size(), window_.size(), concurrency_.limit(), core_time,
-                health_.failed_share(now_));
+                concurrency_.running(), queue_.size(), window_.size(), concurrency_.limit(),
+                capacity_.core_time(now_), health_.failed_share(now_));
   actions_.log(line);
   health_.enter(*transition, now_);
   switch (transition->action) {
--- a/src/overload/health_state.cpp
+++ b/src/overload/health_state.cpp
@@ -23,7 +23,7 @@
 
 struct HealthState::Row {
   Mode mode;
-  bool (HealthState::*when)(const HealthMeasures&, Nanos) const;
+  bool (HealthState::*when)(Nanos) const;
   Mode next;
   HealthAction action;
   const char* reason;
@@ -69,7 +69,7 @@
   return stop_at_ != 0 && request.arrived > drain_begun_ + grace;
 }
 
-std::optional<HealthTransition> HealthState::next(const HealthMeasures& measures, Nanos now) const {
+std::optional<HealthTransition> HealthState::next(Nanos now) const {
   static constexpr std::array<Row, 7> kRows = {{
       {Mode::kServing, &HealthState::draining, Mode::kDraining, HealthAction::kReportBad,
        "graceful shutdown"},
@@ -86,7 +86,7 @@
       {Mode::kProbing, &HealthState::proven, Mode::kServing, HealthAction::kRestart, "probes succeeded"},
   }};
   for (const Row& row : kRows) {
-    if (row.mode != mode_ || !(this->*row.when)(measures, now)) continue;
+    if (row.mode != mode_ || !(this->*row.when)(now)) continue;
     return HealthTransition{row.mode, row.next, row.action, row.reason};
   }
   return std::nullopt;
@@ -104,21 +104,21 @@
 
 // The fewer runs, the longer a pause that chance explains, more so where some work takes far longer than
 // most. A sudden slowdown by several times looks the same at first; it costs a short time of probing.
-bool HealthState::stalled(const HealthMeasures& measures, Nanos now) const {
+bool HealthState::stalled(Nanos now) const {
   if (runs_fail(now)) return true;
-  if (measures.running == 0) return false;
+  if (concurrency_.running() == 0) return false;
   double pause = seconds(now - last_progress_);
-  return pause > measures.core_time * (kMinStallCoreTimes + kStallCoreTimes / measures.running) &&
+  return pause > capacity_.core_time(now) * (kMinStallCoreTimes + kStallCoreTimes / concurrency_.running()) &&
          pause > kMinStallOfObjective * seconds(min_objective_);
 }
 
-bool HealthState::may_probe(const HealthMeasures& measures, Nanos now) const {
+bool HealthState::may_probe(Nanos now) const {
   bool rested = now - stalled_at_ >= kMinStall;
-  if (rested) return measures.running == 0 || progressed_;
+  if (rested) return concurrency_.running() == 0 || progressed_;
   return progressed_ && !runs_fail(now);
 }
 
-bool HealthState::proven(const HealthMeasures&, Nanos) const { return probes_ok_ >= kProbesToProve; }
+bool HealthState::proven(Nanos) const { return probes_ok_ >= kProbesToProve; }
 
 bool HealthState::runs_fail(Nanos now) const {
   return runs_.read(now) >= kMinRunsToJudge && failed_share(now) > kFailingShare;
--- a/src/overload/health_state.h
+++ b/src/overload/health_state.h
@@ -6,6 +6,8 @@
 
 #include "myrtlecroft/controller.h"
 #include "myrtlecroft/decaying_sum.h"
+#include "overload/capacity_estimate.h"
+#include "overload/concurrency_limit.h"
 
 namespace myrtlecroft::overload {
 
@@ -26,16 +28,11 @@
   const char* reason;
 };
 
-// Measured by others.
-struct HealthMeasures {
-  int running = 0;
-  double core_time = 0;  // seconds for one request
-};
-
 class HealthState {
  public:
-  // `min_objective`: the shortest latency objective of any class.
-  explicit HealthState(Nanos min_objective) : min_objective_(min_objective) {}
+  // `min_objective`: the shortest latency objective of any class. The others must outlive it.
+  HealthState(Nanos min_objective, const ConcurrencyLimit& concurrency, const CapacityEstimate& capacity)
+      : min_objective_(min_objective), concurrency_(concurrency), capacity_(capacity) {}
 
   void start(Nanos now) { last_progress_ = now; }
   // A run or a call moved on.
@@ -58,7 +55,7 @@
   bool stops_within(Nanos time, Nanos now) const { return stop_at_ != 0 && stop_at_ - now <= time; }
 
   // The transition that is due, if any; it is in force once enter() was called.
-  std::optional<HealthTransition> next(const HealthMeasures& measures, Nanos now) const;
+  std::optional<HealthTransition> next(Nanos now) const;
   void enter(const HealthTransition& transition, Nanos now);
   // Progress counts until here only.
   void clear_progress() { progressed_ = false; }
@@ -66,15 +63,17 @@
  private:
   struct Row;
 
-  bool draining(const HealthMeasures&, Nanos) const { return stop_at_ != 0; }
-  bool stalled(const HealthMeasures& measures, Nanos now) const;
-  bool may_probe(const HealthMeasures& measures, Nanos now) const;
-  bool proven(const HealthMeasures&, Nanos) const;
+  bool draining(Nanos) const { return stop_at_ != 0; }
+  bool stalled(Nanos now) const;
+  bool may_probe(Nanos now) const;
+  bool proven(Nanos) const;
   bool runs_fail(Nanos now) const;
 
   static constexpr Nanos kFailuresRecent = 3 * kSecond;
 
   Nanos min_objective_;
+  const ConcurrencyLimit& concurrency_;
+  const CapacityEstimate& capacity_;
   Mode mode_ = Mode::kServing;
   Nanos drain_begun_ = 0;
   Nanos stop_at_ = 0;  // 0: not draining
--- a/tests/admission_window_test.cpp
+++ b/tests/admission_window_test.cpp
@@ -6,14 +6,6 @@
 namespace myrtlecroft {
 namespace {
 
-// A server whose window alone decides: latency objectives far away, so that the room never binds.
-ServiceConfig window_only() {
-  ServiceConfig config = two_core_config();
-  for (RequestClass& request_class : config.request_classes)
-    request_class.latency_objective = request_class.client_timeout = 3600 * kSecond;
-  return config;
-}
-
 TEST(AdmissionWindowTest, RejectsBeyondFourTimesTheCoresAndStartsInArrivalOrder) {
   ControllerHarness server(window_only());
   server.receive_many(2 + 8);
--- a/tests/controller_harness.h
+++ b/tests/controller_harness.h
@@ -48,6 +48,20 @@
   return config;
 }
 
+// A server with another share of the dependency.
+inline ServiceConfig sharing(double dependency_share, ServiceConfig config = two_core_config()) {
+  config.dependency_share = dependency_share;
+  return config;
+}
+
+// A server whose window alone decides: latency objectives far away, so that the room never binds.
+inline ServiceConfig window_only() {
+  ServiceConfig config = two_core_config();
+  for (RequestClass& request_class : config.request_classes)
+    request_class.latency_objective = request_class.client_timeout = 3600 * kSecond;
+  return config;
+}
+
 enum RequestClassIndex { kReadClass, kWriteClass, kCallerClass, kSkipperClass };
 
 class ControllerHarness : public ControllerActions {
--- a/tests/dependency_budget_test.cpp
+++ b/tests/dependency_budget_test.cpp
@@ -6,20 +6,6 @@
 namespace myrtlecroft {
 namespace {
 
-// A server whose window alone decides: latency objectives far away, so that the room never binds.
-ServiceConfig window_only() {
-  ServiceConfig config = two_core_config();
-  for (RequestClass& request_class : config.request_classes)
-    request_class.latency_objective = request_class.client_timeout = 3600 * kSecond;
-  return config;
-}
-
-// A server with another share of the dependency.
-ServiceConfig sharing(double dependency_share, ServiceConfig config = two_core_config()) {
-  config.dependency_share = dependency_share;
-  return config;
-}
-
 TEST(DependencyBudgetTest, CallsStayWithinTheShareAndAbandonedOnesStillCount) {
   ControllerHarness server;
   Request& first = server.receive(kCallerClass);
