--- a/src/consensus/store_raft_storage.cpp
+++ b/src/consensus/store_raft_storage.cpp
@@ -28,7 +28,7 @@
   return out;
 }
 
-std::string vote_of(std::uint64_t term, InstanceId voted_for) {
+std::string vote_of(std::uint64_t term, ReplicaId voted_for) {
   Vote out;
   out.set_term(term);
   out.set_voted_for(voted_for);
@@ -98,7 +98,7 @@
   }
 }
 
-void StoreRaftStorage::set_owner(InstanceId id) {
+void StoreRaftStorage::set_owner(ReplicaId id) {
   std::string value;
   store::put_number(value, id);
   if (!put_and_wait(kOwnerKey, value)) throw std::runtime_error(kUnwritable);
@@ -139,8 +139,8 @@
 
 void StoreRaftStorage::drop_entry(std::uint64_t index) { committer_->erase(key_of(index)); }
 
-// Callbacks run from take_done() only: neither within the call that wrote nor while a vote is awaited.
-RaftStorage::Done StoreRaftStorage::in_order(Done done, std::function<void()> on_durable) {
+// Callbacks run from run_completions() only: neither within the call that wrote nor while a vote is awaited.
+RaftStorage::WriteCallback StoreRaftStorage::in_order(WriteCallback done, std::function<void()> on_durable) {
   return [this, done = std::move(done), on_durable = std::move(on_durable),
           generation = generation_](bool durable) {
     if (generation != generation_) return;
@@ -150,7 +150,7 @@
   };
 }
 
-void StoreRaftStorage::take_done() {
+void StoreRaftStorage::run_completions() {
   committer_->deliver_completions();
   while (!finished_.empty()) {
     Finished one = std::move(finished_.front());
@@ -159,7 +159,7 @@
   }
 }
 
-bool StoreRaftStorage::save_vote(std::uint64_t term, InstanceId voted_for) {
+bool StoreRaftStorage::save_vote(std::uint64_t term, ReplicaId voted_for) {
   if (failed_) return false;
   if (!put_and_wait(kVoteKey, vote_of(term, voted_for))) {
     failed_ = true;
@@ -170,7 +170,7 @@
   return true;
 }
 
-void StoreRaftStorage::append(std::uint64_t first, std::vector<LogEntry> entries, Done done) {
+void StoreRaftStorage::append(std::uint64_t first, std::vector<LogEntry> entries, WriteCallback done) {
   std::size_t count = entries.size();
   for (std::size_t i = 0; i < count; ++i) {
     std::function<void()> on_durable = [this, index = first + i, entry = entries[i]] {
@@ -180,7 +180,7 @@
     };
     highest_ = std::max(highest_, first + i);
     put(key_of(first + i), entries[i].SerializeAsString(),
-        in_order(i + 1 == count ? done : Done(), std::move(on_durable)));
+        in_order(i + 1 == count ? done : WriteCallback(), std::move(on_durable)));
   }
 }
 
@@ -193,7 +193,8 @@
       }));
 }
 
-void StoreRaftStorage::save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained, Done done) {
+void StoreRaftStorage::save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained,
+                                     WriteCallback done) {
   put(kSnapshotKey, snapshot.SerializeAsString(), in_order(std::move(done), [this, snapshot, first_retained] {
         persisted_.snapshot = snapshot;
         while (persisted_.first < first_retained && !persisted_.entries.empty()) {
--- a/src/consensus/store_raft_storage.h
+++ b/src/consensus/store_raft_storage.h
@@ -15,29 +15,29 @@
 
 class StoreRaftStorage final : public RaftStorage {
  public:
-  // `wake` is called on the store's thread when take_done() has completions to run. Throws store::StoreError
-  // where the folder can't be used, also where another process has it, and std::runtime_error where the log
-  // in it has a gap.
+  // `wake` is called on the store's thread when run_completions() has completions to run. Throws
+  // store::StoreError where the folder can't be used, also where another process has it, and
+  // std::runtime_error where the log in it has a gap.
   StoreRaftStorage(const std::string& folder, std::function<Nanos()> clock, std::function<void()> wake);
   ~StoreRaftStorage() override;
 
-  // Runs the `Done` callbacks of completed writes.
-  void take_done();
+  // Runs the `WriteCallback` callbacks of completed writes.
+  void run_completions();
   // The instance that the folder belongs to; another must not use it. 0: none yet.
-  InstanceId owner() const { return owner_; }
-  void set_owner(InstanceId id);
+  ReplicaId owner() const { return owner_; }
+  void set_owner(ReplicaId id);
 
   PersistentState load() override;
   bool is_writable() const override;
-  bool save_vote(std::uint64_t term, InstanceId voted_for) override;
-  void append(std::uint64_t first, std::vector<LogEntry> entries, Done done) override;
+  bool save_vote(std::uint64_t term, ReplicaId voted_for) override;
+  void append(std::uint64_t first, std::vector<LogEntry> entries, WriteCallback done) override;
   void truncate(std::uint64_t from) override;
-  void save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained, Done done) override;
+  void save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained, WriteCallback done) override;
   void replace(const PersistentState& state) override;
 
  private:
   struct Finished {
-    Done done;
+    WriteCallback done;
     bool durable = false;
   };
   void recover();
@@ -45,11 +45,11 @@
   void put(const std::string& key, const std::string& value, std::function<void(bool)> done);
   void drop_entry(std::uint64_t index);
   bool put_and_wait(const std::string& key, const std::string& value);  // false: not known to be durable
-  Done in_order(Done done, std::function<void()> on_durable);
+  WriteCallback in_order(WriteCallback done, std::function<void()> on_durable);
 
   store::FileDisk disk_;
   store::Store store_;
-  InstanceId owner_ = 0;
+  ReplicaId owner_ = 0;
   // What is known to be durable.
   PersistentState persisted_;
   std::uint64_t highest_ = 0;  // index of any entry that was ever written
--- a/src/control/admin_answer_writer.cpp
+++ b/src/control/admin_answer_writer.cpp
@@ -26,7 +26,7 @@
     body = too_large.SerializeAsString();
   }
   connection.write(length_prefix(body.size()) + body);
-  connection.linger(net::Reason::kDone);
+  connection.linger(net::CloseReason::kDone);
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -28,8 +28,8 @@
 }
 
 void AdminCommands::finish(PendingCommand& pending, const std::string& result) {
-  if (result.starts_with(releases::kCommandRejected)) {
-    pending.answer.set_error(result.substr(releases::kCommandRejected.size()));
+  if (result.starts_with(releases::kCommandRejectedPrefix)) {
+    pending.answer.set_error(result.substr(releases::kCommandRejectedPrefix.size()));
   } else {
     pending.answer.set_done(result);
   }
@@ -44,14 +44,14 @@
                          .answer = std::move(answer)};
   agreement::ControlReplica& replica = control_.replica();
   if (!replica.has_quorum()) {
-    finish(pending, releases::kCommandRejected +
+    finish(pending, releases::kCommandRejectedPrefix +
                         "this instance is out of touch with a majority, and nothing is permitted");
     return;
   }
   for (const auto& [other, agreed] : replica.agreed().instances()) {
     if (agreed.format >= agreement::kMaintenanceFormat) continue;
     finish(pending,
-           releases::kCommandRejected + "instance " + std::to_string(other) + " knows no releases yet");
+           releases::kCommandRejectedPrefix + "instance " + std::to_string(other) + " knows no releases yet");
     return;
   }
   pending.command = replica.submit_command(command);
@@ -79,7 +79,7 @@
     } else {
       // It may have reached a leader that will still have it agreed, or never.
       replica.forget_command(pending.command);
-      finish(pending, releases::kCommandRejected +
+      finish(pending, releases::kCommandRejectedPrefix +
                           "not agreed in time; it may still come to be: see 'release status' and 'outings'");
     }
     next = pending_.erase(next);
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -46,7 +46,7 @@
   row.set_cold(server.report.warming_up);
   row.set_window(server.report.window);
   row.set_limit(server.report.limit);
-  row.set_held(server.report.held);
+  row.set_held(server.report.queued_requests);
   row.set_weight(server.weight);
   row.set_ramp(server.slow_start_factor);
   row.set_flaps(server.flaps);
@@ -59,12 +59,12 @@
   row.set_id(proxy.id);
   row.set_zone(proxy.zone);
   row.set_peer(proxy.peer);
-  row.set_form(proxy.form == xds::Form::kDelta ? "delta" : "sotw");
+  row.set_form(proxy.variant == xds::ProtocolVariant::kDelta ? "delta" : "sotw");
   row.set_applied(proxy.applied);
   row.set_acks(proxy.acks);
   row.set_nacks(proxy.nacks);
-  for (std::size_t i = 0; i < std::min(kMaxNacksPerProxy, proxy.refusals.size()); ++i) {
-    const xds::Refusal& nack = proxy.refusals[i];
+  for (std::size_t i = 0; i < std::min(kMaxNacksPerProxy, proxy.rejected_resources.size()); ++i) {
+    const xds::RejectedResource& nack = proxy.rejected_resources[i];
     row.add_refused(std::string(xds::name_of(nack.type)) + " " + nack.resource + ": " +
                     nack.reason.substr(0, kMaxNackReasonLength));
   }
@@ -79,7 +79,7 @@
 void select_page(google::protobuf::RepeatedPtrField<Row>& rows, Pager& pager, Matches matches_row) {
   google::protobuf::RepeatedPtrField<Row> selected;
   for (Row& row : rows) {
-    if (matches_row(row) && pager.next(bytes_of(row))) selected.Add(std::move(row));
+    if (matches_row(row) && pager.add_row(bytes_of(row))) selected.Add(std::move(row));
   }
   rows.Swap(&selected);
 }
@@ -136,7 +136,7 @@
   std::vector<std::uint32_t> shards(servers.size());
   for (const routing::Shard& shard : router_.shards().all()) {
     if (shard.state != routing::ShardState::kOwned) continue;
-    int place = router_.registry().place_of(shard.owner);
+    int place = router_.registry().index_of(shard.owner);
     if (place >= 0) ++shards[static_cast<std::size_t>(place)];
   }
   for (std::size_t place = 0; place < servers.size(); ++place) {
@@ -146,7 +146,7 @@
                            .name = server.node.name};
     if (!matches(query, labels)) continue;
     ServerRow row = row_of(server, shards[place], loop_.now());
-    if (pager.next(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
+    if (pager.add_row(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
   }
 }
 
@@ -154,7 +154,7 @@
   for (const xds::ProxyView& proxy : discovery_.view()) {
     if (!matches(query, {.zone = proxy.zone, .state = "", .name = proxy.id})) continue;
     ProxyRow row = row_of(proxy);
-    if (pager.next(row.ByteSizeLong())) *answer.add_proxies() = std::move(row);
+    if (pager.add_row(row.ByteSizeLong())) *answer.add_proxies() = std::move(row);
   }
 }
 
--- a/src/control/admin_query.cpp
+++ b/src/control/admin_query.cpp
@@ -59,11 +59,12 @@
 std::vector<std::string_view> states_of(Topic topic) {
   std::vector<std::string_view> out;
   if (topic == Topic::kSnapshot) {
-    for (auto health : {routing::Health::kHealthy, routing::Health::kDraining, routing::Health::kOut})
+    for (auto health :
+         {routing::Health::kHealthy, routing::Health::kDraining, routing::Health::kOutOfRotation})
       out.push_back(routing_state::stored_name(health));
     return out;
   }
-  for (int state = 0; state < routing::kStates; ++state)
+  for (int state = 0; state < routing::kServerStateCount; ++state)
     out.push_back(routing_state::stored_name(static_cast<routing::ServerState>(state)));
   return out;
 }
--- a/src/control/admin_server.cpp
+++ b/src/control/admin_server.cpp
@@ -38,7 +38,7 @@
 std::size_t AdminServer::received(FrameServer::Id id, net::Connection& connection, std::string_view bytes) {
   std::size_t end = bytes.find('\n');
   if (end == std::string_view::npos) {
-    if (bytes.size() > kMaxLineBytes) connection.end(net::Reason::kMalformed);
+    if (bytes.size() > kMaxLineBytes) connection.end(net::CloseReason::kMalformed);
     return 0;
   }
   std::string line(bytes.substr(0, end));
--- a/src/control/command_line.cpp
+++ b/src/control/command_line.cpp
@@ -71,8 +71,10 @@
   serve
       .add_option("--hold-format", agreement.max_entry_format,
                   "Accept and write no newer format of log entries, for an upgrade that may be rolled back")
-      ->check(CLI::Range(1u, agreement::kFormat));
-  serve.add_option("--snapshot-after", agreement.snapshot_after, "Entries of the log between two snapshots")
+      ->check(CLI::Range(1u, agreement::kEntryFormat));
+  serve
+      .add_option("--snapshot-after", agreement.snapshot_threshold,
+                  "Entries of the log between two snapshots")
       ->check(CLI::Range(kMinSnapshotAfter, kMaxSnapshotAfter))
       ->capture_default_str();
 }
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-Control::Control(net::Loop& loop, service::Logger& log, ControlOptions options)
+ControlService::ControlService(net::Loop& loop, service::Logger& log, ControlOptions options)
     : loop_(loop),
       log_(log),
       options_(std::move(options)),
-      discovery_([this](const std::string& line) { log_.frequent(line); }),
+      discovery_([this](const std::string& line) { log_.write_rate_limited(line); }),
       publisher_(loop, log, discovery_),
       durable_publication_(loop, log, options_.state_folder,
                            {.discovery = discovery_,
@@ -39,7 +39,7 @@
       replicated_(make_replica()),
       router_(own_router_ ? *own_router_ : replicated_->replica().router()),
       reports_(loop, log, options_.addresses.reports,
-               {.router = router_, .replica = replica(), .mode_changed = [this] { decide_soon(); }}),
+               {.router = router_, .replica = replica(), .mode_changed = [this] { request_decision(); }}),
       proxies_(discovery_, load_reporting_, router_, replica()),
       admin_(loop, log, options_.addresses.admin,
              {.router = router_,
@@ -52,31 +52,31 @@
       std::make_unique<DiscoveryServer>(options_.addresses.discovery, discovery_, load_reporting_);
 }
 
-std::unique_ptr<routing::Router> Control::make_router() {
+std::unique_ptr<routing::Router> ControlService::make_router() {
   if (options_.agreement.id != 0) return nullptr;
   return std::make_unique<routing::Router>(fleet::read_fleet(options_.fleet_path),
                                            durable_publication_.restore(), options_.first_start, loop_.now(),
                                            [this](const std::string& line) { log_.line(line); });
 }
 
-std::unique_ptr<ReplicatedControl> Control::make_replica() {
+std::unique_ptr<ReplicatedControl> ControlService::make_replica() {
   if (options_.agreement.id == 0) return nullptr;
   return std::make_unique<ReplicatedControl>(
       loop_, log_, options_.agreement,
       ReplicatedControl::Start{.fleet = fleet::read_fleet(options_.fleet_path),
                                .first_start = options_.first_start,
-                               .settings_hash = hash_of_file(options_.fleet_path)},
+                               .fleet_file_hash = hash_of_file(options_.fleet_path)},
       [this] { serve_agreed(); });
 }
 
-void Control::reload() {
+void ControlService::reload() {
   try {
     fleet::Fleet fleet = fleet::read_fleet(options_.fleet_path);
     std::size_t servers = fleet.nodes.size();
     if (replicated_) {
-      replicated_->replica().fleet_changed(std::move(fleet), hash_of_file(options_.fleet_path));
+      replicated_->replica().update_fleet(std::move(fleet), hash_of_file(options_.fleet_path));
     } else {
-      router_.fleet_changed(std::move(fleet), loop_.now());
+      router_.update_fleet(std::move(fleet), loop_.now());
     }
     log_.line("reload: fleet file applied, " + std::to_string(servers) + " servers");
   } catch (const std::exception& error) {
@@ -84,7 +84,7 @@
   }
 }
 
-void Control::transfer_leadership(std::function<void()> done) {
+void ControlService::transfer_leadership(std::function<void()> done) {
   if (replicated_) {
     replicated_->transfer_leadership(std::move(done));
   } else {
@@ -92,12 +92,12 @@
   }
 }
 
-void Control::decide_soon() {
-  if (replicated_) replicated_->replica().decide_soon();
+void ControlService::request_decision() {
+  if (replicated_) replicated_->replica().request_decision();
   step_timer_.set(0);
 }
 
-void Control::step() {
+void ControlService::step() {
   step_timer_.set(kStepInterval);
   proxies_.step(loop_.now());
   if (replicated_) {
@@ -107,7 +107,7 @@
   }
 }
 
-void Control::decide_alone() {
+void ControlService::decide_alone() {
   if (!publisher_.may_publish()) {
     router_.observe(loop_.now());
   } else if (auto published = router_.step(loop_.now())) {
@@ -120,12 +120,12 @@
   durable_publication_.step();
 }
 
-void Control::serve_agreed() {
+void ControlService::serve_agreed() {
   admin_.tick();
   publisher_.publish_agreed(replicated_->replica());
 }
 
-ControlStatus Control::status() const {
+ControlStatus ControlService::status() const {
   return {.published = publisher_.number(),
           .applied_by_all = proxies_.applied_by_all(),
           .disk_fails = durable_publication_.disk_fails()};
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -35,11 +35,11 @@
   AgreementOptions agreement;
 };
 
-class Control {
+class ControlService {
  public:
   // Throws settings::DocumentError for the fleet file, ListenError, StateFolderError, LogFolderError, and
   // std::runtime_error for other faults of a folder.
-  Control(net::Loop& loop, service::Logger& log, ControlOptions options);
+  ControlService(net::Loop& loop, service::Logger& log, ControlOptions options);
 
   // Reads the fleet file again. An invalid one is logged and changes nothing.
   void reload();
@@ -59,7 +59,7 @@
   void step();
   void decide_alone();
   void serve_agreed();
-  void decide_soon();
+  void request_decision();
 
   net::Loop& loop_;
   service::Logger& log_;
--- a/src/control/discovery_service.cpp
+++ b/src/control/discovery_service.cpp
@@ -21,8 +21,8 @@
 }
 
 // Refers to the bytes of a resource, and keeps it alive until the last write of them is done.
-grpc::Slice shared_slice(const xds::ResourcePtr& resource, xds::Form form) {
-  const std::string& bytes = xds::body_of(*resource, form);
+grpc::Slice shared_slice(const xds::ResourcePtr& resource, xds::ProtocolVariant variant) {
+  const std::string& bytes = xds::encoded_resource(*resource, variant);
   return grpc::Slice(
       const_cast<char*>(bytes.data()), bytes.size(),
       [](void* owner) { delete static_cast<xds::ResourcePtr*>(owner); }, new xds::ResourcePtr(resource));
@@ -32,11 +32,11 @@
 
 class DiscoveryService::Stream final : public grpc::ServerBidiReactor<ByteBuffer, ByteBuffer> {
  public:
-  Stream(DiscoveryService& service, xds::Form form, const std::string& peer)
-      : service_(service), form_(form) {
+  Stream(DiscoveryService& service, xds::ProtocolVariant variant, const std::string& peer)
+      : service_(service), form_(variant) {
     std::lock_guard lock(service_.mutex_);
     ++service_.changes_;
-    id_ = service_.table_.open(form, peer);
+    id_ = service_.table_.open(variant, peer);
     service_.streams_[id_] = this;
     StartRead(&in_);
   }
@@ -48,7 +48,7 @@
     if (!response) return;
     std::vector<grpc::Slice> slices;
     slices.reserve(response->resources.size() + 1);
-    slices.emplace_back(xds::head_of(*response, form_));
+    slices.emplace_back(xds::encode_response_header(*response, form_));
     for (const xds::ResourcePtr& resource : response->resources)
       slices.push_back(shared_slice(resource, form_));
     out_ = ByteBuffer(slices.data(), slices.size());
@@ -64,7 +64,7 @@
     }
     if (ending_) return;
     grpc::Slice bytes;
-    xds::ReadRequest read;
+    xds::ParsedRequest read;
     if (!in_.DumpToSingleSlice(&bytes).ok() || !xds::read_request(form_, bytes.begin(), bytes.size(), read)) {
       fail(grpc::StatusCode::INVALID_ARGUMENT, {.sent = kMalformedRequest, .logged = "malformed request"});
       return;
@@ -101,7 +101,7 @@
   };
 
   // False where the stream was ended for it.
-  bool handle(const xds::ReadRequest& read) {
+  bool handle(const xds::ParsedRequest& read) {
     named_ = named_ || !read.node.empty();
     if (!named_) {
       fail(grpc::StatusCode::INVALID_ARGUMENT,
@@ -109,8 +109,8 @@
       return false;
     }
     ++service_.changes_;
-    xds::Fault fault = service_.table_.request(id_, read.node, read.zone, *read.request, steady_now());
-    if (fault != xds::Fault::kNone) {
+    xds::StreamError fault = service_.table_.request(id_, read.node, read.zone, *read.request, steady_now());
+    if (fault != xds::StreamError::kNone) {
       fail(grpc::StatusCode::RESOURCE_EXHAUSTED,
            {.sent = xds::name_of(fault), .logged = xds::name_of(fault)});
       return false;
@@ -128,7 +128,7 @@
   }
 
   DiscoveryService& service_;
-  xds::Form form_;
+  xds::ProtocolVariant form_;
   xds::StreamId id_ = 0;
   ByteBuffer in_;
   ByteBuffer out_;
@@ -145,11 +145,11 @@
   explicit Adapter(DiscoveryService& service) : service_(service) {}
   grpc::ServerBidiReactor<ByteBuffer, ByteBuffer>* StreamAggregatedResources(
       grpc::CallbackServerContext* context) override {
-    return new Stream(service_, xds::Form::kStateOfTheWorld, context->peer());
+    return new Stream(service_, xds::ProtocolVariant::kStateOfTheWorld, context->peer());
   }
   grpc::ServerBidiReactor<ByteBuffer, ByteBuffer>* DeltaAggregatedResources(
       grpc::CallbackServerContext* context) override {
-    return new Stream(service_, xds::Form::kDelta, context->peer());
+    return new Stream(service_, xds::ProtocolVariant::kDelta, context->peer());
   }
 
  private:
@@ -179,9 +179,9 @@
   write_to_all();
 }
 
-void DiscoveryService::gate_stays(Nanos fresh_until, std::shared_ptr<const xds::ResourceSet> closed) {
+void DiscoveryService::extend_gate(Nanos fresh_until, std::shared_ptr<const xds::ResourceSet> closed) {
   std::lock_guard lock(mutex_);
-  if (table_.gate_stays(fresh_until, std::move(closed), steady_now())) write_to_all();
+  if (table_.extend_gate(fresh_until, std::move(closed), steady_now())) write_to_all();
 }
 
 std::uint64_t DiscoveryService::changes() const {
@@ -191,7 +191,7 @@
 
 void DiscoveryService::restore_known(const std::vector<std::string>& proxies) {
   std::lock_guard lock(mutex_);
-  table_.remember(proxies, steady_now());
+  table_.restore_proxies(proxies, steady_now());
 }
 
 std::vector<std::string> DiscoveryService::known() const {
--- a/src/control/discovery_service.h
+++ b/src/control/discovery_service.h
@@ -31,7 +31,7 @@
   // Which proxies are served, where several replicas agree on it.
   void gate(xds::SessionTable::Gate gate);
   // The same proxies as in the last gate().
-  void gate_stays(Nanos fresh_until, std::shared_ptr<const xds::ResourceSet> closed);
+  void extend_gate(Nanos fresh_until, std::shared_ptr<const xds::ResourceSet> closed);
   // Proxies that were served before a restart, and may still route by what they had.
   void restore_known(const std::vector<std::string>& proxies);
   // Those that must be restored after a restart: connected, or disconnected not long ago.
--- a/src/control/frame_server.cpp
+++ b/src/control/frame_server.cpp
@@ -23,10 +23,10 @@
         id_(id),
         connection_(frame_server.loop_.base(), socket, *this, frame_server.log_,
                     frame_server.peer_kind_ + " " + std::to_string(id)) {}
-  std::size_t came(net::Connection& connection, std::string_view bytes) override {
+  std::size_t bytes_received(net::Connection& connection, std::string_view bytes) override {
     return frame_server_.handlers_.received(id_, connection, bytes);
   }
-  void ended(net::Connection&, net::Reason) override {
+  void ended(net::Connection&, net::CloseReason) override {
     frame_server_.handlers_.closed(id_);
     frame_server_.sessions_.erase(id_);
   }
@@ -71,7 +71,8 @@
 
 void FrameServer::accept_failed(evconnlistener*, void* given) {
   auto* self = static_cast<FrameServer*>(given);
-  self->log_.frequent("accept failed for " + self->peer_kind_ + ": " + std::strerror(EVUTIL_SOCKET_ERROR()));
+  self->log_.write_rate_limited("accept failed for " + self->peer_kind_ + ": " +
+                                std::strerror(EVUTIL_SOCKET_ERROR()));
   evconnlistener_disable(self->listener_.get());
   self->resume_accepting_.set(kAcceptBackoff);
 }
@@ -79,7 +80,7 @@
 void FrameServer::add_session(evutil_socket_t socket) {
   Id id = ++last_id_;
   auto& session = sessions_[id] = std::make_unique<Session>(*this, id, socket);
-  if (sessions_.size() > max_connections_) session->connection().end(net::Reason::kCrowded);
+  if (sessions_.size() > max_connections_) session->connection().end(net::CloseReason::kCrowded);
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -100,7 +100,7 @@
   net::reserve_descriptors(kMaxDescriptors);  // before any thread
   net::Loop loop;
   net::Log log(loop);
-  Control control(loop, log, std::move(options));
+  ControlService control(loop, log, std::move(options));
   net::Timer stop(loop.base(), [&] { loop.stop(); });
   auto shut_down = [&] {
     stop.set(kMaxLeadershipTransfer);
--- a/src/control/maintenance_rows.cpp
+++ b/src/control/maintenance_rows.cpp
@@ -36,7 +36,7 @@
     row.set_name(part.name);
     row.set_most(part.max);
     row.set_out(part.out);
-    row.set_chosen(part.chosen);
+    row.set_chosen(part.voluntarily_unavailable);
     row.set_all(part.all);
   }
 }
--- a/src/control/pager.h
+++ b/src/control/pager.h
@@ -15,7 +15,7 @@
   explicit Pager(std::size_t page) : requested_(page) {}
 
   // To be called for each row in order; true where it stands on the requested page.
-  bool next(std::size_t bytes) {
+  bool add_row(std::size_t bytes) {
     bool full = rows_on_page_ == kMaxRows || (rows_on_page_ > 0 && bytes_on_page_ + bytes > kMaxBytes);
     if (full || pages_ == 0) {
       ++pages_;
--- a/src/control/peer_links.cpp
+++ b/src/control/peer_links.cpp
@@ -133,7 +133,7 @@
 };
 
 PeerLinks::PeerLinks(net::Loop& loop, const std::string& address,
-                     std::map<consensus::InstanceId, std::string> address_overrides, MessageHandler received)
+                     std::map<consensus::ReplicaId, std::string> address_overrides, MessageHandler received)
     : received_(std::move(received)),
       address_overrides_(std::move(address_overrides)),
       inbox_wakeup_(loop.base(), [this] { deliver(); }),
@@ -165,7 +165,7 @@
     }
     inbox_.push_back(std::move(message));
   }
-  inbox_wakeup_.fire();
+  inbox_wakeup_.notify();
 }
 
 void PeerLinks::deliver() {
--- a/src/control/peer_links.h
+++ b/src/control/peer_links.h
@@ -26,7 +26,7 @@
   // where a replica is reached from here, where that is not the address the cluster knows. Throws
   // ListenError.
   PeerLinks(net::Loop& loop, const std::string& address,
-            std::map<consensus::InstanceId, std::string> address_overrides, MessageHandler received);
+            std::map<consensus::ReplicaId, std::string> address_overrides, MessageHandler received);
   ~PeerLinks() override;
 
   // Queues the message. Beyond the queue's bounds the oldest ones are dropped.
@@ -48,7 +48,7 @@
   static void open(const std::shared_ptr<Link>& link);
 
   MessageHandler received_;
-  std::map<consensus::InstanceId, std::string> address_overrides_;
+  std::map<consensus::ReplicaId, std::string> address_overrides_;
   mutable std::mutex mutex_;
   std::deque<consensus::PeerMessage> inbox_;
   std::uint64_t dropped_ = 0;  // from the inbox
--- a/src/control/proxy_monitor.cpp
+++ b/src/control/proxy_monitor.cpp
@@ -29,7 +29,7 @@
   for (const ProxyLoad& load : load_reporting_.take()) {
     std::string server = load.node;
     const routing::ServerStatus* listening =
-        server.empty() ? router_.registry().server_at(load.address) : nullptr;
+        server.empty() ? router_.registry().server_at_address(load.address) : nullptr;
     if (listening) server = listening->node.name;
     router_.handle_proxy_counts({server, load.issued, load.succeeded, load.failed}, now);
   }
@@ -37,14 +37,14 @@
 
 void ProxyMonitor::pass_applied() {
   if (!replica_) {
-    applied_by_all_ = discovery_.applied_by_all(router_.fleet().bounds.forget_proxies);
-    router_.all_proxies_applied(applied_by_all_);
+    applied_by_all_ = discovery_.applied_by_all(router_.fleet().bounds.disconnected_proxy_expiry);
+    router_.set_applied_by_all_proxies(applied_by_all_);
     return;
   }
   // Read before the proxies are, so that a change meanwhile is seen by the next step.
   std::uint64_t changes = discovery_.changes();
   if (seen_changes_ == changes) {
-    replica_->local_proxies_unchanged();
+    replica_->refresh_local_proxies();
   } else {
     replica_->set_local_proxies(status_of(discovery_.view()));
   }
--- a/src/control/publisher.cpp
+++ b/src/control/publisher.cpp
@@ -7,8 +7,8 @@
 
 void Publisher::publish(const routing::PublishedSnapshot& published) {
   const Nanos begun = loop_.now();
-  auto set = xds::make_resources(published, served_.get());
-  if (std::string fault = xds::fault_of(*set, served_.get()); !fault.empty()) {
+  auto set = xds::build_resource_set(published, served_.get());
+  if (std::string fault = xds::find_inconsistency(*set, served_.get()); !fault.empty()) {
     log_.line("publication " + std::to_string(set->number) + " is inconsistent and not served: " + fault);
     return;
   }
@@ -31,7 +31,7 @@
   if (closed_ && closed_->number == published.number) return;
   routing::PublishedSnapshot closed = published;
   closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
-  closed_ = xds::make_resources(closed, nullptr);
+  closed_ = xds::build_resource_set(closed, nullptr);
 }
 
 // The list of proxies is passed on only where it was agreed on anew.
@@ -39,12 +39,12 @@
   bool unchanged = gate_epoch_ == state.proxies_epoch();
   gate_epoch_ = state.proxies_epoch();
   if (unchanged) {
-    discovery_.gate_stays(fresh_until, closed_);
+    discovery_.extend_gate(fresh_until, closed_);
     return;
   }
   xds::SessionTable::Gate gate{.served = {}, .fresh_until = fresh_until, .closed = closed_};
   for (const auto& [id, disconnected_since] : state.proxies()) {
-    if (disconnected_since == agreement::kConnected) gate.served.insert(gate.served.end(), id);
+    if (disconnected_since == agreement::kProxyConnected) gate.served.insert(gate.served.end(), id);
   }
   discovery_.gate(std::move(gate));
 }
--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -35,10 +35,10 @@
   out.id = options.id;
   out.address = options.address;
   out.raft.fleet = start.fleet.listener;
-  out.raft.snapshot_after = options.snapshot_after;
-  out.raft.snapshot_trailing = std::min(out.raft.snapshot_trailing, options.snapshot_after / 4);
+  out.raft.snapshot_threshold = options.snapshot_threshold;
+  out.raft.snapshot_trailing = std::min(out.raft.snapshot_trailing, options.snapshot_threshold / 4);
   out.format = options.max_entry_format;
-  out.settings_hash = start.settings_hash;
+  out.fleet_file_hash = start.fleet_file_hash;
   return out;
 }
 
@@ -61,9 +61,9 @@
                                      Start start, StateChanged state_changed)
     : log_(log),
       state_changed_(std::move(state_changed)),
-      disk_wakeup_(loop.base(), [this] { storage_->take_done(); }),
+      disk_wakeup_(loop.base(), [this] { storage_->run_completions(); }),
       storage_(std::make_unique<consensus::StoreRaftStorage>(
-          options.folder, [&loop] { return loop.now(); }, [this] { disk_wakeup_.fire(); })),
+          options.folder, [&loop] { return loop.now(); }, [this] { disk_wakeup_.notify(); })),
       rollout_([&log](const std::string& line) { log.line(line); }),
       tick_timer_(loop.base(), [this] { tick(); }) {
   open_log(options);
@@ -72,7 +72,7 @@
       replica_options(options, start), *storage_, *links_, std::move(start.fleet), start.first_start,
       [&loop] { return loop.now(); }, std::random_device()(),
       [&log](const std::string& line) { log.line(line); });
-  replica_->set_section(&rollout_);
+  replica_->set_decision_contributor(&rollout_);
   replica_->start();
   tick_timer_.set(kTickInterval);
 }
@@ -106,7 +106,7 @@
 }
 
 void ReplicatedControl::connect(net::Loop& loop, const AgreementOptions& options) {
-  std::map<consensus::InstanceId, std::string> address_overrides;
+  std::map<consensus::ReplicaId, std::string> address_overrides;
   for (const consensus::Server& other : options.address_overrides)
     address_overrides[other.id()] = other.address();
   links_ = std::make_unique<PeerLinks>(loop, options.address, std::move(address_overrides),
@@ -117,13 +117,13 @@
 
 void ReplicatedControl::tick() {
   tick_timer_.set(kTickInterval);
-  storage_->take_done();
+  storage_->run_completions();
   if (replica_->tick()) state_changed_();
 }
 
 void ReplicatedControl::transfer_leadership(std::function<void()> done) {
   consensus::RaftNode& raft = replica_->raft_node();
-  if (!raft.is_leader() || raft.voters() < 2) {
+  if (!raft.is_leader() || raft.voter_count() < 2) {
     done();
     return;
   }
--- a/src/control/replicated_control.h
+++ b/src/control/replicated_control.h
@@ -19,16 +19,16 @@
 namespace myrtlecroft::control {
 
 struct AgreementOptions {
-  consensus::InstanceId id = 0;  // 0: this control service decides alone
-  std::string address;           // where the other replicas reach this one
-  std::string folder;            // of the raft log
+  consensus::ReplicaId id = 0;  // 0: this control service decides alone
+  std::string address;          // where the other replicas reach this one
+  std::string folder;           // of the raft log
   // The members of a new cluster, this one among them; empty where the folder has a log.
   std::vector<consensus::Server> bootstrap;
   // Replicas that are reached from here at another address than the cluster knows.
   std::vector<consensus::Server> address_overrides;
-  bool join = false;                                    // a new replica: it waits until the leader adds it
-  std::uint32_t max_entry_format = agreement::kFormat;  // the newest that it accepts and writes
-  unsigned snapshot_after = 512;                        // log entries
+  bool join = false;  // a new replica: it waits until the leader adds it
+  std::uint32_t max_entry_format = agreement::kEntryFormat;  // the newest that it accepts and writes
+  unsigned snapshot_threshold = 512;                         // log entries
 };
 
 // The text of an option is no list of instances; what() names the part that is wrong.
@@ -61,8 +61,8 @@
   using StateChanged = std::function<void()>;
   struct Start {
     fleet::Fleet fleet;
-    bool first_start = false;         // no proxy was ever served for this fleet
-    std::uint64_t settings_hash = 0;  // of the fleet file, so that replicas see whether theirs differ
+    bool first_start = false;           // no proxy was ever served for this fleet
+    std::uint64_t fleet_file_hash = 0;  // of the fleet file, so that replicas see whether theirs differ
   };
   // `state_changed` is called on the loop's thread after a decision was applied here. Throws LogFolderError,
   // and std::runtime_error where the folder can't be used or the address can't be listened on.
--- a/src/control/report_receiver.cpp
+++ b/src/control/report_receiver.cpp
@@ -19,9 +19,9 @@
       return "";
     case Verdict::kUnknownNode:
       return "the fleet file has no such server";
-    case Verdict::kOtherAddress:
+    case Verdict::kAddressMismatch:
       return "its address differs from the fleet file's";
-    case Verdict::kFuture:
+    case Verdict::kClockAhead:
       return "its clock is ahead of this host's";
     case Verdict::kStale:
       return "it is older than a report received before";
@@ -47,13 +47,13 @@
 
 std::size_t ReportReceiver::received(FrameServer::Id id, net::Connection& connection,
                                      std::string_view bytes) {
-  report::Malformed malformed{};
+  report::FrameError malformed{};
   std::size_t consumed = report::decode(
       bytes, [&](const report::LoadReport& report) { handle(id, connection, report); }, malformed);
-  if (malformed != report::Malformed::kNo) {
-    log_.frequent("reporter " + std::to_string(id) +
-                  " sent a malformed report: " + report::name_of(malformed));
-    connection.end(net::Reason::kMalformed);
+  if (malformed != report::FrameError::kNone) {
+    log_.write_rate_limited("reporter " + std::to_string(id) +
+                            " sent a malformed report: " + report::name_of(malformed));
+    connection.end(net::CloseReason::kMalformed);
   }
   return consumed;
 }
@@ -63,11 +63,11 @@
   Verdict verdict = targets_.router.handle_report(report, loop_.now(), net::Loop::unix_now());
   if (verdict == Verdict::kAccepted) {
     accepted(id, report);
-    if (targets_.replica && report.obeys) send_assignment(connection, report);
+    if (targets_.replica && report.accepts_assignments) send_assignment(connection, report);
     return;
   }
   rejected(report, reason_of(verdict));
-  if (verdict == Verdict::kUnknownNode) connection.end(net::Reason::kMalformed);
+  if (verdict == Verdict::kUnknownNode) connection.end(net::CloseReason::kMalformed);
 }
 
 void ReportReceiver::accepted(FrameServer::Id id, const report::LoadReport& report) {
@@ -103,8 +103,8 @@
   if (assignment.epoch.number == 0 || assignment.incarnation != report.incarnation) return;
   if (report.epoch >= assignment.epoch) return;
   // No server restarts by a replica that does not know whether its lease still holds.
-  if (assignment.restart_as && !targets_.replica->has_quorum()) return;
-  assignment.answers = report.sequence;
+  if (assignment.restart_version && !targets_.replica->has_quorum()) return;
+  assignment.report_sequence = report.sequence;
   connection.write(report::encode(assignment));
 }
 
--- a/src/control/state_store.cpp
+++ b/src/control/state_store.cpp
@@ -27,7 +27,7 @@
   store_.open();
   if (auto record = store_.get(kStateKey)) loaded_ = std::move(record->value);
   committer_ = std::make_unique<store::GroupCommitter>(
-      store_, store::CommitterOptions{}, [&loop] { return loop.now(); }, [this] { wakeup_.fire(); });
+      store_, store::CommitterOptions{}, [&loop] { return loop.now(); }, [this] { wakeup_.notify(); });
 }
 
 void StateStore::save(const std::string& bytes) {
--- a/src/fencing/fencing_guard.cpp
+++ b/src/fencing/fencing_guard.cpp
@@ -18,7 +18,7 @@
 FencingGuard::Verdict FencingGuard::accept(const ShardAssignment& assignment, std::uint64_t own_incarnation) {
   if (assignment_ && assignment.epoch < assignment_->epoch) return Verdict::kStale;
   if (assignment_ && assignment.epoch == assignment_->epoch) return Verdict::kDuplicate;
-  if (assignment.incarnation != own_incarnation) return Verdict::kOtherIncarnation;
+  if (assignment.incarnation != own_incarnation) return Verdict::kIncarnationMismatch;
   assignment_ = assignment;
   own_.assign(std::size_t{1} << (4 * assignment.shard_digits), false);
   for (std::uint16_t shard : assignment.shards) {
--- a/src/fencing/fencing_guard.h
+++ b/src/fencing/fencing_guard.h
@@ -24,9 +24,9 @@
   std::uint64_t incarnation = 0;  // of the server that it is meant for
   int shard_digits = 2;           // hexadecimal digits of a key that name its shard
   std::vector<std::uint16_t> shards;
-  std::uint64_t answers =
+  std::uint64_t report_sequence =
       0;  // sequence of the report that it answers: only an answer to a recent one restarts
-  std::optional<std::uint8_t> restart_as;
+  std::optional<std::uint8_t> restart_version;
   bool operator==(const ShardAssignment&) const = default;
 };
 
@@ -37,9 +37,9 @@
  public:
   enum class Verdict {
     kAccepted,
-    kDuplicate,        // it is in force already
-    kStale,            // of an earlier epoch: its sender has missed a decision
-    kOtherIncarnation  // meant for another incarnation of this server
+    kDuplicate,           // it is in force already
+    kStale,               // of an earlier epoch: its sender has missed a decision
+    kIncarnationMismatch  // meant for another incarnation of this server
   };
   Verdict accept(const ShardAssignment& assignment, std::uint64_t own_incarnation);
   // One of an earlier incarnation, whose keys this one knows from its store.
--- a/src/fleet/file_fields.cpp
+++ b/src/fleet/file_fields.cpp
@@ -41,7 +41,7 @@
   }
 }
 
-const ServerList::Places* NodeIndex::find(const std::string& name) const {
+const ServerList::ServerIndices* NodeIndex::find(const std::string& name) const {
   auto found = by_name_.find(name);
   return found == by_name_.end() ? nullptr : &found->second;
 }
--- a/src/fleet/file_fields.h
+++ b/src/fleet/file_fields.h
@@ -32,13 +32,13 @@
  public:
   explicit NodeIndex(const std::vector<Node>& nodes);
   // The places of a server, or of all servers of "zone NAME"; nullptr where it is neither.
-  const ServerList::Places* find(const std::string& name) const;
+  const ServerList::ServerIndices* find(const std::string& name) const;
   const Node& node(std::uint32_t place) const { return nodes_[place]; }
   std::size_t size() const { return nodes_.size(); }
 
  private:
   const std::vector<Node>& nodes_;
-  std::unordered_map<std::string, ServerList::Places> by_name_;
+  std::unordered_map<std::string, ServerList::ServerIndices> by_name_;
 };
 
 // The list `field` with each entry read by `read`. Throws where it is too long, or at the second of two
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -10,7 +10,7 @@
   return found == nodes.end() ? nullptr : &*found;
 }
 
-Nanos Fleet::longest_window() const {
+Nanos Fleet::longest_deduplication_window() const {
   Nanos longest = 0;
   for (const RequestClass& request_class : request_classes) {
     if (request_class.idempotency != Idempotency::kKeyed) continue;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -81,24 +81,25 @@
   // Servers.
   Nanos lost_after = 1000 * kMs;          // without a report, a server is lost
   Nanos unresponsive_after = 1500 * kMs;  // without an answer to what it accepted, a server is unresponsive
-  Nanos dwell = 2000 * kMs;               // at least this long out before a server returns
-  Nanos clock_skew = 2000 * kMs;          // a server's clock may be ahead of ours by this much
-  double max_unavailable = 0.34;          // panic threshold: share of the capacity that may be out for faults
-  double partitioned_at = 0.5;  // share of the servers silent at once: then it is control that is cut off
+  Nanos min_time_out_of_rotation = 2000 * kMs;  // at least this long out before a server returns
+  Nanos clock_skew = 2000 * kMs;                // a server's clock may be ahead of ours by this much
+  double max_unavailable = 0.34;  // panic threshold: share of the capacity that may be out for faults
+  double partition_threshold =
+      0.5;  // share of the servers silent at once: then it is control that is cut off
   // Weights.
-  Nanos slow_start = 10'000 * kMs;         // of a server that returns or is warming up
-  double initial_slow_start_factor = 0.1;  // share of its weight that slow start begins with
-  double weight_step = 0.2;                // a second: how quickly a weight may follow
-  double min_weight = 0.1;                 // share of its capacity that a server in service keeps
+  Nanos slow_start = 10'000 * kMs;            // of a server that returns or is warming up
+  double initial_slow_start_factor = 0.1;     // share of its weight that slow start begins with
+  double max_weight_change_per_second = 0.2;  // a second: how quickly a weight may follow
+  double min_weight = 0.1;                    // share of its capacity that a server in service keeps
   // Admission and retries at the proxies.
-  double shed_step = 0.1;      // a second: how quickly the share that is shed may follow
-  double min_admitted = 0.05;  // share of each request class that is always admitted
-  double retry_budget = 0.1;   // retries as a share of what is in flight, over the whole fleet
-  int max_retries = 2;         // of one request
+  double max_shed_change_per_second = 0.1;  // a second: how quickly the share that is shed may follow
+  double min_admitted = 0.05;               // share of each request class that is always admitted
+  double retry_budget = 0.1;                // retries as a share of what is in flight, over the whole fleet
+  int max_retries = 2;                      // of one request
   // Shards of the idempotency keys.
   int shard_digits = 2;         // hexadecimal digits of a key that name its shard
   double max_migrating = 0.05;  // share of the shards that may be closed to even out the load
-  Nanos forget_proxies =
+  Nanos disconnected_proxy_expiry =
       600'000 * kMs;  // a disconnected proxy may still send by its last snapshot for this long
   // Publications.
   Nanos publish_interval = 200 * kMs;  // at least this long between two: changes in between come together
@@ -123,7 +124,7 @@
   std::size_t shards() const { return std::size_t{1} << (4 * bounds.shard_digits); }
   // The longest time within which a request with an idempotency key may be retried, and run late: the owner
   // of a key can't change in less. 0 where no class has such keys.
-  Nanos longest_window() const;
+  Nanos longest_deduplication_window() const;
 };
 
 }  // namespace myrtlecroft::fleet
--- a/src/fleet/fleet_file.cpp
+++ b/src/fleet/fleet_file.cpp
@@ -74,7 +74,7 @@
   std::vector<std::string> names;
   std::set<std::uint32_t> listed;
   for (const std::string& used_by : service.used_by) {
-    const ServerList::Places* found = nodes.find(used_by);
+    const ServerList::ServerIndices* found = nodes.find(used_by);
     if (!found) {
       root.fail("services", "'" + service.name + "' is used by '" + used_by +
                                 "', which is neither a node nor 'zone NAME'");
@@ -100,20 +100,23 @@
   Bounds out;
   out.lost_after = part.milliseconds_or("silent_ms", out.lost_after, 100, 60'000);
   out.unresponsive_after = part.milliseconds_or("mute_ms", out.unresponsive_after, 100, 60'000);
-  out.dwell = part.milliseconds_or("dwell_ms", out.dwell, 0, kMaxTimeMs);
+  out.min_time_out_of_rotation =
+      part.milliseconds_or("dwell_ms", out.min_time_out_of_rotation, 0, kMaxTimeMs);
   out.slow_start = part.milliseconds_or("ramp_ms", out.slow_start, 0, kMaxTimeMs);
   out.initial_slow_start_factor = part.number_or("ramp_from", out.initial_slow_start_factor, 0.01, 1);
   out.max_unavailable = part.number_or("most_out", out.max_unavailable, 0, 0.9);
-  out.partitioned_at = part.number_or("isolated_at", out.partitioned_at, 0.1, 1);
-  out.weight_step = part.number_or("weight_step", out.weight_step, 0.01, 10);
+  out.partition_threshold = part.number_or("isolated_at", out.partition_threshold, 0.1, 1);
+  out.max_weight_change_per_second =
+      part.number_or("weight_step", out.max_weight_change_per_second, 0.01, 10);
   out.min_weight = part.number_or("least_weight", out.min_weight, 0.01, 1);
-  out.shed_step = part.number_or("shed_step", out.shed_step, 0.01, 10);
+  out.max_shed_change_per_second = part.number_or("shed_step", out.max_shed_change_per_second, 0.01, 10);
   out.min_admitted = part.number_or("least_admitted", out.min_admitted, 0, 1);
   out.retry_budget = part.number_or("retry_budget", out.retry_budget, 0, 1);
   out.max_retries = static_cast<int>(part.integer_or("most_retries", out.max_retries, 0, 10));
   out.shard_digits = static_cast<int>(part.integer_or("shard_digits", out.shard_digits, 1, 3));
   out.max_migrating = part.number_or("most_moving", out.max_migrating, 0, 1);
-  out.forget_proxies = part.milliseconds_or("forget_proxies_ms", out.forget_proxies, 0, kMaxTimeMs);
+  out.disconnected_proxy_expiry =
+      part.milliseconds_or("forget_proxies_ms", out.disconnected_proxy_expiry, 0, kMaxTimeMs);
   out.clock_skew = part.milliseconds_or("clock_skew_ms", out.clock_skew, 1, kMaxTimeMs);
   out.publish_interval = part.milliseconds_or("settle_ms", out.publish_interval, 10, 10'000);
   part.reject_unknown_fields();
--- a/src/fleet/request_class_file.cpp
+++ b/src/fleet/request_class_file.cpp
@@ -20,7 +20,8 @@
   std::string listener;
   std::uint32_t subset_size = 0;  // of classes that name none
   bool service_listeners = false;
-  std::map<ServerList::Places, std::shared_ptr<const ServerList::Places>> lists;  // equal ones are shared
+  std::map<ServerList::ServerIndices, std::shared_ptr<const ServerList::ServerIndices>>
+      lists;  // equal ones are shared
 };
 
 Idempotency read_idempotency(Section& part) {
@@ -37,16 +38,16 @@
   if (names.empty()) part.fail("servers", "names no server");
   std::set<std::uint32_t> listed;
   for (const std::string& name : names) {
-    const ServerList::Places* found = context.nodes.find(name);
+    const ServerList::ServerIndices* found = context.nodes.find(name);
     if (!found) part.fail("servers", "'" + name + "' is neither a node nor 'zone NAME'");
     for (std::uint32_t place : *found) {
       if (listed.insert(place).second) continue;
       part.fail("servers", "names '" + context.nodes.node(place).name + "' twice, with '" + name + "'");
     }
   }
-  ServerList::Places places(listed.begin(), listed.end());
+  ServerList::ServerIndices places(listed.begin(), listed.end());
   auto& shared = context.lists[places];
-  if (!shared) shared = std::make_shared<const ServerList::Places>(places);
+  if (!shared) shared = std::make_shared<const ServerList::ServerIndices>(places);
   return {shared};
 }
 
--- a/src/fleet/server_list.h
+++ b/src/fleet/server_list.h
@@ -12,8 +12,8 @@
 // Places in the fleet's list of servers, in ascending order. Shared and never changed: thousands of request
 // classes may name the same zone.
 struct ServerList {
-  using Places = std::vector<std::uint32_t>;
-  std::shared_ptr<const Places> places;  // null: all servers
+  using ServerIndices = std::vector<std::uint32_t>;
+  std::shared_ptr<const ServerIndices> places;  // null: all servers
 
   bool all() const { return !places; }
   bool operator==(const ServerList& other) const {
--- a/src/launch.cpp
+++ b/src/launch.cpp
@@ -61,7 +61,7 @@
   double memory_mb = number(limits, "memory_mb");
   if (memory_mb <= 0) fail(limits, "memory_mb", "is not above 0");
   launch.memory = static_cast<std::size_t>(memory_mb * 1024 * 1024);
-  launch.start.result_bytes = launch.memory / kResultShare;
+  launch.start.max_result_bytes = launch.memory / kResultShare;
   launch.limits = digest(simdjson::minify(limits));
 }
 
@@ -76,9 +76,9 @@
   std::int64_t stop_ms = integer(fields, "stop_ms");
   if (stop_ms <= 0 || stop_ms > kLongestStop) fail(fields, "stop_ms", "is not a time from 1 ms to a day");
   launch.start.stop_after = stop_ms * kMs;
-  read_limits(part(fields, "limits"), launch);
-  object settings = part(fields, "settings");
-  launch.start.config = read_config(settings);
+  read_limits(object_field(fields, "limits"), launch);
+  object settings = object_field(fields, "settings");
+  launch.start.config = read_service_config(settings);
   // A server without a shared dependency needs no address of one.
   if (launch.start.config.has_dependency || find(fields, "db")) launch.database = address(fields, "db");
   launch.start.gauge_names = read_gauge_names(settings);
@@ -112,13 +112,13 @@
   simdjson::dom::parser parser;
   element value;
   if (auto error = parser.parse(bytes).get(value))
-    throw std::runtime_error(file + ":" + located(error, bytes));
+    throw std::runtime_error(file + ":" + format_with_location(error, bytes));
   object fields;
   if (value.get(fields) != simdjson::SUCCESS) throw std::runtime_error(file + ": not an object");
   try {
     return read_fields(fields);
   } catch (const FieldError& error) {
-    throw std::runtime_error(file + ":" + located(error, value, bytes));
+    throw std::runtime_error(file + ":" + format_with_location(error, value, bytes));
   }
 }
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -27,42 +27,42 @@
 constexpr Nanos kFlushing = 1'000 * kMs;  // at least, for a peer that is slow to read
 constexpr Nanos kMinLinger = 100 * kMs;   // where nothing is owed to it
 
-Reason reason_of(int error, bool was_open) {
-  if (error == ECONNREFUSED) return Reason::kRefused;
-  return was_open ? Reason::kReset : Reason::kUnreachable;
+CloseReason reason_of(int error, bool was_open) {
+  if (error == ECONNREFUSED) return CloseReason::kRefused;
+  return was_open ? CloseReason::kReset : CloseReason::kUnreachable;
 }
 
 }  // namespace
 
-const char* code_of(Reason reason) {
+const char* code_of(CloseReason reason) {
   switch (reason) {
-    case Reason::kPeerClosed:
+    case CloseReason::kPeerClosed:
       return "peer-closed";
-    case Reason::kReset:
+    case CloseReason::kReset:
       return "reset";
-    case Reason::kRefused:
+    case CloseReason::kRefused:
       return "refused";
-    case Reason::kUnreachable:
+    case CloseReason::kUnreachable:
       return "unreachable";
-    case Reason::kIdle:
+    case CloseReason::kIdle:
       return "idle";
-    case Reason::kMalformed:
+    case CloseReason::kMalformed:
       return "malformed";
-    case Reason::kUnread:
+    case CloseReason::kUnread:
       return "unread";
-    case Reason::kSlow:
+    case CloseReason::kSlow:
       return "slow";
-    case Reason::kCrowded:
+    case CloseReason::kCrowded:
       return "crowded";
-    case Reason::kMoved:
+    case CloseReason::kMoved:
       return "moved";
-    case Reason::kSilent:
+    case CloseReason::kSilent:
       return "silent";
-    case Reason::kSpent:
+    case CloseReason::kSpent:
       return "spent";
-    case Reason::kDone:
+    case CloseReason::kDone:
       return "done";
-    case Reason::kDrained:
+    case CloseReason::kDrained:
       return "drained";
   }
   return "unknown";
@@ -123,7 +123,7 @@
   setsockopt(bufferevent_getfd(events_), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
 }
 
-void Connection::leave_no_trace() {
+void Connection::set_reset_on_close() {
   struct linger at_once {
     .l_onoff = 1, .l_linger = 0
   };
@@ -136,10 +136,10 @@
   if (ending()) return;
   bytes_out_ += bytes.size();
   bufferevent_write(events_, bytes.data(), bytes.size());
-  if (unsent() > max_unsent_) end(Reason::kUnread);
+  if (unsent() > max_unsent_) end(CloseReason::kUnread);
 }
 
-void Connection::end(Reason reason) {
+void Connection::end(CloseReason reason) {
   if (ending()) return;
   if (!closing()) reason_ = reason;
   stage_ = Stage::kEnding;
@@ -164,7 +164,7 @@
   return ::ioctl(bufferevent_getfd(events_), FIONREAD, &bytes) == 0 && bytes > 0;
 }
 
-void Connection::linger(Reason reason, Nanos within) {
+void Connection::linger(CloseReason reason, Nanos within) {
   if (closing()) return;
   stage_ = Stage::kFlushing;
   reason_ = reason;
@@ -174,7 +174,7 @@
   if (unsent() == 0) half_close();
 }
 
-void Connection::linger_after(Nanos time, Reason reason) {
+void Connection::linger_after(Nanos time, CloseReason reason) {
   if (closing()) return;
   reason_ = reason;
   timer_.set(time);
@@ -199,7 +199,7 @@
   stage_ = Stage::kEnding;
   std::string line = what_ + " ended: " + code_of(reason_) + ", in " + std::to_string(bytes_in_) +
                      " bytes, out " + std::to_string(bytes_out_) + " bytes";
-  reason_ == Reason::kDone ? log_.routine(line) : log_.frequent(line);
+  reason_ == CloseReason::kDone ? log_.write_routine(line) : log_.write_rate_limited(line);
   owner_.ended(*this, reason_);
 }
 
@@ -217,7 +217,7 @@
     return;
   }
   self->input_.append(from);
-  self->input_.take(self->owner_.came(*self, self->input_.bytes()));
+  self->input_.take(self->owner_.bytes_received(*self, self->input_.bytes()));
 }
 
 void Connection::on_write(bufferevent*, void* given) {
@@ -243,7 +243,7 @@
     // for a peer that is gone, until the first answer meets the reset.
     self->closed_by_peer_ = true;
     if (self->stage_ == Stage::kFlushing) return;
-    if (self->closing() || !self->owner_.half_closed(*self)) self->end(Reason::kPeerClosed);
+    if (self->closing() || !self->owner_.half_closed(*self)) self->end(CloseReason::kPeerClosed);
   } else if (what & BEV_EVENT_ERROR) {
     int error = EVUTIL_SOCKET_ERROR();
     if (!self->open_ && error != ECONNREFUSED) self->what_ += std::string(" (") + std::strerror(error) + ")";
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -14,7 +14,7 @@
 namespace myrtlecroft::net {
 
 // Why a connection ended: the code in its log line (docs/on-call.md).
-enum class Reason {
+enum class CloseReason {
   kPeerClosed,
   kReset,
   kRefused,
@@ -30,7 +30,7 @@
   kDone,
   kDrained
 };
-const char* code_of(Reason reason);
+const char* code_of(CloseReason reason);
 
 // What has come in and was not taken yet. Grows as it needs; what was taken is compacted away in place.
 class InputBuffer {
@@ -56,11 +56,11 @@
   // here.
   virtual bool half_closed(Connection&) { return false; }
   // Says how many of the bytes it has taken. More than it can take come again with what follows.
-  virtual std::size_t came(Connection& connection, std::string_view bytes) = 0;
+  virtual std::size_t bytes_received(Connection& connection, std::string_view bytes) = 0;
   // All that was written has been sent.
   virtual void flushed(Connection&) {}
   // Once, from the loop; the owner may destroy the connection.
-  virtual void ended(Connection& connection, Reason reason) = 0;
+  virtual void ended(Connection& connection, CloseReason reason) = 0;
 };
 
 class Connection {
@@ -78,17 +78,17 @@
 
   void write(std::string_view bytes);
   // Ends it now, with what was not sent. Everything ends here, and ended() follows from the loop.
-  void end(Reason reason);
+  void end(CloseReason reason);
   // A lingering close: what was written is sent, ours is closed, and then the peer's own end is waited for. A
   // close with something unread, or before the peer's last bytes have come, is a reset that may take an
   // unread answer with it. What comes from here on is drained and not looked at. Ends `within` that time at
   // the latest.
-  void linger(Reason reason, Nanos within = 0);
+  void linger(CloseReason reason, Nanos within = 0);
   // Lingers by itself after that time, unless it is asked to stay on.
-  void linger_after(Nanos time, Reason reason);
+  void linger_after(Nanos time, CloseReason reason);
   void stay_on();
   // Its close is a reset: nothing stays behind of the many that are opened and closed by us.
-  void leave_no_trace();
+  void set_reset_on_close();
   bool closing() const { return stage_ != Stage::kOpen; }  // lingers, or is over
   bool ending() const { return stage_ == Stage::kEnding; }
   // Leaves what comes in the kernel, which then holds the peer back; and reads again.
@@ -122,7 +122,7 @@
   std::size_t max_unsent_;
   Timer timer_;  // of its stage
   Stage stage_ = Stage::kOpen;
-  Reason reason_ = Reason::kDone;
+  CloseReason reason_ = CloseReason::kDone;
   Nanos linger_within_ = 0;
   bool open_ = false;
   bool closed_by_peer_ = false;
--- a/src/net/database_client.cpp
+++ b/src/net/database_client.cpp
@@ -19,7 +19,7 @@
   explicit Channel(DatabaseClient& database)
       : database_(database),
         connection_(database.loop_.base(), database.database_, *this, database.log_, "database connection"),
-        partial_(database.loop_.base(), [this] { connection_.end(Reason::kMalformed); }) {}
+        partial_(database.loop_.base(), [this] { connection_.end(CloseReason::kMalformed); }) {}
 
   bool can_carry(const std::string& id) const {
     return !retired_ && !connection_.closing() && !carried_.contains(id);
@@ -37,17 +37,17 @@
   void abandon_call(service::ServerRequest& request) {
     if (!out_.erase(request.id)) return;
     if (!out_.empty()) connection_.write(give_up_line(request.id));
-    retire(Reason::kSpent);
+    retire(CloseReason::kSpent);
   }
 
-  void retire(Reason reason) {
+  void retire(CloseReason reason) {
     retired_ = true;
     if (out_.empty()) connection_.end(reason);
   }
 
-  void opened(Connection&) override { connection_.leave_no_trace(); }
+  void opened(Connection&) override { connection_.set_reset_on_close(); }
 
-  std::size_t came(Connection&, std::string_view bytes) override {
+  std::size_t bytes_received(Connection&, std::string_view bytes) override {
     std::size_t taken = 0;
     DatabaseReply reply;
     LineState state = LineState::kComplete;
@@ -61,10 +61,10 @@
       }
       service::ServerRequest& request = *place->second;
       out_.erase(place);
-      if (out_.empty()) retire(Reason::kDone);
+      if (out_.empty()) retire(CloseReason::kDone);
       database_.service_->call_completed(request, reply.reply, std::string(reply.body));
     }
-    if (state == LineState::kMalformed) connection_.end(Reason::kMalformed);
+    if (state == LineState::kMalformed) connection_.end(CloseReason::kMalformed);
     if (connection_.closing()) return bytes.size();
     if (taken == bytes.size()) {
       partial_.clear();
@@ -77,7 +77,7 @@
   // A connection that never came up carried nothing. One that breaks proves nothing. What one request makes
   // of it may give up the call of another that is here too: that one is not told any more, as its reply would
   // be taken for that of its next call.
-  void ended(Connection& connection, Reason) override {
+  void ended(Connection& connection, CloseReason) override {
     service::CallResult reply =
         connection.was_open() ? service::CallResult::kConnectionLost : service::CallResult::kUnreachable;
     auto place = std::find_if(database_.channels_.begin(), database_.channels_.end(),
@@ -114,7 +114,7 @@
 
 void DatabaseClient::move(const sockaddr_in& database) {
   database_ = database;
-  for (auto& channel : channels_) channel->retire(Reason::kMoved);
+  for (auto& channel : channels_) channel->retire(CloseReason::kMoved);
 }
 
 DatabaseClient::Channel* DatabaseClient::channel_for(const std::string& id) {
--- a/src/net/database_codec.h
+++ b/src/net/database_codec.h
@@ -11,7 +11,7 @@
 
 struct DatabaseReply {
   std::string_view id;
-  service::CallResult reply = service::CallResult::kRows;
+  service::CallResult reply = service::CallResult::kSucceeded;
   std::string_view body;  // of ROWS
   std::size_t size = 0;   // bytes it took of the input
 };
--- a/src/net/engine_client.cpp
+++ b/src/net/engine_client.cpp
@@ -65,7 +65,7 @@
 // longer, the commands it had not read are in doubt.
 void EngineClient::fell_silent() {
   if (connection_ && connection_->was_open() && connection_->unread()) return heard();
-  if (connection_) connection_->end(Reason::kSilent);
+  if (connection_) connection_->end(CloseReason::kSilent);
 }
 
 void EngineClient::move(const sockaddr_in& engine) {
@@ -83,8 +83,8 @@
   paused_ = false;
   old_ = std::exchange(connection_, std::move(next_));
   heard();
-  old_->end(Reason::kMoved);
-  session_->lost();
+  old_->end(CloseReason::kMoved);
+  session_->link_lost();
   opened(*connection_);
 }
 
@@ -100,20 +100,20 @@
     return;
   }
   skipping_ = false;
-  session_->linked();
+  session_->link_established();
 }
 
-void EngineClient::ended(Connection& connection, Reason) {
+void EngineClient::ended(Connection& connection, CloseReason) {
   if (&connection == old_.get()) return old_.reset();
   if (&connection == next_.get()) {
     next_.reset();
-    if (paused_) connection_->end(Reason::kMoved);  // it can't be taken up again
+    if (paused_) connection_->end(CloseReason::kMoved);  // it can't be taken up again
     again_.set(wait_);
     return;
   }
   connection_ = std::move(next_);
   paused_ = false;
-  session_->lost();
+  session_->link_lost();
   if (connection_) {
     if (connection_->was_open() && !connection_->closing()) opened(*connection_);
     return;
@@ -122,7 +122,7 @@
   wait_ = std::min(2 * wait_, kLongestWait);
 }
 
-std::size_t EngineClient::came(Connection& connection, std::string_view bytes) {
+std::size_t EngineClient::bytes_received(Connection& connection, std::string_view bytes) {
   if (&connection == connection_.get()) heard();
   std::size_t taken = 0;
   while (!connection.closing()) {
@@ -133,14 +133,14 @@
     if (std::exchange(skipping_, false)) continue;
     if (take(line)) continue;
     // Attached again it comes again, whole if only the bytes were broken. If not, it is left out.
-    log_.frequent("engine line malformed, " + std::to_string(line.size()) + " bytes");
+    log_.write_rate_limited("engine line malformed, " + std::to_string(line.size()) + " bytes");
     if (std::exchange(bad_after_, session_->last_notice() + 1) == session_->last_notice() + 1) continue;
-    connection.end(Reason::kMalformed);
+    connection.end(CloseReason::kMalformed);
   }
-  if (paused_ && session_->nothing_on_its_way()) hand_over();
+  if (paused_ && session_->all_commands_confirmed()) hand_over();
   if (connection.closing()) return bytes.size();
   if (bytes.size() - taken > kLongestLine) {
-    log_.frequent("engine line too long, left out");
+    log_.write_rate_limited("engine line too long, left out");
     skipping_ = true;
     taken = bytes.size();
   }
@@ -157,11 +157,11 @@
   } else if (line->cmd == "STATS") {
     session_->stats(token_of(*line), line->load);
   } else if (line->cmd == "TESTED") {
-    session_->tested(token_of(*line), line->result == "success");
+    session_->test_completed(token_of(*line), line->result == "success");
   } else if (line->cmd == "NO") {
-    log_.frequent("engine did not carry out " + line->result.substr(0, 20) + " of " +
-                  line->req.substr(0, 20));
-    session_->not_carried_out(line->result, line->req);
+    log_.write_rate_limited("engine did not carry out " + line->result.substr(0, 20) + " of " +
+                            line->req.substr(0, 20));
+    session_->command_ignored(line->result, line->req);
   } else if (line->cmd == "DONE" || line->cmd == "NEED" || line->cmd == "NOTE") {
     using Kind = service::Notice::Kind;
     service::Notice notice;
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -28,14 +28,14 @@
   void run(std::string_view id, std::string_view request_class, std::string_view body) override {
     send(run_line(id, request_class, body));
   }
-  void feed(std::string_view id, std::string_view reply) override { send(feed_line(id, reply)); }
+  void deliver_reply(std::string_view id, std::string_view reply) override { send(feed_line(id, reply)); }
   void skip(std::string_view id, std::uint64_t notice) override { send(skip_line(id, notice)); }
-  void stat(std::uint64_t token) override { send(stat_line(token)); }
+  void query_gauges(std::uint64_t token) override { send(stat_line(token)); }
   void test(std::uint64_t token) override { send(test_line(token)); }
 
   void opened(Connection&) override;
-  std::size_t came(Connection&, std::string_view bytes) override;
-  void ended(Connection&, Reason) override;
+  std::size_t bytes_received(Connection&, std::string_view bytes) override;
+  void ended(Connection&, CloseReason) override;
 
  private:
   void connect();
--- a/src/net/fastcgi.cpp
+++ b/src/net/fastcgi.cpp
@@ -80,7 +80,7 @@
   return true;
 }
 
-std::string answer_records(std::uint16_t id, std::string_view output, ProtocolStatus status) {
+std::string encode_answer(std::uint16_t id, std::string_view output, ProtocolStatus status) {
   std::string out;
   for (std::size_t at = 0; at < output.size(); at += kMaxOutput) {
     append_record(out, kStdout, id, output.substr(at, kMaxOutput));
@@ -129,7 +129,7 @@
   std::uint64_t number = oldest();
   for (auto& [id, partial] : partial_) {
     if (partial.number != number) continue;
-    events_.reply(answer_records(id, "", ProtocolStatus::kOverloaded));
+    events_.reply(encode_answer(id, "", ProtocolStatus::kOverloaded));
     partial_.erase(id);
     return true;
   }
@@ -143,9 +143,9 @@
   if (type == kAbort) {
     if (place != partial_.end()) {
       partial_.erase(place);
-      events_.reply(answer_records(id, "", ProtocolStatus::kComplete));
-    } else if (events_.in_hand(id)) {
-      events_.aborted(id);
+      events_.reply(encode_answer(id, "", ProtocolStatus::kComplete));
+    } else if (events_.is_unanswered(id)) {
+      events_.handle_abort(id);
     }
     return true;
   }
@@ -173,11 +173,11 @@
 }
 
 bool CgiReader::begin(std::uint16_t id, std::string_view content) {
-  if (content.size() < kBeginBody || partial_.contains(id) || events_.in_hand(id)) return false;
+  if (content.size() < kBeginBody || partial_.contains(id) || events_.is_unanswered(id)) return false;
   if (short_at(content, 0) != kResponder) {
-    events_.reply(answer_records(id, "", ProtocolStatus::kUnknownRole));
-  } else if (partial_.size() + events_.count_in_hand() >= kMaxOpen) {
-    events_.reply(answer_records(id, "", ProtocolStatus::kOverloaded));
+    events_.reply(encode_answer(id, "", ProtocolStatus::kUnknownRole));
+  } else if (partial_.size() + events_.unanswered_count() >= kMaxOpen) {
+    events_.reply(encode_answer(id, "", ProtocolStatus::kOverloaded));
   } else {
     Partial& partial = partial_[id];
     partial.number = ++begun_;
@@ -208,7 +208,7 @@
   }
   CgiRequest request = std::move(partial.request);
   partial_.erase(request.id);
-  events_.requested(std::move(request));
+  events_.handle_request(std::move(request));
   return true;
 }
 
--- a/src/net/fastcgi.h
+++ b/src/net/fastcgi.h
@@ -22,19 +22,19 @@
 
 enum class ProtocolStatus : std::uint8_t { kComplete = 0, kOverloaded = 2, kUnknownRole = 3 };
 
-class CgiEvents {
+class CgiRequestHandler {
  public:
-  virtual ~CgiEvents() = default;
-  virtual void requested(CgiRequest request) = 0;
-  virtual void aborted(std::uint16_t id) = 0;
-  virtual bool in_hand(std::uint16_t id) const = 0;  // handed over by requested() and not yet answered
-  virtual std::size_t count_in_hand() const = 0;
+  virtual ~CgiRequestHandler() = default;
+  virtual void handle_request(CgiRequest request) = 0;
+  virtual void handle_abort(std::uint16_t id) = 0;
+  virtual bool is_unanswered(std::uint16_t id) const = 0;  // handed over by requested() and not yet answered
+  virtual std::size_t unanswered_count() const = 0;
   virtual void reply(std::string_view bytes) = 0;
 };
 
 class CgiReader {
  public:
-  explicit CgiReader(CgiEvents& events) : events_(events) {}
+  explicit CgiReader(CgiRequestHandler& events) : events_(events) {}
 
   // Takes the whole records at the front of the bytes and says how many bytes they were. What is no FastCGI,
   // or goes beyond the bounds, sets `malformed`.
@@ -63,7 +63,7 @@
   bool parameters(Partial& partial, std::string_view content);
   bool input(Partial& partial, std::string_view content);
 
-  CgiEvents& events_;
+  CgiRequestHandler& events_;
   std::map<std::uint16_t, Partial> partial_;
   std::uint64_t begun_ = 0;
   std::uint64_t records_ = 0;
@@ -73,6 +73,6 @@
 bool read_pairs(std::string_view bytes, std::map<std::string, std::string, std::less<>>& into);
 
 // The whole answer to one request: output in records, then the end.
-std::string answer_records(std::uint16_t id, std::string_view output, ProtocolStatus status);
+std::string encode_answer(std::uint16_t id, std::string_view output, ProtocolStatus status);
 
 }  // namespace myrtlecroft::net
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -121,17 +121,17 @@
 
 // One balancer's connection.
 class FastCgiServer::BalancerConnection final : public ConnectionOwner,
-                                                public CgiEvents,
-                                                public peers::PacedPeer {
+                                                public CgiRequestHandler,
+                                                public peers::MonitoredConnection {
  public:
   BalancerConnection(FastCgiServer& front, evutil_socket_t socket, std::uint32_t address, std::string what)
       : front_(front),
         address_(address),
         connection_(front.loop_.base(), socket, *this, front.log_, std::move(what)),
         reader_(*this) {
-    front.pacing_.join(account, *this, {.address = address});
+    front.pacing_.add_connection(account, *this, {.address = address});
   }
-  ~BalancerConnection() override { front_.pacing_.leave(account); }
+  ~BalancerConnection() override { front_.pacing_.remove_connection(account); }
 
   bool busy() const { return !open_.empty(); }
   bool assembling() const { return reader_.assembling() || left_over_; }
@@ -139,13 +139,13 @@
   bool begun() const { return assembling() || !asked_; }
   Connection& connection() { return connection_; }
 
-  std::size_t came(Connection&, std::string_view bytes) override {
+  std::size_t bytes_received(Connection&, std::string_view bytes) override {
     if (deaf_) return bytes.size();
     bool malformed = false;
     taking_ = true;
     std::size_t taken = reader_.take(bytes, malformed);
     taking_ = false;
-    if (malformed) ignore(Reason::kMalformed);
+    if (malformed) ignore(CloseReason::kMalformed);
     if (deaf_) taken = bytes.size();
     left_over_ = taken < bytes.size();
     close_if_settled();
@@ -156,7 +156,7 @@
   // Answers what is open. What it has not sent whole will never be.
   bool half_closed(Connection&) override {
     if (!busy() && connection_.unsent() == 0) return false;
-    ignore(Reason::kPeerClosed);
+    ignore(CloseReason::kPeerClosed);
     return true;
   }
 
@@ -166,7 +166,7 @@
     front_.place(*this);
   }
 
-  void ended(Connection&, Reason reason) override {
+  void ended(Connection&, CloseReason reason) override {
     ++front_.ended_[static_cast<std::size_t>(reason)];
     std::map<std::uint16_t, std::unique_ptr<OpenRequest>> all = std::move(open_);
     open_.clear();
@@ -174,8 +174,8 @@
     front_.remove(*this);
   }
 
-  void requested(CgiRequest request) override;
-  void aborted(std::uint16_t id) override {
+  void handle_request(CgiRequest request) override;
+  void handle_abort(std::uint16_t id) override {
     OpenRequest& open = *open_.at(id);
     caller_disconnected(open);
     answered(open, {});
@@ -187,35 +187,35 @@
       front_.service_->health_check_disconnected(open);
     }
   }
-  peers::ConnectionProgress standing() const override {
+  peers::ConnectionProgress current_progress() const override {
     return {.in = connection_.bytes_in(),
             .out = connection_.bytes_taken(),
             .awaited = deaf_ || connection_.closing() ? 0 : awaited(),
             .unread = connection_.closing() ? 0 : connection_.unsent(),
             .open = open_.size()};
   }
-  void paced(peers::Effect effect) override {
+  void apply_effect(peers::Effect effect) override {
     using peers::Effect;
     switch (effect) {
       case Effect::kNone:
         return;
-      case Effect::kReadOn:
+      case Effect::kResumeReading:
         return connection_.read_on();
-      case Effect::kPause:  // on the way out what has come is answered, while there is time
+      case Effect::kPauseReading:  // on the way out what has come is answered, while there is time
         if (!front_.finishing_) connection_.pause_reading();
         return;
-      case Effect::kCancel:
+      case Effect::kCancelRequest:
         if (reader_.cancel_oldest()) return;
         [[fallthrough]];
-      case Effect::kDropSlow:
-        return close(Reason::kSlow, 0);
-      case Effect::kDropUnread:  // nothing is open on it, and what waits has not moved for long
-        return connection_.end(Reason::kUnread);
+      case Effect::kCloseSlowSender:
+        return close(CloseReason::kSlow, 0);
+      case Effect::kCloseSlowReader:  // nothing is open on it, and what waits has not moved for long
+        return connection_.end(CloseReason::kUnread);
     }
   }
   // Closes once nothing is owed: what has come is answered and the answers are sent. The rest of a request
   // that is not whole is waited for that long at most: before its last byte nothing is owed for it.
-  void close(Reason reason, Nanos rest_within = kHalfRequest) {
+  void close(CloseReason reason, Nanos rest_within = kHalfRequest) {
     if (!closing_) {
       closing_ = reason;
       rest_until_ = front_.loop_.now() + rest_within;
@@ -225,7 +225,7 @@
     close_if_settled();
   }
   // The same, and makes nothing of what still comes.
-  void ignore(Reason reason) {
+  void ignore(CloseReason reason) {
     deaf_ = true;
     left_over_ = false;
     reader_.forget();
@@ -237,19 +237,19 @@
     return open_.empty() && !taking_ && connection_.unsent() == 0 && (deaf_ || !connection_.unread());
   }
 
-  bool in_hand(std::uint16_t id) const override { return open_.contains(id); }
-  std::size_t count_in_hand() const override { return open_.size(); }
+  bool is_unanswered(std::uint16_t id) const override { return open_.contains(id); }
+  std::size_t unanswered_count() const override { return open_.size(); }
   void reply(std::string_view bytes) override { connection_.write(bytes); }
 
   void answered(OpenRequest& open, const service::FinalAnswer& answer) {
     owe_until(open.server_request);
     open.server_request = nullptr;
-    connection_.write(answer_records(open.id, output_of(answer), ProtocolStatus::kComplete));
+    connection_.write(encode_answer(open.id, output_of(answer), ProtocolStatus::kComplete));
     bool keep = open.keep;
     open_.erase(open.id);
     if (answer.kind == service::Answer::kCompleted) unrecognized_ = 0;
-    if (answer.unrecognized && ++unrecognized_ >= kMaxUnrecognized) ignore(Reason::kMalformed);
-    keep ? close_if_settled() : close(Reason::kDone);
+    if (answer.unrecognized && ++unrecognized_ >= kMaxUnrecognized) ignore(CloseReason::kMalformed);
+    keep ? close_if_settled() : close(CloseReason::kDone);
     front_.place(*this);
   }
 
@@ -303,7 +303,7 @@
   bool asked_ = false;  // a whole request has come
   bool answered_ = false;
   bool deaf_ = false;  // nothing is made of what still comes
-  std::optional<Reason> closing_;
+  std::optional<CloseReason> closing_;
   Nanos rest_until_ = 0;  // closing, for the rest of what is not whole
   Nanos owed_until_ = 0;  // by the latest caller that was answered
   int unrecognized_ = 0;  // requests since the last completed one that made no sense, to us or to the engine
@@ -311,7 +311,7 @@
 
 void FastCgiServer::OpenRequest::answer(const service::FinalAnswer& answer) { peer.answered(*this, answer); }
 
-void FastCgiServer::BalancerConnection::requested(CgiRequest request) {
+void FastCgiServer::BalancerConnection::handle_request(CgiRequest request) {
   asked_ = true;
   OpenRequest& open = *open_.emplace(request.id, std::make_unique<OpenRequest>(*this, request)).first->second;
   std::string_view script = request.field("SCRIPT_NAME");
@@ -323,12 +323,13 @@
   std::int64_t client = -1;  // not told
   std::unique_ptr<service::ServerRequest> server_request = front_.request_of(request, client);
   if (!server_request) {
-    front_.log_.frequent("exchange malformed: path '" + std::string(script.substr(0, 60)) + "', id '" +
-                         std::string(request.field("HTTP_TRACE_ID").substr(0, 20)) + "'");
+    front_.log_.write_rate_limited("exchange malformed: path '" + std::string(script.substr(0, 60)) +
+                                   "', id '" + std::string(request.field("HTTP_TRACE_ID").substr(0, 20)) +
+                                   "'");
     answered(open, {.unrecognized = true});
     return;
   }
-  if (client >= 0) front_.pacing_.belongs_to(account, {.address = address_, .number = client});
+  if (client >= 0) front_.pacing_.set_balancer(account, {.address = address_, .number = client});
   server_request->sink = &open;
   open.server_request = server_request.get();
   front_.service_->request_received(std::move(server_request));
@@ -377,7 +378,7 @@
                   read_if_there<std::int64_t>(request.field("HTTP_MAX_WAIT_MS"), max_wait, 0, kClocksApart) &&
                   read_if_there(request.field("HTTP_EXPECTED_MS"), hint, 0.0, 1e9);
   if (!readable) return false;
-  out.work_hint = static_cast<Nanos>(hint * 1e6);
+  out.estimated_work = static_cast<Nanos>(hint * 1e6);
   Nanos now = loop_.now();
   Nanos arrived = now - (stamp - accepted * kMs);
   out.arrived = std::min(arrived, now);
@@ -387,7 +388,7 @@
 
 bool FastCgiServer::read_key(const CgiRequest& request, service::ServerRequest& out) const {
   std::string_view subject = request.field("HTTP_LOOKUP_KEY");
-  out.has_subject = !subject.empty();
+  out.has_lookup_key = !subject.empty();
   Idempotency idempotency = out.request_class->idempotency;
   bool shares_answers = service_->config().answer_sharing_window > 0;
   if (idempotency == Idempotency::kIdempotent && shares_answers) out.key = subject;
@@ -440,7 +441,7 @@
 // or they would keep all others out for good where fewer are to be had than was told.
 void FastCgiServer::accept_failed(evconnlistener*, void* given) {
   auto* self = static_cast<FastCgiServer*>(given);
-  self->log_.frequent(std::string("accept failed: ") + std::strerror(EVUTIL_SOCKET_ERROR()));
+  self->log_.write_rate_limited(std::string("accept failed: ") + std::strerror(EVUTIL_SOCKET_ERROR()));
   evconnlistener_disable(self->listener_.get());
   self->accept_again_.set(self->make_room() ? kBusyPause : kAcceptPause);
 }
@@ -450,7 +451,7 @@
       peers_.end(), std::make_unique<BalancerConnection>(*this, socket, address,
                                                          "balancer connection " + std::to_string(++count_)));
   (*own)->own = own;
-  if (finishing_) (*own)->close(Reason::kDrained);
+  if (finishing_) (*own)->close(CloseReason::kDrained);
   place(**own);
   if (finishing_ || peers_.size() < max_connections_ || make_room()) return;
   evconnlistener_disable(listener_.get());
@@ -465,19 +466,19 @@
 bool FastCgiServer::make_room() {
   for (BalancerConnection* peer : closing_) {
     if (peer->connection().unsent() > 0) continue;
-    peer->connection().end(Reason::kCrowded);
+    peer->connection().end(CloseReason::kCrowded);
     return leave_list(*peer), true;
   }
-  if (peers::ConnectionAccount* slow = pacing_.slowest()) {
-    auto& peer = static_cast<BalancerConnection&>(pacing_.peer_of(*slow));
-    peer.connection().end(Reason::kCrowded);
+  if (peers::ConnectionAccount* slow = pacing_.slowest_connection()) {
+    auto& peer = static_cast<BalancerConnection&>(pacing_.connection_of(*slow));
+    peer.connection().end(CloseReason::kCrowded);
     return leave_list(peer), true;
   }
   auto let_go = [this](std::list<BalancerConnection*>& list, Nanos min) {
     for (BalancerConnection* peer : list) {
       if (loop_.now() - peer->since < min) return false;
       if (!peer->run_completed()) continue;
-      peer->connection().end(Reason::kCrowded);
+      peer->connection().end(CloseReason::kCrowded);
       return leave_list(*peer), true;
     }
     return false;
@@ -494,23 +495,25 @@
 // longest without progress is let go, first of a balancer that holds more than its share. Harm: requests it
 // has in hand lose their reader; what ran stays known by its key.
 void FastCgiServer::count(BalancerConnection& peer) {
-  pacing_.hold(peer.account, peer.connection().ending() ? 0 : peer.bytes_held());
+  pacing_.set_held_bytes(peer.account, peer.connection().ending() ? 0 : peer.bytes_held());
   watch(peer);
-  if (!pacing_.crowded(peer.account)) return;
-  peers::ConnectionAccount* worst = pacing_.worst(peer.account, loop_.now());
-  auto& largest = worst ? static_cast<BalancerConnection&>(pacing_.peer_of(*worst)) : peer;
-  largest.connection().end(Reason::kCrowded);
-  pacing_.hold(largest.account, 0);
+  if (!pacing_.exceeds_memory_limit(peer.account)) return;
+  peers::ConnectionAccount* costliest_connection = pacing_.costliest_connection(peer.account, loop_.now());
+  auto& largest = costliest_connection
+                      ? static_cast<BalancerConnection&>(pacing_.connection_of(*costliest_connection))
+                      : peer;
+  largest.connection().end(CloseReason::kCrowded);
+  pacing_.set_held_bytes(largest.account, 0);
 }
 
 void FastCgiServer::watch(BalancerConnection& peer) {
   pacing_.moved(peer.account, loop_.now());
-  if (!pace_.is_set() && pacing_.next_look()) pace_.set(pacing_.next_look() - loop_.now());
+  if (!pace_.is_set() && pacing_.next_evaluation_at()) pace_.set(pacing_.next_evaluation_at() - loop_.now());
 }
 
 void FastCgiServer::pace() {
-  pacing_.look(loop_.now());
-  if (pacing_.next_look()) pace_.set(pacing_.next_look() - loop_.now());
+  pacing_.evaluate_due_connections(loop_.now());
+  if (pacing_.next_evaluation_at()) pace_.set(pacing_.next_evaluation_at() - loop_.now());
   tell();
 }
 
@@ -518,7 +521,7 @@
 void FastCgiServer::tell() {
   using peers::State;
   bool is_short = pacing_.strictness() > 1;
-  std::uint64_t ends = ended(Reason::kSlow) + ended(Reason::kUnread) + ended(Reason::kCrowded);
+  std::uint64_t ends = ended(CloseReason::kSlow) + ended(CloseReason::kUnread) + ended(CloseReason::kCrowded);
   bool news = ends != told_ && loop_.now() - told_at_ >= kTellEvery;
   if (is_short == short_ && !news) return;
   short_ = is_short;
@@ -529,9 +532,10 @@
             ", paused " + std::to_string(pacing_.count(State::kPaused)) + ", hurried " +
             std::to_string(pacing_.count(State::kFinalWarning)) + ", blocked " +
             std::to_string(pacing_.count(State::kWriteStalled)) + ", bytes " +
-            std::to_string(pacing_.bytes()) + ", ended so far: slow " + std::to_string(ended(Reason::kSlow)) +
-            ", unread " + std::to_string(ended(Reason::kUnread)) + ", crowded " +
-            std::to_string(ended(Reason::kCrowded)));
+            std::to_string(pacing_.bytes()) + ", ended so far: slow " +
+            std::to_string(ended(CloseReason::kSlow)) + ", unread " +
+            std::to_string(ended(CloseReason::kUnread)) + ", crowded " +
+            std::to_string(ended(CloseReason::kCrowded)));
 }
 
 void FastCgiServer::remove(BalancerConnection& peer) {
@@ -569,7 +573,7 @@
         list.splice(list.end(), list, peer.place);
         continue;
       }
-      peer.close(Reason::kIdle);
+      peer.close(CloseReason::kIdle);
       place(peer);
     }
   };
@@ -592,7 +596,7 @@
   std::vector<BalancerConnection*> peers;
   for (auto& peer : peers_) peers.push_back(peer.get());
   for (BalancerConnection* peer : peers) {
-    peer->close(Reason::kDrained);
+    peer->close(CloseReason::kDrained);
     place(*peer);
   }
   drain();
--- a/src/net/fastcgi_server.h
+++ b/src/net/fastcgi_server.h
@@ -25,8 +25,8 @@
   // `finished` is told once, after finish(), when no connection is left and none waits to be accepted.
   void serve(service::Service& service, std::function<void()> finished);
   std::size_t connections() const { return peers_.size(); }
-  peers::SlowClientPolicy& pacing() { return pacing_; }
-  std::uint64_t ended(Reason reason) const { return ended_[static_cast<std::size_t>(reason)]; }
+  peers::SlowClientPolicy& slow_client_policy() { return pacing_; }
+  std::uint64_t ended(CloseReason reason) const { return ended_[static_cast<std::size_t>(reason)]; }
 
   void close_idle(Nanos after) override;
   void finish() override;
@@ -83,7 +83,7 @@
   Nanos told_at_ = 0;
   std::uint64_t told_ = 0;  // ends told so far that peers brought on themselves
   std::uint64_t count_ = 0;
-  std::uint64_t ended_[static_cast<std::size_t>(Reason::kDrained) + 1] = {};
+  std::uint64_t ended_[static_cast<std::size_t>(CloseReason::kDrained) + 1] = {};
 };
 
 }  // namespace myrtlecroft::net
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -19,8 +19,8 @@
   explicit Log(const service::Clock& clock);
   ~Log() override;
   void line(const std::string& text) override { write(text, events_); }
-  void frequent(const std::string& text) override { write(text, frequent_); }
-  void routine(const std::string& text) override { write(text, routine_); }
+  void write_rate_limited(const std::string& text) override { write(text, frequent_); }
+  void write_routine(const std::string& text) override { write(text, routine_); }
 
  private:
   struct Allowance {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -57,7 +57,7 @@
   ::close(descriptor_);
 }
 
-void CrossThreadWakeup::fire() {
+void CrossThreadWakeup::notify() {
   std::uint64_t one = 1;
   if (::write(descriptor_, &one, sizeof one) < 0) return;  // full: it is awake
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -40,7 +40,7 @@
   ~CrossThreadWakeup();
   CrossThreadWakeup(const CrossThreadWakeup&) = delete;
   CrossThreadWakeup& operator=(const CrossThreadWakeup&) = delete;
-  void fire();  // from any thread
+  void notify();  // from any thread
 
  private:
   static void came(evutil_socket_t, short, void* self);
--- a/src/net/reporter.cpp
+++ b/src/net/reporter.cpp
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-class Reporter::Link final : public ConnectionOwner {
+class LoadReporter::Link final : public ConnectionOwner {
  public:
-  Link(Reporter& reporter, const sockaddr_in& to)
+  Link(LoadReporter& reporter, const sockaddr_in& to)
       : reporter_(reporter),
         loop_(reporter.loop_),
         log_(reporter.log_),
@@ -44,15 +44,15 @@
   }
 
   void opened(Connection&) override { wait_ = kFirstWait; }
-  std::size_t came(Connection& connection, std::string_view bytes) override {
-    report::Malformed malformed = report::Malformed::kBody;
+  std::size_t bytes_received(Connection& connection, std::string_view bytes) override {
+    report::FrameError malformed = report::FrameError::kInvalidBody;
     std::size_t taken = bytes.size();
-    if (reporter_.next_.obeys)
+    if (reporter_.next_.accepts_assignments)
       taken = report::decode(bytes, {.report = {}, .order = reporter_.ordered_}, malformed);
-    if (malformed != report::Malformed::kNo) connection.end(Reason::kMalformed);
+    if (malformed != report::FrameError::kNone) connection.end(CloseReason::kMalformed);
     return taken;
   }
-  void ended(Connection&, Reason) override {
+  void ended(Connection&, CloseReason) override {
     connection_.reset();
     again_.set(wait_);
     wait_ = std::min(kLongestWait, 2 * wait_);
@@ -63,7 +63,7 @@
     connection_ = std::make_unique<Connection>(loop_.base(), to_, *this, log_, "reports to " + written(to_));
   }
 
-  Reporter& reporter_;
+  LoadReporter& reporter_;
   Loop& loop_;
   service::Logger& log_;
   sockaddr_in to_;
@@ -72,17 +72,17 @@
   Timer again_;
 };
 
-Reporter::Reporter(Loop& loop, service::Logger& log, const service::Service& service, std::string name,
-                   const sockaddr_in& listen)
+LoadReporter::LoadReporter(Loop& loop, service::Logger& log, const service::Service& service,
+                           std::string name, const sockaddr_in& listen)
     : loop_(loop), log_(log), service_(service), again_(loop.base(), [this] { send(); }) {
   next_.node = std::move(name);
   next_.address = written(listen);
   next_.incarnation = static_cast<std::uint64_t>(Loop::unix_now());
 }
 
-Reporter::~Reporter() = default;
+LoadReporter::~LoadReporter() = default;
 
-void Reporter::report_to(const settings::ReportSettings& settings) {
+void LoadReporter::set_report_settings(const settings::ReportSettings& settings) {
   std::vector<std::unique_ptr<Link>> links;
   for (const sockaddr_in& to : settings.to) {
     auto same = std::find_if(links_.begin(), links_.end(),
@@ -94,18 +94,18 @@
     }
   }
   links_ = std::move(links);
-  every_ = settings.every;
-  next_.obeys = settings.obey;
+  every_ = settings.report_interval;
+  next_.accepts_assignments = settings.follows_control_service;
   links_.empty() ? again_.clear() : again_.set(every_);
 }
 
-std::size_t Reporter::bytes_waiting() const {
+std::size_t LoadReporter::bytes_waiting() const {
   std::size_t out = 0;
   for (const auto& link : links_) out += link->bytes_held();
   return out;
 }
 
-void Reporter::send() {
+void LoadReporter::send() {
   std::string frame = report::encode(report());
   sent_.push_back(loop_.now());
   if (sent_.size() > kMaxSent) sent_.pop_front();
@@ -113,13 +113,13 @@
   again_.set(every_);
 }
 
-bool Reporter::is_fresh(std::uint64_t sequence) const {
+bool LoadReporter::was_sent_recently(std::uint64_t sequence) const {
   std::uint64_t ago = next_.sequence - sequence;
   return ago < sent_.size() &&
          loop_.now() - sent_[sent_.size() - 1 - static_cast<std::size_t>(ago)] <= kFresh;
 }
 
-report::LoadReport Reporter::report() {
+report::LoadReport LoadReporter::report() {
   ++next_.sequence;
   next_.sent_unix = Loop::unix_now();
   std::optional<ControllerStats> stats = service_.stats();
@@ -130,7 +130,7 @@
     next_.warming_up = stats->warming_up;
     next_.window = static_cast<std::uint32_t>(stats->window);
     next_.limit = stats->limit;
-    next_.held = static_cast<std::uint32_t>(stats->held);
+    next_.queued_requests = static_cast<std::uint32_t>(stats->queued_requests);
     next_.running = static_cast<std::uint32_t>(stats->running);
   }
   next_.core_time = static_cast<std::uint64_t>(service_.core_time());
--- a/src/net/reporter.h
+++ b/src/net/reporter.h
@@ -14,22 +14,22 @@
 
 namespace myrtlecroft::net {
 
-class Reporter {
+class LoadReporter {
  public:
-  Reporter(Loop& loop, service::Logger& log, const service::Service& service, std::string name,
-           const sockaddr_in& listen);
-  ~Reporter();
+  LoadReporter(Loop& loop, service::Logger& log, const service::Service& service, std::string name,
+               const sockaddr_in& listen);
+  ~LoadReporter();
   // From now on to these. Those already connected stay so.
-  void report_to(const settings::ReportSettings& settings);
+  void set_report_settings(const settings::ReportSettings& settings);
   // Orders that come where the settings say that they are heeded; otherwise nothing is taken on these
   // connections.
   using Ordered = std::function<void(const fencing::ShardAssignment&)>;
-  void on_order(Ordered ordered) { ordered_ = std::move(ordered); }
-  void acts_on(fencing::Epoch epoch) { next_.epoch = epoch; }
-  void runs(std::uint8_t version) { next_.version = version; }
+  void on_assignment(Ordered ordered) { ordered_ = std::move(ordered); }
+  void set_assignment_epoch(fencing::Epoch epoch) { next_.epoch = epoch; }
+  void set_version(std::uint8_t version) { next_.version = version; }
   // Whether that report was sent not long ago, by our own clock: an answer to it is no older. What lay in a
   // socket while a link stood still would pass for news otherwise.
-  bool is_fresh(std::uint64_t sequence) const;
+  bool was_sent_recently(std::uint64_t sequence) const;
   std::uint64_t incarnation() const { return next_.incarnation; }
   std::size_t bytes_waiting() const;  // of all control services, not yet sent
 
--- a/src/overload/capacity_estimate.cpp
+++ b/src/overload/capacity_estimate.cpp
@@ -110,7 +110,7 @@
 // Priority weight for the core time that it takes.
 double CapacityEstimate::value(std::size_t request_class, Nanos now) const {
   double weight = config_.request_classes[request_class].priority_weight;
-  return weight / (config_.weight_by_work ? 1 : core_time(request_class, now));
+  return weight / (config_.weight_is_per_core_second ? 1 : core_time(request_class, now));
 }
 
 // Which of a tenant's requests are beyond its quota is not known here: each counts as much as they do on
--- a/src/overload/concurrency_limit.cpp
+++ b/src/overload/concurrency_limit.cpp
@@ -20,15 +20,15 @@
     : config_(config), limit_(config.cores), contention_(kContentionRecent) {}
 
 void ConcurrencyLimit::begin_running(Request& request, Nanos now) {
-  request.on_core = true;
-  request.since = now;
+  request.occupies_core = true;
+  request.interval_start = now;
   ++running_;
 }
 
 void ConcurrencyLimit::end_running(Request& request, Nanos now) {
-  if (!request.on_core) return;
-  request.on_core = false;
-  request.core_time += now - request.since;
+  if (!request.occupies_core) return;
+  request.occupies_core = false;
+  request.core_time += now - request.interval_start;
   --running_;
 }
 
@@ -46,10 +46,11 @@
 }
 
 void ConcurrencyLimit::follow(const Gauges& gauges, bool work_is_queued, Nanos now) {
-  if (gauges.on_cores) contention_.add(*gauges.on_cores, now);
+  if (gauges.runnable_threads) contention_.add(*gauges.runnable_threads, now);
   double threads = contention(now);
-  bool idle = gauges.core_use ? *gauges.core_use < kBusyCores && threads < kMeasurableIdle * config_.cores
-                              : threads < config_.cores;
+  bool idle = gauges.core_utilization
+                  ? *gauges.core_utilization < kBusyCores && threads < kMeasurableIdle * config_.cores
+                  : threads < config_.cores;
   if (work_is_queued && running_ + 1 > limit_ && idle) limit_ += kStep;
   if (threads > kContended * config_.cores) limit_ -= kStep;
   double min_limit = static_cast<double>(config_.cores);
--- a/src/overload/controller_core.cpp
+++ b/src/overload/controller_core.cpp
@@ -125,7 +125,7 @@
           .warming_up = concurrency_.warm_up_progress(now_) < 1,
           .window = window_.size(),
           .limit = concurrency_.limit(),
-          .held = static_cast<int>(queue_.size()),
+          .queued_requests = static_cast<int>(queue_.size()),
           .running = concurrency_.running()};
 }
 
@@ -210,7 +210,7 @@
   const RequestClass& request_class = *request.request_class;
   if (request_class.idempotency == Idempotency::kKeyed) return request_class.deduplication_window;
   bool may_share =
-      request_class.idempotency == Idempotency::kIdempotent && request.has_subject && !request.writes;
+      request_class.idempotency == Idempotency::kIdempotent && request.has_lookup_key && !request.writes;
   return may_share && memory_.has_room_for_shared_answers() ? config_.answer_sharing_window : 0;
 }
 
@@ -223,7 +223,7 @@
   if (ok || outcome == Outcome::kFailed) health_.run_ended(ok, now_);
   if (ok) count_answer(request);
   // What was stopped while it ran tells that work takes longer: without it, only short work would count.
-  bool stopped = outcome == Outcome::kCanceled && request.on_core;
+  bool stopped = outcome == Outcome::kCanceled && request.occupies_core;
   if ((!ok && !stopped) || !health_.started_after_stall(request)) return;
   concurrency_.end_running(request, now_);
   capacity_.run_measured(request, now_);
@@ -243,7 +243,7 @@
 void Controller::Core::answer_was_late(const Request& request) {
   Nanos queued = request.started - request.admitted;
   Nanos in_calls = now_ - request.started - request.core_time;
-  bool caused_by_dependency = request.ran && in_calls > queued && request.calls > 0 && !request.on_core;
+  bool caused_by_dependency = request.ran && in_calls > queued && request.calls > 0 && !request.occupies_core;
   window_.answer_was_late(request.position, caused_by_dependency);
 }
 
@@ -340,7 +340,7 @@
 void Controller::Core::advertise() {
   bool many_rejected = capacity_.rejects_more_than(kFewRejected, now_);
   double admissible = 0;
-  if (config_.advertised_capacity == AdvertisedCapacity::kAllowance) {
+  if (config_.advertised_capacity == AdvertisedCapacity::kMaxInFlight) {
     admissible = concurrency_.limit() + capacity_.max_queue(window_.size(), now_);
   }
   std::optional<double> value = advice_.advertised(health_.mode(), many_rejected, admissible);
--- a/src/overload/dependency_budget.cpp
+++ b/src/overload/dependency_budget.cpp
@@ -61,7 +61,7 @@
 void DependencyBudget::call_ended(const Request& request, Outcome outcome, Nanos took, Nanos now) {
   bool known_long = outcome == Outcome::kTimedOut && overtaken(request);
   bool measures_time = !never_ran(outcome) && outcome != Outcome::kReset && !known_long;
-  if (outcome == Outcome::kOk) newest_returned_ = std::max(newest_returned_, request.since);
+  if (outcome == Outcome::kOk) newest_returned_ = std::max(newest_returned_, request.interval_start);
   if (!measures_time) return;
   call_time_.add(seconds(took), now);
   base_call_time_.add(seconds(took), now);
@@ -84,7 +84,7 @@
 std::vector<Request*> DependencyBudget::lost_calls(Nanos now) const {
   std::vector<Request*> lost;
   for (Request* request : in_flight_) {
-    bool too_long = seconds(now - request->since) > kLostFactor * learned_call_time(now);
+    bool too_long = seconds(now - request->interval_start) > kLostFactor * learned_call_time(now);
     if (overtaken(*request) && too_long && may_repeat_call(*request)) lost.push_back(request);
   }
   return lost;
@@ -105,11 +105,11 @@
   bool no_time = left < capacity_.core_time_of(request, now) + 2 * call_time(now);
   bool no_slot = requests_in_calls() > slots(now);
   int max_lost = may_repeat_call(request) ? kMaxAttempts : 1;
-  bool no_attempt = request.calls_lost >= max_lost;
+  bool no_attempt = request.lost_call_count >= max_lost;
   if (request.request_class->degraded_weight_share > 0 && (no_time || no_slot || no_attempt)) {
     return Decision::kSkip;
   }
-  if (request.calls_lost > 0 && !may_repeat_call(request)) return Decision::kFail;
+  if (request.lost_call_count > 0 && !may_repeat_call(request)) return Decision::kFail;
   if ((no_slot || is_slow_for(request, now)) && left < 0) return Decision::kFail;
   bool affordable = credit_ >= 0 && occupied() + 1 <= std::max(1.0, target(now));
   return affordable ? Decision::kIssue : Decision::kWait;
@@ -147,7 +147,7 @@
 double DependencyBudget::call_time(Nanos now) const {
   auto oldest = std::find_if_not(in_flight_.begin(), in_flight_.end(),
                                  [this](const Request* request) { return overtaken(*request); });
-  double in_flight_for = oldest == in_flight_.end() ? 0 : seconds(now - (*oldest)->since);
+  double in_flight_for = oldest == in_flight_.end() ? 0 : seconds(now - (*oldest)->interval_start);
   return std::max(learned_call_time(now), in_flight_for);
 }
 
--- a/src/overload/dependency_budget.h
+++ b/src/overload/dependency_budget.h
@@ -35,7 +35,7 @@
   void call_left(Request& request, Nanos now);
   void call_ended(const Request& request, Outcome outcome, Nanos took, Nanos now);
   static bool never_ran(Outcome outcome) {
-    return outcome == Outcome::kFull || outcome == Outcome::kUnreachable;
+    return outcome == Outcome::kAtCapacity || outcome == Outcome::kUnreachable;
   }
 
   // Brings credit and abandoned calls up to date.
@@ -62,7 +62,7 @@
   double occupied() const { return static_cast<double>(in_flight_.size() + abandoned_.size()); }
   double share_over_window() const;
   double max_call_seconds() const;
-  bool overtaken(const Request& request) const { return request.since < newest_returned_; }
+  bool overtaken(const Request& request) const { return request.interval_start < newest_returned_; }
   bool has_dependency(const Request& request) const {
     return request.request_class->makes_calls && config_.has_dependency;
   }
--- a/src/overload/idle_connections.cpp
+++ b/src/overload/idle_connections.cpp
@@ -26,7 +26,8 @@
   double idle = *gauges.connections - static_cast<double>(load.open_requests);
   double returns = kReturnTime * load.received_recently / seconds(kRecent) / config_.callers;
   double max_idle = config_.cores * (kMinPerCore + (kMaxPerCore - kMinPerCore) * std::min(1.0, returns));
-  bool storm = gauges.core_use.value_or(1) > kBusyCores && load.other_threads > kStormThreads * config_.cores;
+  bool storm =
+      gauges.core_utilization.value_or(1) > kBusyCores && load.other_threads > kStormThreads * config_.cores;
   double factor = 1;
   if (storm) {
     factor = kStormFactor;
--- a/src/overload/lifecycle_actions.cpp
+++ b/src/overload/lifecycle_actions.cpp
@@ -58,8 +58,8 @@
   Nanos lifetime = key_lifetime(request);
   if (lifetime <= 0) return;
   request.key_retained = true;
-  request.key_until = now_ + lifetime;
-  memory_.retain_key(request.key_until);
+  request.key_expires_at = now_ + lifetime;
+  memory_.retain_key(request.key_expires_at);
   actions_.retain_key(request, lifetime);
 }
 
@@ -96,7 +96,7 @@
 void Controller::Core::issue_call(Request& request) {
   dependency_.stop_awaiting(request);
   request.call_in_flight = true;
-  request.since = now_;
+  request.interval_start = now_;
   actions_.call(request, dependency_.max_call_time(request, now_));
   dependency_.call_issued(request);
 }
@@ -119,7 +119,7 @@
 
 void Controller::Core::count_lost_call(Request& request) {
   await_again(request);
-  ++request.calls_lost;
+  ++request.lost_call_count;
 }
 
 void Controller::Core::finish(Request& request) {
@@ -137,7 +137,8 @@
   request.answered = true;
   dependency_.call_left(request, now_);
   bool is_idempotent = request.request_class->idempotency == Idempotency::kIdempotent;
-  if (request.on_core && config_.stop_mode != StopMode::kNone && is_idempotent) actions_.stop_work(request);
+  if (request.occupies_core && config_.stop_mode != StopMode::kNone && is_idempotent)
+    actions_.stop_work(request);
 }
 
 void Controller::Core::fail_unstarted(Request& request) {
@@ -157,7 +158,7 @@
   std::erase(queue_, &request);
   if (!request.key_retained) return;
   request.key_retained = false;
-  memory_.forget_key(request.key_until);
+  memory_.forget_key(request.key_expires_at);
   actions_.forget_key(request);
 }
 
--- a/src/overload/retry_advice.cpp
+++ b/src/overload/retry_advice.cpp
@@ -34,11 +34,11 @@
   pressure_ = std::clamp(pressure_ + change, 0.0, kMaxPressure);
   double pressure = healthy ? pressure_ : kMaxPressure;
   switch (config_.advertised_capacity) {
-    case AdvertisedCapacity::kAllowance:
+    case AdvertisedCapacity::kMaxInFlight:
       return healthy ? std::max(1 - pressure_, admissible / config_.callers) : kUnhealthyAllowance;
     case AdvertisedCapacity::kWeight:
       return 1 - pressure;
-    case AdvertisedCapacity::kFloor:
+    case AdvertisedCapacity::kMinPriority:
     case AdvertisedCapacity::kNone:
       break;
   }
--- a/src/peers/slow_client_policy.cpp
+++ b/src/peers/slow_client_policy.cpp
@@ -24,30 +24,31 @@
 // one with requests in hand waits for their answers before kOver comes.
 constexpr Row kTable[] = {
     {State::kActive, Input::kClear, State::kIdle, Effect::kNone},
-    {State::kActive, Input::kFull, State::kPaused, Effect::kPause},
+    {State::kActive, Input::kFull, State::kPaused, Effect::kPauseReading},
     {State::kActive, Input::kSlowIn, State::kFinalWarning, Effect::kNone},
-    {State::kActive, Input::kSlowOut, State::kWriteStalled, Effect::kPause},
-    {State::kActive, Input::kOverdue, State::kActive, Effect::kCancel},
-    {State::kPaused, Input::kClear, State::kIdle, Effect::kReadOn},
-    {State::kPaused, Input::kSteady, State::kActive, Effect::kReadOn},
+    {State::kActive, Input::kSlowOut, State::kWriteStalled, Effect::kPauseReading},
+    {State::kActive, Input::kOverdue, State::kActive, Effect::kCancelRequest},
+    {State::kPaused, Input::kClear, State::kIdle, Effect::kResumeReading},
+    {State::kPaused, Input::kSteady, State::kActive, Effect::kResumeReading},
     {State::kPaused, Input::kSlowOut, State::kWriteStalled, Effect::kNone},
     {State::kFinalWarning, Input::kClear, State::kIdle, Effect::kNone},
     {State::kFinalWarning, Input::kSteady, State::kActive, Effect::kNone},
-    {State::kFinalWarning, Input::kFull, State::kPaused, Effect::kPause},
-    {State::kFinalWarning, Input::kSlowOut, State::kWriteStalled, Effect::kPause},
-    {State::kFinalWarning, Input::kOverdue, State::kActive, Effect::kCancel},
-    {State::kFinalWarning, Input::kOver, State::kGone, Effect::kDropSlow},
-    {State::kWriteStalled, Input::kClear, State::kIdle, Effect::kReadOn},
-    {State::kWriteStalled, Input::kSteady, State::kActive, Effect::kReadOn},
+    {State::kFinalWarning, Input::kFull, State::kPaused, Effect::kPauseReading},
+    {State::kFinalWarning, Input::kSlowOut, State::kWriteStalled, Effect::kPauseReading},
+    {State::kFinalWarning, Input::kOverdue, State::kActive, Effect::kCancelRequest},
+    {State::kFinalWarning, Input::kOver, State::kRemoved, Effect::kCloseSlowSender},
+    {State::kWriteStalled, Input::kClear, State::kIdle, Effect::kResumeReading},
+    {State::kWriteStalled, Input::kSteady, State::kActive, Effect::kResumeReading},
     {State::kWriteStalled, Input::kFull, State::kPaused, Effect::kNone},
-    {State::kWriteStalled, Input::kOver, State::kGone, Effect::kDropUnread},
+    {State::kWriteStalled, Input::kOver, State::kRemoved, Effect::kCloseSlowReader},
 };
 
 bool is_slow(State state) { return state == State::kFinalWarning || state == State::kWriteStalled; }
 
 }  // namespace
 
-void SlowClientPolicy::join(ConnectionAccount& account, PacedPeer& peer, BalancerKey key) {
+void SlowClientPolicy::add_connection(ConnectionAccount& account, MonitoredConnection& peer,
+                                      BalancerKey key) {
   account.peer_ = &peer;
   account.balancer_ = balancers_.try_emplace(key).first;
   ++account.balancer_->second.peers;
@@ -55,18 +56,18 @@
   ++counts_[static_cast<std::size_t>(account.state_)];
 }
 
-void SlowClientPolicy::leave(ConnectionAccount& account) {
+void SlowClientPolicy::remove_connection(ConnectionAccount& account) {
   if (!account.peer_) return;
   unwatch(account);
-  hold(account, 0);
-  enter(account, State::kGone);
+  set_held_bytes(account, 0);
+  enter(account, State::kRemoved);
   --counts_[static_cast<std::size_t>(account.state_)];
   --peers_;
   account.peer_ = nullptr;
   if (--account.balancer_->second.peers == 0) balancers_.erase(account.balancer_);
 }
 
-void SlowClientPolicy::belongs_to(ConnectionAccount& account, BalancerKey key) {
+void SlowClientPolicy::set_balancer(ConnectionAccount& account, BalancerKey key) {
   if (account.balancer_->first == key) return;
   auto old = account.balancer_;
   account.balancer_ = balancers_.try_emplace(key).first;
@@ -76,7 +77,7 @@
   if (--old->second.peers == 0) balancers_.erase(old);
 }
 
-void SlowClientPolicy::hold(ConnectionAccount& account, std::size_t bytes) {
+void SlowClientPolicy::set_held_bytes(ConnectionAccount& account, std::size_t bytes) {
   bytes_ += bytes - account.held_;
   account.balancer_->second.held += bytes - account.held_;
   account.held_ = bytes;
@@ -93,14 +94,14 @@
   return now - stood_still_;
 }
 
-void SlowClientPolicy::watch(ConnectionAccount& account, Nanos now) {
-  if (account.watched_ || account.state_ == State::kGone) return;
+void SlowClientPolicy::start_watching(ConnectionAccount& account, Nanos now) {
+  if (account.watched_ || account.state_ == State::kRemoved) return;
   Nanos at = time(now);
   account.watched_ = true;
   account.look_at_ = at + kLookEvery;
   account.place_ = watched_.insert(watched_.end(), &account);
   enter(account, State::kActive);
-  input_of(account, account.peer_->standing(), at);
+  input_of(account, account.peer_->current_progress(), at);
 }
 
 void SlowClientPolicy::unwatch(ConnectionAccount& account) {
@@ -124,12 +125,13 @@
 
 // Unbiased from the start on: the sum is set against what a steady stream of this age would have left in it.
 double SlowClientPolicy::rate(const ConnectionAccount::Flow& flow, Nanos at) const {
-  double span = static_cast<double>(options_.rate_over) / 1e9;
+  double span = static_cast<double>(options_.rate_window) / 1e9;
   double age = static_cast<double>(std::max<Nanos>(at - flow.since, 1)) / 1e9;
   return flow.moved->read(at) / (span * -std::expm1(-age / span));
 }
 
-Input SlowClientPolicy::input_of(ConnectionAccount& account, const ConnectionProgress& standing, Nanos at) {
+Input SlowClientPolicy::input_of(ConnectionAccount& account, const ConnectionProgress& current_progress,
+                                 Nanos at) {
   double strict = strictness();
   if (over_share(account.balancer_->second)) strict = kStrictest;
   Nanos grace = static_cast<Nanos>(static_cast<double>(options_.grace) / strict);
@@ -139,7 +141,7 @@
       return false;
     }
     if (!flow.moved) {
-      flow = {.since = at, .progress = at, .seen = total, .moved = DecayingSum(options_.rate_over)};
+      flow = {.since = at, .progress = at, .seen = total, .moved = DecayingSum(options_.rate_window)};
       return false;
     }
     std::uint64_t moved = total - std::exchange(flow.seen, total);
@@ -148,18 +150,19 @@
     return at - flow.since >= grace && rate(flow, at) < options_.min_rate * strict;
   };
   // What a paused peer sends is not read, and begins anew after that.
-  bool awaited = standing.awaited && !account.paused();
-  if (standing.awaited != account.awaited_) account.in_ = {};
-  account.awaited_ = standing.awaited;
-  bool slow_in = slow(account.in_, awaited, standing.in);
-  bool slow_out = slow(account.out_, standing.unread > 0, standing.out);
+  bool awaited = current_progress.awaited && !account.paused();
+  if (current_progress.awaited != account.awaited_) account.in_ = {};
+  account.awaited_ = current_progress.awaited;
+  bool slow_in = slow(account.in_, awaited, current_progress.in);
+  bool slow_out = slow(account.out_, current_progress.unread > 0, current_progress.out);
   bool over = is_slow(account.state_) && at >= account.hurry_until_;
-  if (!standing.awaited && !standing.unread) return Input::kClear;
+  if (!current_progress.awaited && !current_progress.unread) return Input::kClear;
   if (slow_out)
-    return over && account.state_ == State::kWriteStalled && !standing.open ? Input::kOver : Input::kSlowOut;
+    return over && account.state_ == State::kWriteStalled && !current_progress.open ? Input::kOver
+                                                                                    : Input::kSlowOut;
   if (slow_in) return over && account.state_ == State::kFinalWarning ? Input::kOver : Input::kSlowIn;
-  if (standing.unread && full(account, standing.unread, at)) return Input::kFull;
-  if (awaited && at - account.in_.since >= options_.whole_within) return Input::kOverdue;
+  if (current_progress.unread && full(account, current_progress.unread, at)) return Input::kFull;
+  if (awaited && at - account.in_.since >= options_.max_request_read_time) return Input::kOverdue;
   return Input::kSteady;
 }
 
@@ -167,7 +170,7 @@
 // before a paused peer is read again, or it would be paused at every answer. Harm: answers that end together
 // on one connection look alike for a turn of the loop, which is why a new flow is left alone that long.
 bool SlowClientPolicy::full(const ConnectionAccount& account, std::size_t unread, Nanos at) const {
-  if (unread < (account.paused() ? options_.unread_share / 2 : options_.unread_share)) return false;
+  if (unread < (account.paused() ? options_.max_unread_bytes / 2 : options_.max_unread_bytes)) return false;
   double soon = rate(account.out_, at) * static_cast<double>(kLookEvery) / 1e9;
   return at - account.out_.since >= kTurn && static_cast<double>(unread) > soon;
 }
@@ -176,38 +179,39 @@
   for (const Row& row : kTable) {
     if (row.state != account.state_ || row.input != input) continue;
     if (is_slow(row.next)) {
-      account.hurry_until_ = at + static_cast<Nanos>(static_cast<double>(options_.hurry) / strictness());
+      account.hurry_until_ =
+          at + static_cast<Nanos>(static_cast<double>(options_.final_warning_time) / strictness());
     }
-    if (row.effect == Effect::kReadOn) account.in_ = {};
+    if (row.effect == Effect::kResumeReading) account.in_ = {};
     enter(account, row.next);
-    if (row.next == State::kIdle || row.next == State::kGone) unwatch(account);
-    if (row.effect != Effect::kNone) account.peer_->paced(row.effect);  // may end the account
+    if (row.next == State::kIdle || row.next == State::kRemoved) unwatch(account);
+    if (row.effect != Effect::kNone) account.peer_->apply_effect(row.effect);  // may end the account
     return;
   }
 }
 
 void SlowClientPolicy::moved(ConnectionAccount& account, Nanos now) {
-  ConnectionProgress standing = account.peer_->standing();
-  if (standing.unread >= options_.unread_share) {
-    judge(account, now);
-  } else if (standing.awaited || standing.unread) {
-    watch(account, now);
+  ConnectionProgress current_progress = account.peer_->current_progress();
+  if (current_progress.unread >= options_.max_unread_bytes) {
+    evaluate(account, now);
+  } else if (current_progress.awaited || current_progress.unread) {
+    start_watching(account, now);
   }
 }
 
-void SlowClientPolicy::judge(ConnectionAccount& account, Nanos now) {
-  if (!account.watched_) return watch(account, now);
+void SlowClientPolicy::evaluate(ConnectionAccount& account, Nanos now) {
+  if (!account.watched_) return start_watching(account, now);
   Nanos at = time(now);
-  step(account, input_of(account, account.peer_->standing(), at), at);
+  step(account, input_of(account, account.peer_->current_progress(), at), at);
 }
 
-void SlowClientPolicy::look(Nanos now) {
+void SlowClientPolicy::evaluate_due_connections(Nanos now) {
   Nanos at = time(now);
   while (!watched_.empty() && watched_.front()->look_at_ <= at) {
     ConnectionAccount& account = *watched_.front();
     account.look_at_ = at + kLookEvery;
     watched_.splice(watched_.end(), watched_, watched_.begin());
-    step(account, input_of(account, account.peer_->standing(), at), at);
+    step(account, input_of(account, account.peer_->current_progress(), at), at);
   }
 }
 
@@ -225,7 +229,7 @@
          static_cast<double>(limits_.bytes);
 }
 
-bool SlowClientPolicy::crowded(const ConnectionAccount& account) const {
+bool SlowClientPolicy::exceeds_memory_limit(const ConnectionAccount& account) const {
   return bytes_ > limits_.bytes || over_share(account.balancer_->second);
 }
 
@@ -238,30 +242,31 @@
   return static_cast<double>(account.held_ + 1) * static_cast<double>(at - progress + kMs);
 }
 
-ConnectionAccount* SlowClientPolicy::worst(const ConnectionAccount& account, Nanos now) {
+ConnectionAccount* SlowClientPolicy::costliest_connection(const ConnectionAccount& account, Nanos now) {
   Nanos at = time(now);
   bool of_one = over_share(account.balancer_->second);
-  ConnectionAccount* worst = nullptr;
+  ConnectionAccount* costliest_connection = nullptr;
   double max = 0;
   int compared = 0;
   for (ConnectionAccount* each : watched_) {
     if (++compared > kFew) break;
     if (of_one && each->balancer_ != account.balancer_) continue;
     double cost = waiting_cost(*each, at);
-    if (cost > max) worst = each, max = cost;
+    if (cost > max) costliest_connection = each, max = cost;
   }
-  return worst;
+  return costliest_connection;
 }
 
-ConnectionAccount* SlowClientPolicy::slowest() {
-  ConnectionAccount* slowest = nullptr;
+ConnectionAccount* SlowClientPolicy::slowest_connection() {
+  ConnectionAccount* slowest_connection = nullptr;
   int compared = 0;
   for (ConnectionAccount* each : slow_) {
     if (++compared > kFew) break;
-    if (each->peer_->standing().open) continue;
-    if (!slowest || each->balancer_->second.peers > slowest->balancer_->second.peers) slowest = each;
+    if (each->peer_->current_progress().open) continue;
+    if (!slowest_connection || each->balancer_->second.peers > slowest_connection->balancer_->second.peers)
+      slowest_connection = each;
   }
-  return slowest;
+  return slowest_connection;
 }
 
 }  // namespace myrtlecroft::peers
--- a/src/peers/slow_client_policy.h
+++ b/src/peers/slow_client_policy.h
@@ -14,13 +14,13 @@
 namespace myrtlecroft::peers {
 
 struct SlowClientOptions {
-  double min_rate = 500;         // bytes per second, of a request on its way in or answers on their way out
-  Nanos rate_over = 1000 * kMs;  // the span of the sums that the rates are read from
-  Nanos grace = 1000 * kMs;      // before a rate is judged
-  Nanos hurry = 500 * kMs;       // from too slow a rate to the end
-  Nanos whole_within = 5000 * kMs;    // one request, from its first byte to its last, at whatever rate
-  std::size_t unread_share = 65'536;  // bytes of answers; beyond them a peer's next requests wait
-  double balancer_share = 0.75;       // of the memory, for all peers of one balancer beside others
+  double min_rate = 500;           // bytes per second, of a request on its way in or answers on their way out
+  Nanos rate_window = 1000 * kMs;  // the span of the sums that the rates are read from
+  Nanos grace = 1000 * kMs;        // before a rate is judged
+  Nanos final_warning_time = 500 * kMs;      // from too slow a rate to the end
+  Nanos max_request_read_time = 5000 * kMs;  // one request, from its first byte to its last, at whatever rate
+  std::size_t max_unread_bytes = 65'536;     // bytes of answers; beyond them a peer's next requests wait
+  double balancer_share = 0.75;              // of the memory, for all peers of one balancer beside others
 };
 
 // Derived from the limits told at the start.
@@ -44,7 +44,7 @@
   kPaused,        // too much waits unread: its next requests are not read
   kFinalWarning,  // brings a request too slowly: a short time to do better
   kWriteStalled,  // takes its answers too slowly: a short time to do better, and nothing more is read
-  kGone
+  kRemoved
 };
 
 enum class Input {
@@ -59,20 +59,20 @@
 
 enum class Effect {
   kNone,
-  kReadOn,
-  kPause,
-  kCancel,    // ends the request that is awaited, alone
-  kDropSlow,  // ends the connection: what is open is answered first
-  kDropUnread
+  kResumeReading,
+  kPauseReading,
+  kCancelRequest,    // ends the request that is awaited, alone
+  kCloseSlowSender,  // ends the connection: what is open is answered first
+  kCloseSlowReader
 };
 
 // The connection behind an account.
-class PacedPeer {
+class MonitoredConnection {
  public:
-  virtual ~PacedPeer() = default;
-  virtual ConnectionProgress standing() const = 0;
+  virtual ~MonitoredConnection() = default;
+  virtual ConnectionProgress current_progress() const = 0;
   // May end the connection and with it the account.
-  virtual void paced(Effect effect) = 0;
+  virtual void apply_effect(Effect effect) = 0;
 };
 
 // Whose connection it is: the address it came from, and the balancer's number once it has told one.
@@ -106,7 +106,7 @@
   };
   using Balancers = std::map<BalancerKey, Balancer>;
 
-  PacedPeer* peer_ = nullptr;
+  MonitoredConnection* peer_ = nullptr;
   Balancers::iterator balancer_;
   State state_ = State::kIdle;
   std::uint64_t awaited_ = 0;
@@ -127,33 +127,35 @@
 
   void set_options(const SlowClientOptions& options) { options_ = options; }
 
-  void join(ConnectionAccount& account, PacedPeer& peer, BalancerKey key);
-  void leave(ConnectionAccount& account);
-  void belongs_to(ConnectionAccount& account, BalancerKey key);
+  void add_connection(ConnectionAccount& account, MonitoredConnection& peer, BalancerKey key);
+  void remove_connection(ConnectionAccount& account);
+  void set_balancer(ConnectionAccount& account, BalancerKey key);
   // Its connection has moved on: it is watched from here on where something waits, and judged at once where
   // its unread answers may be beyond their share.
   void moved(ConnectionAccount& account, Nanos now);
   // Says how many bytes of memory it holds now.
-  void hold(ConnectionAccount& account, std::size_t bytes);
+  void set_held_bytes(ConnectionAccount& account, std::size_t bytes);
   // Something has begun to wait in one direction. Costs nothing where that is known.
-  void watch(ConnectionAccount& account, Nanos now);
+  void start_watching(ConnectionAccount& account, Nanos now);
   // Judges one peer at once.
-  void judge(ConnectionAccount& account, Nanos now);
+  void evaluate(ConnectionAccount& account, Nanos now);
   // Judges all whose time has come.
-  void look(Nanos now);
+  void evaluate_due_connections(Nanos now);
   // When to look next; 0: not before something is watched.
-  Nanos next_look() const { return watched_.empty() ? 0 : watched_.front()->look_at_ + stood_still_; }
+  Nanos next_evaluation_at() const {
+    return watched_.empty() ? 0 : watched_.front()->look_at_ + stood_still_;
+  }
 
   // Over a bound of memory: for all peers, or of one balancer beside others.
-  bool crowded(const ConnectionAccount& account) const;
+  bool exceeds_memory_limit(const ConnectionAccount& account) const;
   // The one that holds most for longest without progress, of the account's balancer or, where that is
   // within its share, of all. With many waited for, of the few not looked at for longest: finding it must not
   // cost more than what it frees. Null: nobody is waited for.
-  ConnectionAccount* worst(const ConnectionAccount& account, Nanos now);
+  ConnectionAccount* costliest_connection(const ConnectionAccount& account, Nanos now);
   // For its descriptor: among the few that have been hurried or blocked for longest and have nothing in hand,
   // one of the balancer with most connections. Null: there is none.
-  ConnectionAccount* slowest();
-  PacedPeer& peer_of(ConnectionAccount& account) const { return *account.peer_; }
+  ConnectionAccount* slowest_connection();
+  MonitoredConnection& connection_of(ConnectionAccount& account) const { return *account.peer_; }
 
   std::size_t bytes() const { return bytes_; }
   std::size_t watched() const { return watched_.size(); }
@@ -163,7 +165,7 @@
 
  private:
   Nanos time(Nanos now);
-  Input input_of(ConnectionAccount& account, const ConnectionProgress& standing, Nanos at);
+  Input input_of(ConnectionAccount& account, const ConnectionProgress& current_progress, Nanos at);
   void step(ConnectionAccount& account, Input input, Nanos at);
   void enter(ConnectionAccount& account, State next);
   void unwatch(ConnectionAccount& account);
@@ -179,7 +181,7 @@
   std::list<ConnectionAccount*> slow_;     // hurried or blocked, longest so first
   std::size_t bytes_ = 0;
   std::size_t peers_ = 0;
-  std::size_t counts_[static_cast<std::size_t>(State::kGone) + 1] = {};
+  std::size_t counts_[static_cast<std::size_t>(State::kRemoved) + 1] = {};
   Nanos stood_still_ = 0;  // for so long in all, taken off every time
 };
 
--- a/src/recovery/durable_idempotency_log.cpp
+++ b/src/recovery/durable_idempotency_log.cpp
@@ -40,7 +40,7 @@
     store_.for_each([this](const store::Record& record) { restore(record); });
     // From here on the store belongs to the committer's thread.
     committer_ = std::make_unique<store::GroupCommitter>(
-        store_, store::CommitterOptions{}, [this] { return loop_.now(); }, [this] { wake_.fire(); });
+        store_, store::CommitterOptions{}, [this] { return loop_.now(); }, [this] { wake_.notify(); });
     check_timer_.set(kCheckInterval);
   }
 
@@ -92,7 +92,7 @@
     if (separator == std::string::npos) return;
     Nanos remaining = record.window - (store_.now() - record.written_at);
     if (records_.restore(record.key, record.value, record.window) !=
-        IdempotencyRecords::Restored::kUnderstood) {
+        IdempotencyRecords::RestoreResult::kRestored) {
       log_.line("store: record of key '" + record.key.substr(separator + 1) +
                 "' has an unknown format; its request counts as one that may have run");
     }
--- a/src/recovery/idempotency_records.cpp
+++ b/src/recovery/idempotency_records.cpp
@@ -92,24 +92,24 @@
   return std::string(1, entry->state == State::kFailed ? kFailedTag : kIntentTag);
 }
 
-IdempotencyRecords::Restored IdempotencyRecords::restore(const std::string& key, std::string_view record,
-                                                         Nanos window) {
+IdempotencyRecords::RestoreResult IdempotencyRecords::restore(const std::string& key, std::string_view record,
+                                                              Nanos window) {
   Entry& entry = entries_[key];
   entry.window = window;
   entry.state = State::kOutcomeUnknown;
-  if (record.empty()) return Restored::kUnknownFormat;
+  if (record.empty()) return RestoreResult::kUnknownFormat;
   switch (record[0]) {
     case kCompletedTag:
       entry.state = State::kCompleted;
       entry.result = record.substr(1);
-      return Restored::kUnderstood;
+      return RestoreResult::kRestored;
     case kFailedTag:
       entry.state = State::kFailed;
-      return Restored::kUnderstood;
+      return RestoreResult::kRestored;
     case kIntentTag:
-      return Restored::kUnderstood;
+      return RestoreResult::kRestored;
     default:
-      return Restored::kUnknownFormat;
+      return RestoreResult::kUnknownFormat;
   }
 }
 
--- a/src/recovery/idempotency_records.h
+++ b/src/recovery/idempotency_records.h
@@ -71,12 +71,12 @@
   // What is to be stored of the key in its state: its intent, or its outcome.
   std::string encoded(const std::string& key) const;
 
-  enum class Restored {
-    kUnderstood,
+  enum class RestoreResult {
+    kRestored,
     kUnknownFormat  // of a newer version: the key's outcome counts as unknown
   };
   // Takes over a record that an earlier incarnation stored.
-  Restored restore(const std::string& key, std::string_view record, Nanos window);
+  RestoreResult restore(const std::string& key, std::string_view record, Nanos window);
 
  private:
   std::map<std::string, Entry> entries_;
--- a/src/releases/disruption_budget.cpp
+++ b/src/releases/disruption_budget.cpp
@@ -107,7 +107,7 @@
                            std::set<std::string> nodes) { add_part(name, max, std::move(nodes)); });
   for (Part& part : parts_) {
     for (const std::string& node : part.nodes) {
-      if (leased.contains(node)) part.usage.chosen += weight_of(part, node);
+      if (leased.contains(node)) part.usage.voluntarily_unavailable += weight_of(part, node);
     }
   }
 }
@@ -185,7 +185,7 @@
   for (Part& part : parts_) {
     if (!part.nodes.contains(node)) continue;
     part.usage.out += weight_of(part, node);
-    part.usage.chosen += weight_of(part, node);
+    part.usage.voluntarily_unavailable += weight_of(part, node);
   }
 }
 
--- a/src/releases/disruption_budget.h
+++ b/src/releases/disruption_budget.h
@@ -54,10 +54,10 @@
   // How far one budget is used up, in capacity, or in servers for a budget that counts them.
   struct Usage {
     std::string name;
-    double max = 0;     // that may be unavailable
-    double out = 0;     // unavailable for any reason
-    double chosen = 0;  // of these, by agreement
-    double all = 0;     // in this part of the fleet
+    double max = 0;                      // that may be unavailable
+    double out = 0;                      // unavailable for any reason
+    double voluntarily_unavailable = 0;  // of these, by agreement
+    double all = 0;                      // in this part of the fleet
   };
   std::vector<Usage> usage() const;
 
--- a/src/releases/maintenance_grants.cpp
+++ b/src/releases/maintenance_grants.cpp
@@ -13,7 +13,7 @@
 void MaintenanceGrants::propose(const RolloutContext& context, agreement::Decision& out) {
   blocked_reason_.clear();
   // A replica that hears only a part of the fleet can't tell what is unavailable.
-  if (context.view.router.registry().view() != routing::View::kConnected) {
+  if (context.view.router.registry().view() != routing::ConnectivityState::kConnected) {
     blocked_reason_ = "too few servers report to this instance";
     return;
   }
--- a/src/releases/maintenance_steps.cpp
+++ b/src/releases/maintenance_steps.cpp
@@ -31,9 +31,10 @@
 
 // All proxies have applied the snapshot without it, and it reports no request and no shard.
 bool is_drained(const LeasedServer& server) {
-  bool applied = server.lease.published_in != 0 && server.context.view.applied >= server.lease.published_in;
-  return applied && server.status && server.status->last_report_at > 0 && server.status->report.held == 0 &&
-         server.status->report.running == 0;
+  bool applied = server.lease.zero_weight_publication != 0 &&
+                 server.context.view.applied >= server.lease.zero_weight_publication;
+  return applied && server.status && server.status->last_report_at > 0 &&
+         server.status->report.queued_requests == 0 && server.status->report.running == 0;
 }
 
 // A drain that operators asked for has no time limit.
@@ -43,7 +44,8 @@
 }
 
 bool is_to_be_restarted(const LeasedServer& server) {
-  return server.lease.reason != agreement::REASON_DRAIN && server.status && server.status->report.obeys;
+  return server.lease.reason != agreement::REASON_DRAIN && server.status &&
+         server.status->report.accepts_assignments;
 }
 
 bool is_back_with_target_version(const LeasedServer& server) {
@@ -68,7 +70,8 @@
 // A server that had its order to restart may be about to leave although it still serves: only a report made
 // under the epoch that cancelled the order shows that it stays.
 bool has_acted_on_cancellation(const LeasedServer& server) {
-  return is_in_full_service(server) && server.status->report.epoch.number >= server.lease.cancelled_in;
+  return is_in_full_service(server) &&
+         server.status->report.epoch.number >= server.lease.cancelled_in_decision;
 }
 
 bool is_in_service_late(const LeasedServer& server) {
--- a/src/releases/operator_commands.cpp
+++ b/src/releases/operator_commands.cpp
@@ -124,7 +124,7 @@
   if (!plan) throw CommandError("this version can't read the plan");
   std::size_t disobedient = 0;
   for (const auto& [node, server] : context.servers)
-    disobedient += server->last_report_at > 0 && !server->report.obeys;
+    disobedient += server->last_report_at > 0 && !server->report.accepts_assignments;
   if (disobedient > 0) {
     throw CommandError(std::to_string(disobedient) +
                        " servers take no orders: obey = true in their settings");
--- a/src/releases/operator_commands.h
+++ b/src/releases/operator_commands.h
@@ -12,7 +12,7 @@
 namespace myrtlecroft::releases {
 
 // The result of a rejected command begins with this, in the agreed state too.
-const std::string kCommandRejected = "refused: ";
+const std::string kCommandRejectedPrefix = "refused: ";
 
 // Thrown where a command can't be carried out; nothing of it has been added to the decision then.
 class CommandError : public std::runtime_error {
--- a/src/releases/rollout_context.h
+++ b/src/releases/rollout_context.h
@@ -14,7 +14,7 @@
 namespace myrtlecroft::releases {
 
 struct RolloutContext {
-  using View = agreement::DecisionSection::View;
+  using View = agreement::DecisionContributor::View;
 
   explicit RolloutContext(const View& from);
   // nullptr: no such server.
--- a/src/releases/rollout_controller.cpp
+++ b/src/releases/rollout_controller.cpp
@@ -17,7 +17,7 @@
   try {
     return execute(context, parse_command(text), out);
   } catch (const CommandError& error) {
-    return kCommandRejected + error.what();
+    return kCommandRejectedPrefix + error.what();
   }
 }
 
--- a/src/releases/rollout_controller.h
+++ b/src/releases/rollout_controller.h
@@ -13,7 +13,7 @@
 
 namespace myrtlecroft::releases {
 
-class RolloutController final : public agreement::DecisionSection {
+class RolloutController final : public agreement::DecisionContributor {
  public:
   using Log = std::function<void(const std::string&)>;
   // `log` receives one line for each change of phase and each command.
--- a/src/releases/update_queue.cpp
+++ b/src/releases/update_queue.cpp
@@ -15,7 +15,7 @@
   std::vector<std::string> out;
   for (auto one = context.release.taken().rbegin(); one != context.release.taken().rend(); ++one) {
     const ServerStatus* server = context.server(one->node());
-    bool reachable = server && server->last_report_at > 0 && server->report.obeys;
+    bool reachable = server && server->last_report_at > 0 && server->report.accepts_assignments;
     if (reachable && one->failed().empty() && server->version != one->from_version() &&
         !context.leased.contains(one->node()))
       out.push_back(one->node());
@@ -63,7 +63,7 @@
       progress.updated_capacity += capacity;
       ++progress.updated_servers;
     } else if (!context.leased.contains(server.node.name) && server.at_full_capacity() &&
-               server.report.obeys) {
+               server.report.accepts_assignments) {
       candidates.emplace(listed_in_zone[server.node.zone]++,
                          Candidate{.node = server.node.name, .capacity = capacity});
     }
--- a/src/reload.cpp
+++ b/src/reload.cpp
@@ -43,7 +43,7 @@
   } catch (const std::exception& error) {
     result_.error = error.what();
   }
-  done_.fire();
+  done_.notify();
 }
 
 void Reload::finish() {
--- a/src/report/load_report.cpp
+++ b/src/report/load_report.cpp
@@ -88,10 +88,10 @@
   out.warming_up = flags & kCold;
   out.draining = flags & kLeaving;
   out.engine_up = flags & kEngineUp;
-  out.obeys = flags & kObeys;
+  out.accepts_assignments = flags & kObeys;
   out.window = in.get<std::uint32_t>();
   out.limit = in.get_double();
-  out.held = in.get<std::uint32_t>();
+  out.queued_requests = in.get<std::uint32_t>();
   out.running = in.get<std::uint32_t>();
   out.core_time = in.get<std::uint64_t>();
   auto request_classes = in.get<std::uint16_t>();
@@ -128,9 +128,9 @@
   for (std::uint16_t i = 0; in.good() && i < shards; ++i) out.shards.push_back(in.get<std::uint16_t>());
   // An older instance ends here.
   if (!in.empty()) {
-    out.answers = in.get<std::uint64_t>();
+    out.report_sequence = in.get<std::uint64_t>();
     auto restart = in.get<std::uint8_t>();
-    if (restart <= fencing::kMaxVersion) out.restart_as = restart;
+    if (restart <= fencing::kMaxVersion) out.restart_version = restart;
   }
   return in.good();
 }
@@ -163,8 +163,8 @@
   body.put(static_cast<std::uint8_t>(order.shard_digits));
   body.put(static_cast<std::uint16_t>(order.shards.size()));
   for (std::uint16_t shard : order.shards) body.put(shard);
-  body.put(order.answers);
-  body.put(order.restart_as.value_or(kStay));
+  body.put(order.report_sequence);
+  body.put(order.restart_version.value_or(kStay));
   return framed(std::move(body));
 }
 
@@ -179,10 +179,11 @@
   body.put(std::bit_cast<std::uint64_t>(report.sent_unix));
   body.put(static_cast<std::uint8_t>(report.mode));
   body.put(static_cast<std::uint8_t>((report.warming_up ? kCold : 0) | (report.draining ? kLeaving : 0) |
-                                     (report.engine_up ? kEngineUp : 0) | (report.obeys ? kObeys : 0)));
+                                     (report.engine_up ? kEngineUp : 0) |
+                                     (report.accepts_assignments ? kObeys : 0)));
   body.put(report.window);
   body.put(report.limit);
-  body.put(report.held);
+  body.put(report.queued_requests);
   body.put(report.running);
   body.put(report.core_time);
   std::size_t request_classes = std::min(report.request_classes.size(), kMaxRequestClasses);
@@ -202,22 +203,23 @@
   return framed(std::move(body));
 }
 
-const char* name_of(Malformed what) {
+const char* name_of(FrameError what) {
   constexpr const char* kNames[] = {"none", "frame too large", "version unknown", "body makes no sense"};
   return kNames[static_cast<std::size_t>(what)];
 }
 
-std::size_t decode(std::string_view bytes, const FrameHandlers& came, Malformed& malformed) {
+std::size_t decode(std::string_view bytes, const FrameHandlers& came, FrameError& malformed) {
   std::size_t taken = 0;
-  malformed = Malformed::kNo;
+  malformed = FrameError::kNone;
   while (bytes.size() - taken >= kHeader) {
     std::size_t size = Reader(bytes.substr(taken)).get<std::uint32_t>();
-    if (size > kLargestFrame || size < 2) malformed = size < 2 ? Malformed::kBody : Malformed::kTooLarge;
-    if (malformed != Malformed::kNo || bytes.size() - taken - kHeader < size) break;
+    if (size > kLargestFrame || size < 2)
+      malformed = size < 2 ? FrameError::kInvalidBody : FrameError::kTooLarge;
+    if (malformed != FrameError::kNone || bytes.size() - taken - kHeader < size) break;
     Reader in(bytes.substr(taken + kHeader, size));
     taken += kHeader + size;
     if (in.get<std::uint8_t>() != kFormatVersion) {
-      malformed = Malformed::kVersion;
+      malformed = FrameError::kUnsupportedVersion;
       break;
     }
     auto kind = in.get<std::uint8_t>();
@@ -225,7 +227,7 @@
                  : kind == kOrder ? read_and_tell(in, came.order)
                                   : true;
     if (!sense) {
-      malformed = Malformed::kBody;
+      malformed = FrameError::kInvalidBody;
       break;
     }
   }
--- a/src/report/load_report.h
+++ b/src/report/load_report.h
@@ -42,12 +42,12 @@
   bool warming_up = false;
   bool draining = false;
   bool engine_up = false;
-  bool obeys = false;        // it takes orders on this connection
-  fencing::Epoch epoch;      // of the order that it acts on; none yet: zeros
-  std::uint8_t version = 0;  // that it was started in, by who started it
-  std::uint32_t window = 0;  // positions
-  double limit = 0;          // running requests
-  std::uint32_t held = 0;
+  bool accepts_assignments = false;  // it takes orders on this connection
+  fencing::Epoch epoch;              // of the order that it acts on; none yet: zeros
+  std::uint8_t version = 0;          // that it was started in, by who started it
+  std::uint32_t window = 0;          // positions
+  double limit = 0;                  // running requests
+  std::uint32_t queued_requests = 0;
   std::uint32_t running = 0;
   std::uint64_t core_time = 0;  // ns, of all work so far
   std::vector<RequestClassCounts> request_classes;
@@ -58,8 +58,8 @@
 std::string encode(const LoadReport& report);
 std::string encode(const fencing::ShardAssignment& order);
 
-enum class Malformed { kNo, kTooLarge, kVersion, kBody };
-const char* name_of(Malformed what);
+enum class FrameError { kNone, kTooLarge, kUnsupportedVersion, kInvalidBody };
+const char* name_of(FrameError what);
 
 // What a frame may be. One that nobody asked for is passed over.
 struct FrameHandlers {
@@ -69,9 +69,9 @@
 
 // Takes the whole frames at the front of the bytes, hands over each report, and says how many bytes they
 // were. What makes no sense sets `malformed`, and the stream should end.
-std::size_t decode(std::string_view bytes, const FrameHandlers& came, Malformed& malformed);
+std::size_t decode(std::string_view bytes, const FrameHandlers& came, FrameError& malformed);
 inline std::size_t decode(std::string_view bytes, std::function<void(LoadReport)> came,
-                          Malformed& malformed) {
+                          FrameError& malformed) {
   return decode(bytes, FrameHandlers{.report = std::move(came), .order = {}}, malformed);
 }
 
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -43,7 +43,7 @@
     received += server.reported.received.read(inputs.now);
     rejected += server.reported.rejected.read(inputs.now);
   }
-  const double step = inputs.fleet.bounds.shed_step * passed_seconds;
+  const double step = inputs.fleet.bounds.max_shed_change_per_second * passed_seconds;
   if (received < kMinReceived) {
     shed_ = std::max(0.0, shed_ - step);
     return;
@@ -91,8 +91,8 @@
 }
 
 void Admission::order_by_priority(const Inputs& inputs) {
-  if (layout_ == inputs.registry.layout()) return;
-  layout_ = inputs.registry.layout();
+  if (layout_ == inputs.registry.layout_generation()) return;
+  layout_ = inputs.registry.layout_generation();
   const std::vector<fleet::RequestClass>& request_classes = inputs.fleet.request_classes;
   order_.resize(request_classes.size());
   std::iota(order_.begin(), order_.end(), 0);
--- a/src/routing/connectivity.cpp
+++ b/src/routing/connectivity.cpp
@@ -25,20 +25,21 @@
 
 }  // namespace
 
-const char* name_of(View view) {
+const char* name_of(ConnectivityState view) {
   constexpr const char* kNames[] = {"restoring", "connected", "partitioned"};
   return kNames[static_cast<std::size_t>(view)];
 }
 
 const std::vector<Connectivity::Row> Connectivity::kRows = {
-    {View::kRestoring,
-     [](const Inputs& in) { return in.any_report && in.reporting_share >= in.partitioned_at; },
-     View::kConnected, "enough servers have reported"},
-    {View::kConnected, [](const Inputs& in) { return 1 - in.recent_reporting_share > in.partitioned_at; },
-     View::kPartitioned, "too many servers fell silent at once"},
-    {View::kPartitioned,
-     [](const Inputs& in) { return in.settled && 1 - in.recent_reporting_share <= in.partitioned_at; },
-     View::kConnected, "servers report again"},
+    {ConnectivityState::kRestoring,
+     [](const Inputs& in) { return in.any_report && in.reporting_share >= in.partition_threshold; },
+     ConnectivityState::kConnected, "enough servers have reported"},
+    {ConnectivityState::kConnected,
+     [](const Inputs& in) { return 1 - in.recent_reporting_share > in.partition_threshold; },
+     ConnectivityState::kPartitioned, "too many servers fell silent at once"},
+    {ConnectivityState::kPartitioned,
+     [](const Inputs& in) { return in.settled && 1 - in.recent_reporting_share <= in.partition_threshold; },
+     ConnectivityState::kConnected, "servers report again"},
 };
 
 std::optional<Connectivity::Change> Connectivity::step(const std::vector<ServerStatus>& servers,
@@ -50,7 +51,7 @@
       .recent_reporting_share = reporting_share(servers, bounds.lost_after / kEarlyDivisor, now),
       .any_report = any_report,
       .settled = now - since_ >= bounds.lost_after,
-      .partitioned_at = bounds.partitioned_at};
+      .partition_threshold = bounds.partition_threshold};
   for (const Row& row : kRows) {
     if (row.view != view_ || !row.condition(inputs)) continue;
     view_ = row.next;
--- a/src/routing/connectivity.h
+++ b/src/routing/connectivity.h
@@ -12,21 +12,21 @@
 namespace myrtlecroft::routing {
 
 // What this control service sees of the fleet.
-enum class View {
+enum class ConnectivityState {
   kRestoring,   // just started, too few servers have reported: what was served before is served on
   kConnected,   // decisions follow the reports
   kPartitioned  // too many servers fell silent at once: no server is put out for missing reports
 };
 // The wording of log lines; routing_state::stored_name() has the names that are sent.
-const char* name_of(View view);
+const char* name_of(ConnectivityState view);
 
 class Connectivity {
  public:
   explicit Connectivity(Nanos now) : since_(now) {}
 
   struct Change {
-    View from;
-    View to;
+    ConnectivityState from;
+    ConnectivityState to;
     const char* reason;
     double reporting_share;  // of the capacity in rotation
   };
@@ -36,7 +36,7 @@
   // Leaves a pause of this process out of account, in which no report could be read.
   void excuse_pause(Nanos pause, Nanos now);
 
-  View view() const { return view_; }
+  ConnectivityState view() const { return view_; }
   // When the view last changed, pauses of this process left out.
   Nanos since() const { return since_; }
 
@@ -46,17 +46,17 @@
     double recent_reporting_share;  // within half of that
     bool any_report;                // since this process started
     bool settled;                   // the view has lasted for Bounds::lost_after
-    double partitioned_at;
+    double partition_threshold;
   };
   struct Row {
-    View view;
+    ConnectivityState view;
     bool (*condition)(const Inputs&);
-    View next;
+    ConnectivityState next;
     const char* reason;
   };
   static const std::vector<Row> kRows;
 
-  View view_ = View::kRestoring;
+  ConnectivityState view_ = ConnectivityState::kRestoring;
   Nanos since_;
 };
 
--- a/src/routing/rendezvous.cpp
+++ b/src/routing/rendezvous.cpp
@@ -36,28 +36,28 @@
 // Another fleet file moves servers to other places: winners keep their shards, and servers that it doesn't
 // name no longer compete.
 void Rendezvous::follow_layout(const ServerRegistry& registry) {
-  std::vector<int> places(candidates_.size(), kNobody);
+  std::vector<int> places(candidates_.size(), kNoServer);
   std::vector<Candidate> next(registry.all().size());
   for (std::size_t place = 0; place < next.size(); ++place)
     next[place].name = registry.all()[place].node.name;
   for (std::size_t before = 0; before < candidates_.size(); ++before) {
-    places[before] = registry.place_of(candidates_[before].name);
-    if (places[before] != kNobody) next[static_cast<std::size_t>(places[before])] = candidates_[before];
+    places[before] = registry.index_of(candidates_[before].name);
+    if (places[before] != kNoServer) next[static_cast<std::size_t>(places[before])] = candidates_[before];
   }
   candidates_ = std::move(next);
-  layout_ = registry.layout();
+  layout_ = registry.layout_generation();
   std::vector<std::size_t> orphans;
   for (std::size_t shard = 0; shard < winners_.size(); ++shard) {
     Winner& winner = winners_[shard];
-    if (winner.place == kNobody) continue;
+    if (winner.place == kNoServer) continue;
     winner.place = places[static_cast<std::size_t>(winner.place)];
-    if (winner.place == kNobody) orphans.push_back(shard);
+    if (winner.place == kNoServer) orphans.push_back(shard);
   }
   for (std::size_t shard : orphans) redraw(shard);
 }
 
 void Rendezvous::follow(const ServerRegistry& registry) {
-  if (layout_ != registry.layout()) follow_layout(registry);
+  if (layout_ != registry.layout_generation()) follow_layout(registry);
   std::vector<bool> left(candidates_.size(), false);
   std::vector<int> joined;
   bool any_left = false;
@@ -77,7 +77,7 @@
   if (!any_left && joined.empty()) return;
   for (std::size_t shard = 0; shard < winners_.size(); ++shard) {
     int place = winners_[shard].place;
-    if (place != kNobody && left[static_cast<std::size_t>(place)]) {
+    if (place != kNoServer && left[static_cast<std::size_t>(place)]) {
       redraw(shard);  // those that joined are among the candidates already
       continue;
     }
@@ -97,7 +97,7 @@
   const Candidate& one = candidates_[static_cast<std::size_t>(place)];
   Winner& winner = winners_[shard];
   const Candidate* best =
-      winner.place == kNobody ? nullptr : &candidates_[static_cast<std::size_t>(winner.place)];
+      winner.place == kNoServer ? nullptr : &candidates_[static_cast<std::size_t>(winner.place)];
   if (best && one.priority > best->priority) return;
   double draw = draw_of(one.name, shard);
   bool outranks = !best || one.priority < best->priority;
--- a/src/routing/rendezvous.h
+++ b/src/routing/rendezvous.h
@@ -15,7 +15,7 @@
 
 namespace myrtlecroft::routing {
 
-constexpr int kNobody = -1;  // in place of a server's place in the registry
+constexpr int kNoServer = -1;  // in place of a server's place in the registry
 
 class Rendezvous {
  public:
@@ -24,7 +24,7 @@
   // Brings the winners up to date with these servers. Costs what changed since the last call, and one look at
   // each server.
   void follow(const ServerRegistry& registry);
-  // The place of a shard's winner among the servers of the last follow(), or kNobody.
+  // The place of a shard's winner among the servers of the last follow(), or kNoServer.
   int winner(std::size_t shard) const { return winners_[shard].place; }
 
  private:
@@ -36,7 +36,7 @@
     bool competes = false;
   };
   struct Winner {
-    int place = kNobody;
+    int place = kNoServer;
     double score = 0;
   };
 
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -38,7 +38,7 @@
       break;
     case Idempotency::kIdempotent:
       policy.on.push_back(RetryOn::kReset);
-      policy.on.push_back(RetryOn::kLate);
+      policy.on.push_back(RetryOn::kAttemptTimeout);
       policy.per_attempt_timeout = per_attempt_timeout(request_class, policy.retries);
       break;
   }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -15,11 +15,11 @@
   for (NodeRoute& node : restored.nodes) {
     const ServerStatus* server = registry.server(node.name);
     const fleet::Node* known = server ? &server->node : nullptr;
-    if (!known || known->host != node.host || known->port != node.port) node.health = Health::kOut;
-    if (node.health == Health::kOut) node.weight = 0;
+    if (!known || known->host != node.host || known->port != node.port) node.health = Health::kOutOfRotation;
+    if (node.health == Health::kOutOfRotation) node.weight = 0;
   }
   for (int& owner : restored.shards) {
-    if (owner != kClosed && restored.nodes[static_cast<std::size_t>(owner)].health == Health::kOut)
+    if (owner != kClosed && restored.nodes[static_cast<std::size_t>(owner)].health == Health::kOutOfRotation)
       owner = kClosed;
   }
 }
@@ -52,15 +52,15 @@
   return error;
 }
 
-void Router::fleet_changed(fleet::Fleet fleet, Nanos now) {
+void Router::update_fleet(fleet::Fleet fleet, Nanos now) {
   bool other_shards = fleet.shards() != fleet_.shards();
   fleet_ = std::move(fleet);
-  registry_.fleet_changed(fleet_, now);
+  registry_.update_fleet(fleet_, now);
   if (other_shards) shards_ = Shards(fleet_.shards());
 }
 
 Nanos Router::quarantine() const {
-  Nanos longest = fleet_.longest_window();
+  Nanos longest = fleet_.longest_deduplication_window();
   return longest > 0 ? std::max(longest + quarantine_.clock_margin, quarantine_.min) : 0;
 }
 
@@ -87,12 +87,12 @@
   published_layout_ = 0;
   restored_.reset();
   last_error_.reset();
-  if (!same_shards || !published_ || registry_.view() != View::kRestoring) return;
+  if (!same_shards || !published_ || registry_.view() != ConnectivityState::kRestoring) return;
   restore_snapshot(published_->snapshot);
 }
 
 void Router::decide(Nanos now, Nanos agreed_now) {
-  const bool connected = registry_.view() == View::kConnected;
+  const bool connected = registry_.view() == ConnectivityState::kConnected;
   shards_.step(registry_, {.now = agreed_now,
                            .quarantine = quarantine(),
                            .max_migrating = connected ? fleet_.bounds.max_migrating : 0,
@@ -102,7 +102,7 @@
 
 std::shared_ptr<const PublishedSnapshot> Router::step(Nanos now, Nanos agreed_now) {
   registry_.step(now);
-  const bool serves_restored = registry_.view() == View::kRestoring && restored_;
+  const bool serves_restored = registry_.view() == ConnectivityState::kRestoring && restored_;
   if (!serves_restored) {
     restored_.reset();
     decide(now, agreed_now);
@@ -117,7 +117,7 @@
 
 // With the layout the fleet file is the same, and all that a snapshot takes from it.
 bool Router::publication_is_current() const {
-  return published_ && published_layout_ == registry_.layout() &&
+  return published_ && published_layout_ == registry_.layout_generation() &&
          published_admitted_ == admission_.admitted() && is_current(published_->snapshot, inputs());
 }
 
@@ -144,7 +144,7 @@
 
 void Router::note_inputs() {
   restored_published_ = restored_.has_value();
-  published_layout_ = restored_ ? 0 : registry_.layout();
+  published_layout_ = restored_ ? 0 : registry_.layout_generation();
   published_admitted_ = admission_.admitted();
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -29,7 +29,7 @@
   Router(fleet::Fleet fleet, std::optional<PersistedState> persisted, bool first_start, Nanos now,
          ServerRegistry::Log log);
 
-  void fleet_changed(fleet::Fleet fleet, Nanos now);
+  void update_fleet(fleet::Fleet fleet, Nanos now);
   ServerRegistry::Verdict handle_report(const report::LoadReport& report, Nanos now, std::int64_t unix_now) {
     return registry_.handle_report(report, now, unix_now);
   }
@@ -44,7 +44,7 @@
     registry_.set_out_for_maintenance(nodes);
   }
   // Every proxy that may still send has applied this publication or a later one.
-  void all_proxies_applied(std::uint64_t number) { applied_ = number; }
+  void set_applied_by_all_proxies(std::uint64_t number) { applied_ = number; }
 
   struct QuarantineOptions {
     Nanos min = 0;           // however short the deduplication windows are
--- a/src/routing/server_registry.cpp
+++ b/src/routing/server_registry.cpp
@@ -22,7 +22,7 @@
                 "server %s %s -> %s: %s; last report %.0f ms ago, window %u, limit %.1f, queued %u, "
                 "unanswered %llu, weight %.2f, flaps %d",
                 server.node.name.c_str(), name_of(server.state), name_of(change.next), change.reason,
-                report_age_ms, report.window, report.limit, report.held,
+                report_age_ms, report.window, report.limit, report.queued_requests,
                 static_cast<unsigned long long>(unanswered(report)), server.weight, server.flaps);
   return line;
 }
@@ -31,10 +31,10 @@
 
 ServerRegistry::ServerRegistry(const fleet::Fleet& fleet, Nanos now, Log log)
     : connectivity_(now), weights_(now), now_(now), log_(std::move(log)) {
-  fleet_changed(fleet, now);
+  update_fleet(fleet, now);
 }
 
-void ServerRegistry::fleet_changed(const fleet::Fleet& fleet, Nanos now) {
+void ServerRegistry::update_fleet(const fleet::Fleet& fleet, Nanos now) {
   now_ = std::max(now_, now);
   bounds_ = fleet.bounds;
   longest_latency_objective_ = 0;
@@ -58,7 +58,7 @@
     // At another address it is another server. One that is added while others are known starts from nothing:
     // it gets requests once it reports.
     ServerStatus server{.node = node, .state_since = now_};
-    if (view() != View::kRestoring) server.state = ServerState::kLost;
+    if (view() != ConnectivityState::kRestoring) server.state = ServerState::kLost;
     next.push_back(std::move(server));
   }
   servers_ = std::move(next);
@@ -75,23 +75,23 @@
   }
 }
 
-int ServerRegistry::place_of(const std::string& name) const {
+int ServerRegistry::index_of(const std::string& name) const {
   auto found = places_.find(name);
   return found == places_.end() ? -1 : found->second;
 }
 
-const ServerStatus* ServerRegistry::server_at(const std::string& address) const {
+const ServerStatus* ServerRegistry::server_at_address(const std::string& address) const {
   auto found = places_by_address_.find(address);
   return found == places_by_address_.end() ? nullptr : &servers_[static_cast<std::size_t>(found->second)];
 }
 
 const ServerStatus* ServerRegistry::server(const std::string& name) const {
-  int place = place_of(name);
+  int place = index_of(name);
   return place < 0 ? nullptr : &servers_[static_cast<std::size_t>(place)];
 }
 
 ServerStatus* ServerRegistry::find(const std::string& name) {
-  int place = place_of(name);
+  int place = index_of(name);
   return place < 0 ? nullptr : &servers_[static_cast<std::size_t>(place)];
 }
 
@@ -119,8 +119,8 @@
   now_ = std::max(now_, now);
   ServerStatus* server = find(report.node);
   if (!server) return Verdict::kUnknownNode;
-  if (report.address != server->node.address()) return Verdict::kOtherAddress;
-  if (report.sent_unix > unix_now + bounds_.clock_skew) return Verdict::kFuture;
+  if (report.address != server->node.address()) return Verdict::kAddressMismatch;
+  if (report.sent_unix > unix_now + bounds_.clock_skew) return Verdict::kClockAhead;
   bool same_incarnation = report.incarnation == server->incarnation;
   if (report.incarnation < server->incarnation ||
       (same_incarnation && report.sequence <= server->report.sequence)) {
@@ -138,7 +138,7 @@
   ReportTotals totals = totals_of(report);
   if (same_incarnation) add_counts(server->reported, before, totals);
   server->version = report.version;
-  server->reported.occupancy.add(report.running + report.held, now_);
+  server->reported.occupancy.add(report.running + report.queued_requests, now_);
   server->reported.reports.add(1, now_);
   if (totals.answered > before.answered || totals.answered >= totals.received)
     server->last_progress_at = now_;
@@ -229,15 +229,16 @@
   excuse_own_pause();
   changed_ = false;
   follow_connectivity();
-  if (view() != View::kRestoring) {
+  if (view() != ConnectivityState::kRestoring) {
     panic_threshold_.recount(servers_);
     for (ServerStatus& server : servers_) {
-      std::optional<StateChange> change = next_state(server, context(), view() != View::kPartitioned);
+      std::optional<StateChange> change =
+          next_state(server, context(), view() != ConnectivityState::kPartitioned);
       if (change) change_state(server, *change);
     }
     release_kept_in_rotation();
   }
-  weights_.step(servers_, context(), view() != View::kConnected);
+  weights_.step(servers_, context(), view() != ConnectivityState::kConnected);
   return changed_;
 }
 
@@ -262,7 +263,8 @@
 }
 
 void ServerRegistry::count_flap(ServerStatus& server) const {
-  bool soon = server.returned_at > 0 && now_ - server.returned_at < kFlapDwells * bounds_.dwell;
+  bool soon =
+      server.returned_at > 0 && now_ - server.returned_at < kFlapDwells * bounds_.min_time_out_of_rotation;
   if (soon) server.flaps = std::min(kMaxFlaps, server.flaps + 1);
 }
 
--- a/src/routing/server_registry.h
+++ b/src/routing/server_registry.h
@@ -38,14 +38,14 @@
   ServerRegistry(const fleet::Fleet& fleet, Nanos now, Log log);
 
   // A new fleet file: servers that stay at their address keep all that is known of them.
-  void fleet_changed(const fleet::Fleet& fleet, Nanos now);
+  void update_fleet(const fleet::Fleet& fleet, Nanos now);
 
   enum class Verdict {
     kAccepted,
     kUnknownNode,
-    kOtherAddress,  // the fleet file counts: another process goes by this name
-    kFuture,        // deadlines depend on the server's clock: with a wrong one it must not pass for healthy
-    kStale          // of an earlier incarnation, or older than one that was accepted
+    kAddressMismatch,  // the fleet file counts: another process goes by this name
+    kClockAhead,  // deadlines depend on the server's clock: with a wrong one it must not pass for healthy
+    kStale        // of an earlier incarnation, or older than one that was accepted
   };
   // `unix_now`: this machine's wall clock, in nanoseconds.
   Verdict handle_report(const report::LoadReport& report, Nanos now, std::int64_t unix_now);
@@ -63,12 +63,12 @@
   // nullptr for a name that the fleet file doesn't have.
   const ServerStatus* server(const std::string& name) const;
   // Its place in all(), or -1. Places stand until the layout changes.
-  int place_of(const std::string& name) const;
+  int index_of(const std::string& name) const;
   // The server that listens there, or nullptr.
-  const ServerStatus* server_at(const std::string& address) const;
+  const ServerStatus* server_at_address(const std::string& address) const;
   // Grows with each fleet file that is accepted; above 0.
-  std::uint64_t layout() const { return layout_; }
-  View view() const { return connectivity_.view(); }
+  std::uint64_t layout_generation() const { return layout_; }
+  ConnectivityState view() const { return connectivity_.view(); }
 
  private:
   StateContext context() const {
--- a/src/routing/server_states.cpp
+++ b/src/routing/server_states.cpp
@@ -67,8 +67,9 @@
 
 // A server that flaps stays out for longer each time.
 bool has_dwelt(const ServerStatus& server, const StateContext& context) {
-  Nanos dwell = context.bounds.dwell << std::min(server.flaps, kMaxFlaps);
-  return context.now - server.state_since >= dwell;
+  Nanos min_time_out_of_rotation = context.bounds.min_time_out_of_rotation
+                                   << std::min(server.flaps, kMaxFlaps);
+  return context.now - server.state_since >= min_time_out_of_rotation;
 }
 
 bool may_return(const ServerStatus& server, const StateContext& context) {
--- a/src/routing/server_status.cpp
+++ b/src/routing/server_status.cpp
@@ -6,8 +6,8 @@
 namespace myrtlecroft::routing {
 
 const char* name_of(ServerState state) {
-  constexpr const char* kNames[kStates] = {"assumed healthy", "slow start",   "serving", "draining",
-                                           "unhealthy",       "unresponsive", "lost"};
+  constexpr const char* kNames[kServerStateCount] = {"assumed healthy", "slow start",   "serving", "draining",
+                                                     "unhealthy",       "unresponsive", "lost"};
   return kNames[static_cast<std::size_t>(state)];
 }
 
--- a/src/routing/server_status.h
+++ b/src/routing/server_status.h
@@ -23,7 +23,7 @@
   kUnresponsive,  // accepts requests and answers none
   kLost           // sends no reports
 };
-constexpr int kStates = 7;
+constexpr int kServerStateCount = 7;
 // The wording of log lines; routing_state::stored_name() has the names that are stored and sent.
 const char* name_of(ServerState state);
 // Out of rotation because of a fault, and not by a drain or for maintenance.
--- a/src/routing/shards.cpp
+++ b/src/routing/shards.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 const ServerStatus* server_at(const std::vector<ServerStatus>& servers, int place) {
-  return place == kNobody ? nullptr : &servers[static_cast<std::size_t>(place)];
+  return place == kNoServer ? nullptr : &servers[static_cast<std::size_t>(place)];
 }
 
 }  // namespace
@@ -25,10 +25,10 @@
 
 // Owners are agreed on and stored by name, and looked up once for each fleet file.
 void Shards::find_owners(const ServerRegistry& registry) {
-  if (layout_ == registry.layout()) return;
-  layout_ = registry.layout();
+  if (layout_ == registry.layout_generation()) return;
+  layout_ = registry.layout_generation();
   for (std::size_t at = 0; at < shards_.size(); ++at) {
-    owners_[at] = shards_[at].owner.empty() ? kNobody : registry.place_of(shards_[at].owner);
+    owners_[at] = shards_[at].owner.empty() ? kNoServer : registry.index_of(shards_[at].owner);
   }
 }
 
@@ -98,7 +98,7 @@
   find_owners(registry);
   winners_.follow(registry);
   for (std::size_t at = 0; at < shards_.size(); ++at) {
-    if (winners_.winner(at) != kNobody) transfer(at, registry.all());
+    if (winners_.winner(at) != kNoServer) transfer(at, registry.all());
   }
 }
 
--- a/src/routing/shards.h
+++ b/src/routing/shards.h
@@ -34,7 +34,7 @@
 class Shards {
  public:
   // Nothing is known of who ran what: all shards close for a window at the first step.
-  explicit Shards(std::size_t count) : shards_(count), owners_(count, kNobody), winners_(count) {}
+  explicit Shards(std::size_t count) : shards_(count), owners_(count, kNoServer), winners_(count) {}
   // The same for so many shards; what depends on the servers alone is retained where it can be.
   void reset(std::size_t count);
   // Only before the first step, and only where no snapshot was ever served for this fleet: no key can have
@@ -59,9 +59,9 @@
 
   // A shard's owner where it may run its keys, else nullptr.
   const std::string* open_owner(std::size_t at) const;
-  // The same as a place among the servers of the last step, else kNobody.
+  // The same as a place among the servers of the last step, else kNoServer.
   int open_owner_place(std::size_t at) const {
-    return shards_[at].state == ShardState::kOwned ? owners_[at] : kNobody;
+    return shards_[at].state == ShardState::kOwned ? owners_[at] : kNoServer;
   }
   // Who would own a shard if it had no owner yet, as a place among the servers of the last step.
   int winner(std::size_t at) const { return winners_.winner(at); }
@@ -91,7 +91,7 @@
   void transfer(std::size_t at, const Servers& servers);
 
   std::vector<Shard> shards_;
-  std::vector<int> owners_;  // of each shard, as a place among the servers; kNobody: none of them
+  std::vector<int> owners_;  // of each shard, as a place among the servers; kNoServer: none of them
   Rendezvous winners_;
   std::uint64_t layout_ = 0;  // of the servers whose places `owners_` has; 0: to be looked up again
   Nanos now_ = 0;
--- a/src/routing/snapshot.cpp
+++ b/src/routing/snapshot.cpp
@@ -30,7 +30,7 @@
     return Kind::kKeyedClassWithServers;
   }
   if (request_class.servers.all()) return std::nullopt;
-  const fleet::ServerList::Places& places = *request_class.servers.places;
+  const fleet::ServerList::ServerIndices& places = *request_class.servers.places;
   if (places.empty()) return Kind::kRequestClassWithoutServers;
   bool ascending = std::adjacent_find(places.begin(), places.end(), std::greater_equal<>()) == places.end();
   if (!ascending || places.back() >= nodes) return Kind::kUnknownServer;
@@ -39,8 +39,9 @@
 
 std::optional<Kind> find_error_in_retries(const RequestClassRoute& request_class) {
   const RetryPolicy& policy = request_class.retry_policy;
-  bool may_have_run = std::any_of(policy.on.begin(), policy.on.end(),
-                                  [](RetryOn on) { return on == RetryOn::kReset || on == RetryOn::kLate; });
+  bool may_have_run = std::any_of(policy.on.begin(), policy.on.end(), [](RetryOn on) {
+    return on == RetryOn::kReset || on == RetryOn::kAttemptTimeout;
+  });
   if (may_have_run && request_class.idempotency != Idempotency::kIdempotent) return Kind::kUnsafeRetry;
   if (request_class.idempotency == Idempotency::kKeyed && !policy.same_node && policy.retries > 0) {
     return Kind::kRetryAtAnotherServer;
--- a/src/routing/snapshot.h
+++ b/src/routing/snapshot.h
@@ -15,7 +15,7 @@
 namespace myrtlecroft::routing {
 
 // Whether proxies send a server requests; a draining one finishes those it has.
-enum class Health { kHealthy, kDraining, kOut };
+enum class Health { kHealthy, kDraining, kOutOfRotation };
 const char* name_of(Health health);
 
 struct NodeRoute {
@@ -24,7 +24,7 @@
   std::string host;
   std::uint16_t port = 0;
   int priority = 0;
-  Health health = Health::kOut;
+  Health health = Health::kOutOfRotation;
   std::uint32_t weight = 0;     // relative; above 0 where healthy
   std::uint32_t in_flight = 0;  // requests that each proxy may have in flight there; 0 = not known
 
@@ -33,10 +33,10 @@
 
 // After which failures a proxy may retry a request. The numbers are stored.
 enum class RetryOn {
-  kNeverSent,  // no connection, or the server refused the stream
-  kRejected,   // the server answered that it never ran
-  kReset,      // the connection broke, or the server sent no answer: it may have run
-  kLate        // the time limit of one attempt is over: it may have run
+  kNeverSent,      // no connection, or the server refused the stream
+  kRejected,       // the server answered that it never ran
+  kReset,          // the connection broke, or the server sent no answer: it may have run
+  kAttemptTimeout  // the time limit of one attempt is over: it may have run
 };
 
 struct RetryPolicy {
--- a/src/routing/snapshot_builder.cpp
+++ b/src/routing/snapshot_builder.cpp
@@ -110,7 +110,7 @@
   out.shard_digits = fleet.bounds.shard_digits;
   out.retry_budget = fleet.bounds.retry_budget;
   out.expected_proxies = fleet.proxies;
-  out.closed_retry_after = fleet.longest_window();
+  out.closed_retry_after = fleet.longest_deduplication_window();
   out.service_listeners = fleet.service_listeners;
   RouteIndex routes_before(before);
   out.nodes.reserve(servers.size());
@@ -127,7 +127,7 @@
     out.tenants.push_back({.name = tenant.name, .quota = quota});
   }
   // The servers of a snapshot stand in the order of the registry.
-  static_assert(kClosed == kNobody);
+  static_assert(kClosed == kNoServer);
   for (std::size_t at = 0; at < inputs.shards.all().size(); ++at)
     out.shards.push_back(inputs.shards.open_owner_place(at));
   return out;
--- a/src/routing/subsets.cpp
+++ b/src/routing/subsets.cpp
@@ -124,24 +124,25 @@
   return XXH3_64bits_withSeed(service.data(), service.size(), kServiceSeed);
 }
 
-Subsets::Subsets(const std::vector<NodeRoute>& nodes, Places servers, std::uint32_t size)
+Subsets::Subsets(const std::vector<NodeRoute>& nodes, ServerIndices servers, std::uint32_t size)
     : servers_(std::move(servers)),
       size_(std::max(1u, size)),
       per_round_((static_cast<std::uint32_t>(servers_.size()) + size_ - 1) / size_) {
   const std::uint32_t rounds = per_round_ > 1 ? kSubsetRounds : std::min(per_round_, 1u);
   members_.resize(std::size_t{rounds} * per_round_);
   for (std::uint32_t round = 0; round < rounds; ++round) divide(round, nodes);
-  for (Places& places : members_) std::sort(places.begin(), places.end());
+  for (ServerIndices& places : members_) std::sort(places.begin(), places.end());
 }
 
 // Each zone and priority by itself, so that every subset has its part of each.
 void Subsets::divide(std::uint32_t round, const std::vector<NodeRoute>& nodes) {
-  std::map<std::pair<std::string_view, int>, Places> cells;
+  std::map<std::pair<std::string_view, int>, ServerIndices> cells;
   for (std::uint32_t place : servers_) cells[{nodes[place].zone, nodes[place].priority}].push_back(place);
   for (const auto& [cell, places] : cells) divide_cell(round, places, nodes);
 }
 
-void Subsets::divide_cell(std::uint32_t round, const Places& cell, const std::vector<NodeRoute>& nodes) {
+void Subsets::divide_cell(std::uint32_t round, const ServerIndices& cell,
+                          const std::vector<NodeRoute>& nodes) {
   std::vector<std::uint64_t> servers;
   for (std::uint32_t place : cell) {
     const std::string& name = nodes[place].name;
@@ -160,7 +161,7 @@
 }
 
 // First the round, then the subset in it: as many hashes as there are rounds and subsets in one, not in all.
-std::size_t Subsets::of_caller(std::uint64_t caller, std::uint64_t service) const {
+std::size_t Subsets::subset_of_caller(std::uint64_t caller, std::uint64_t service) const {
   if (members_.size() <= 1) return 0;
   const std::uint64_t who = mixed(caller ^ service);
   const std::uint32_t round =
@@ -170,15 +171,16 @@
   return std::size_t{round} * per_round_ + subset;
 }
 
-void Subsets::append_healthy(std::size_t subset, const std::vector<NodeRoute>& nodes, Places& out) const {
+void Subsets::append_healthy(std::size_t subset, const std::vector<NodeRoute>& nodes,
+                             ServerIndices& out) const {
   for (std::uint32_t place : members_[subset]) {
     if (nodes[place].health == Health::kHealthy) out.push_back(place);
   }
 }
 
-Subsets::Places Subsets::in_service(std::size_t subset, const std::vector<NodeRoute>& nodes) const {
+Subsets::ServerIndices Subsets::in_service(std::size_t subset, const std::vector<NodeRoute>& nodes) const {
   const std::size_t first_of_round = subset / per_round_ * per_round_;
-  Places out;
+  ServerIndices out;
   append_healthy(subset, nodes, out);
   for (std::size_t step = 1; step < per_round_ && out.size() < min_in_service(); ++step) {
     append_healthy(first_of_round + (subset - first_of_round + step) % per_round_, nodes, out);
--- a/src/routing/subsets.h
+++ b/src/routing/subsets.h
@@ -23,34 +23,34 @@
 
 class Subsets {
  public:
-  using Places = fleet::ServerList::Places;
+  using ServerIndices = fleet::ServerList::ServerIndices;
 
   // `size`: servers that a subset should have; from 1 to as many as there are.
-  Subsets(const std::vector<NodeRoute>& nodes, Places servers, std::uint32_t size);
+  Subsets(const std::vector<NodeRoute>& nodes, ServerIndices servers, std::uint32_t size);
 
   // Of all rounds together.
   std::size_t count() const { return members_.size(); }
   std::uint32_t size() const { return size_; }
-  const Places& servers() const { return servers_; }
+  const ServerIndices& servers() const { return servers_; }
   // By the fleet file, whatever the servers' health.
-  const Places& members(std::size_t subset) const { return members_[subset]; }
+  const ServerIndices& members(std::size_t subset) const { return members_[subset]; }
   // The subset of a caller; both are keys as above.
-  std::size_t of_caller(std::uint64_t caller, std::uint64_t service) const;
+  std::size_t subset_of_caller(std::uint64_t caller, std::uint64_t service) const;
   // A subset with fewer servers in service is filled up: half its size.
   std::size_t min_in_service() const { return (size_ + 1) / 2; }
   // The servers that a subset has in service. One with fewer than min_in_service() is filled up from those
   // after it in its round: none is empty while a server is in service.
-  Places in_service(std::size_t subset, const std::vector<NodeRoute>& nodes) const;
+  ServerIndices in_service(std::size_t subset, const std::vector<NodeRoute>& nodes) const;
 
  private:
-  void append_healthy(std::size_t subset, const std::vector<NodeRoute>& nodes, Places& out) const;
+  void append_healthy(std::size_t subset, const std::vector<NodeRoute>& nodes, ServerIndices& out) const;
   void divide(std::uint32_t round, const std::vector<NodeRoute>& nodes);
-  void divide_cell(std::uint32_t round, const Places& cell, const std::vector<NodeRoute>& nodes);
+  void divide_cell(std::uint32_t round, const ServerIndices& cell, const std::vector<NodeRoute>& nodes);
 
-  Places servers_;
+  ServerIndices servers_;
   std::uint32_t size_;
   std::uint32_t per_round_;
-  std::vector<Places> members_;  // by round, then by place within it
+  std::vector<ServerIndices> members_;  // by round, then by place within it
 };
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/weights.cpp
+++ b/src/routing/weights.cpp
@@ -22,7 +22,7 @@
   double rejected =
       received < kMinReceived ? 0 : std::min(1.0, server.reported.rejected.read(now) / received);
   double window = std::max(1.0, static_cast<double>(server.report.window));
-  return rejected + kQueueWeight * std::min(1.0, static_cast<double>(server.report.held) / window);
+  return rejected + kQueueWeight * std::min(1.0, static_cast<double>(server.report.queued_requests) / window);
 }
 
 bool takes_part(const ServerStatus& server, const StateContext& context) {
@@ -48,7 +48,7 @@
 }
 
 void forgive_flap(ServerStatus& server, const StateContext& context) {
-  bool stable = context.now - server.stable_since > 2 * kFlapDwells * context.bounds.dwell;
+  bool stable = context.now - server.stable_since > 2 * kFlapDwells * context.bounds.min_time_out_of_rotation;
   if (server.flaps == 0 || !server.in_service() || !stable) return;
   --server.flaps;
   server.stable_since = context.now;
@@ -69,7 +69,8 @@
     double relief = mean - pressure_of(server, context.now);
     double speed =
         std::abs(relief) < kEvenPressure ? kRecoverySpeed : std::clamp(kSteepness * relief, -1.0, 1.0);
-    server.weight = std::clamp(server.weight + speed * bounds.weight_step * passed, bounds.min_weight, 1.0);
+    server.weight = std::clamp(server.weight + speed * bounds.max_weight_change_per_second * passed,
+                               bounds.min_weight, 1.0);
   }
 }
 
--- a/src/routing_state/snapshot_codec.cpp
+++ b/src/routing_state/snapshot_codec.cpp
@@ -10,7 +10,7 @@
 namespace myrtlecroft::routing_state {
 namespace {
 
-using Places = fleet::ServerList::Places;
+using ServerIndices = fleet::ServerList::ServerIndices;
 
 constexpr int kMinShardDigits = 1;
 constexpr int kMaxShardDigits = 3;
@@ -18,7 +18,7 @@
 std::optional<routing::RetryPolicy> retry_policy_from(const RetryPolicy& message) {
   routing::RetryPolicy out;
   for (std::uint32_t on : message.on()) {
-    if (on > static_cast<std::uint32_t>(routing::RetryOn::kLate)) return std::nullopt;
+    if (on > static_cast<std::uint32_t>(routing::RetryOn::kAttemptTimeout)) return std::nullopt;
     out.on.push_back(static_cast<routing::RetryOn>(on));
   }
   out.retries = message.retries();
@@ -81,8 +81,9 @@
 }
 
 // Adds each distinct list once. The number of a list is its place in the message, counted from 1.
-std::map<const Places*, std::uint32_t> write_server_lists(const routing::Snapshot& snapshot, Snapshot& to) {
-  std::map<const Places*, std::uint32_t> numbers;
+std::map<const ServerIndices*, std::uint32_t> write_server_lists(const routing::Snapshot& snapshot,
+                                                                 Snapshot& to) {
+  std::map<const ServerIndices*, std::uint32_t> numbers;
   for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
     const auto& places = request_class.servers.places;
     if (!places || numbers.contains(places.get())) continue;
@@ -109,7 +110,7 @@
   out.service_listeners = message.service_listeners();
   std::vector<fleet::ServerList> lists(1);  // the first: all servers
   for (const ServerList& list : message.server_lists()) {
-    lists.push_back({std::make_shared<const Places>(list.places().begin(), list.places().end())});
+    lists.push_back({std::make_shared<const ServerIndices>(list.places().begin(), list.places().end())});
   }
   for (const RequestClassRoute& group : message.groups()) {
     std::optional<routing::RequestClassRoute> request_class = request_class_from(group, lists);
@@ -132,7 +133,7 @@
   out.set_closed_for_ns(snapshot.closed_retry_after);
   for (const routing::NodeRoute& node : snapshot.nodes) write(node, *out.add_nodes());
   out.set_service_listeners(snapshot.service_listeners);
-  std::map<const Places*, std::uint32_t> lists = write_server_lists(snapshot, out);
+  std::map<const ServerIndices*, std::uint32_t> lists = write_server_lists(snapshot, out);
   for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
     RequestClassRoute& to = *out.add_groups();
     write(request_class, to);
--- a/src/routing_state/stored_names.cpp
+++ b/src/routing_state/stored_names.cpp
@@ -6,7 +6,7 @@
 namespace myrtlecroft::routing_state {
 namespace {
 
-constexpr std::array<const char*, routing::kStates> kServerStates = {
+constexpr std::array<const char*, routing::kServerStateCount> kServerStates = {
     "presumed",  // kAssumedHealthy
     "ramping",   // kSlowStart
     "serving",   // kServing
@@ -31,7 +31,7 @@
 
 const char* stored_name(routing::ServerState state) { return kServerStates[static_cast<std::size_t>(state)]; }
 
-const char* stored_name(routing::View view) { return kViews[static_cast<std::size_t>(view)]; }
+const char* stored_name(routing::ConnectivityState view) { return kViews[static_cast<std::size_t>(view)]; }
 
 const char* stored_name(routing::Health health) { return kHealths[static_cast<std::size_t>(health)]; }
 
@@ -40,7 +40,7 @@
 }
 
 routing::Health health_named(std::string_view name) {
-  return enumerator_named(kHealths, name, routing::Health::kOut);
+  return enumerator_named(kHealths, name, routing::Health::kOutOfRotation);
 }
 
 }  // namespace myrtlecroft::routing_state
--- a/src/routing_state/stored_names.h
+++ b/src/routing_state/stored_names.h
@@ -15,13 +15,13 @@
 // The stored name of a server's state; static storage, zero-terminated.
 const char* stored_name(routing::ServerState state);
 // The name of the registry's view in admin answers.
-const char* stored_name(routing::View view);
+const char* stored_name(routing::ConnectivityState view);
 // The stored name of a server's health in a snapshot.
 const char* stored_name(routing::Health health);
 
 // The state of that name; kLost for an unknown name, so that the server must report before it gets requests.
 routing::ServerState server_state_named(std::string_view name);
-// The health of that name; kOut for an unknown name.
+// The health of that name; kOutOfRotation for an unknown name.
 routing::Health health_named(std::string_view name);
 
 }  // namespace myrtlecroft::routing_state
--- a/src/server_program.cpp
+++ b/src/server_program.cpp
@@ -37,14 +37,15 @@
       reserved_descriptors_(launch_.descriptors / kReservedShare),
       log_(loop_),
       front_(loop_, log_, launch_.listen, launch_.descriptors - reserved_descriptors_,
-             launch_.memory / kFrontMemoryShare, settings_.slow_peers),
+             launch_.memory / kFrontMemoryShare, settings_.slow_clients),
       engine_(loop_, log_, launch_.engine,
               std::clamp(launch_.memory / kEngineMemoryShare, kMinEngineMemory, kMaxEngineMemory)),
       database_(loop_, log_, launch_.database, reserved_descriptors_ / 2),
       membership_(loop_, launch_.name, launch_.members),
       idempotency_log_(recovery::open_durable_idempotency_log(settings_.store, loop_, log_)),
-      service_(take_start(launch_), {loop_, front_, engine_, database_, membership_, log_,
-                                     idempotency_log_.get(), settings_.reports.obey ? &keys_ : nullptr}),
+      service_(take_start(launch_),
+               {loop_, front_, engine_, database_, membership_, log_, idempotency_log_.get(),
+                settings_.reports.follows_control_service ? &keys_ : nullptr}),
       reporter_(loop_, log_, service_, launch_.name, launch_.listen),
       stop_timer_(loop_.base(),
                   [this] {
@@ -58,10 +59,11 @@
               [this](ReadAgain read) { apply_reload(std::move(read)); }),
       reload_signal_(loop_.base(), SIGHUP, [this] { reload_.ask(); }) {
   if (idempotency_log_) idempotency_log_->attach(service_);
-  reporter_.runs(version);
+  reporter_.set_version(version);
   restore_assignment();
-  reporter_.on_order([this](const fencing::ShardAssignment& assignment) { take_assignment(assignment); });
-  reporter_.report_to(settings_.reports);
+  reporter_.on_assignment(
+      [this](const fencing::ShardAssignment& assignment) { take_assignment(assignment); });
+  reporter_.set_report_settings(settings_.reports);
 }
 
 int ServerProgram::run() {
@@ -90,34 +92,35 @@
 
 // A server with a store still has the keys of its assignment after a restart.
 void ServerProgram::restore_assignment() {
-  if (!idempotency_log_ || !settings_.reports.obey) return;
-  report::Malformed malformed{};
+  if (!idempotency_log_ || !settings_.reports.follows_control_service) return;
+  report::FrameError malformed{};
   report::decode(
       idempotency_log_->saved_assignment(),
       {.report = {},
        .order = [this](const fencing::ShardAssignment& assignment) { keys_.guard.restore(assignment); }},
       malformed);
-  if (keys_.guard.assignment()) reporter_.acts_on(keys_.guard.assignment()->epoch);
+  if (keys_.guard.assignment()) reporter_.set_assignment_epoch(keys_.guard.assignment()->epoch);
 }
 
 void ServerProgram::take_assignment(const fencing::ShardAssignment& assignment) {
   // A stale one is ignored whole: it comes again in answer to the next report.
-  if (assignment.restart_as && !reporter_.is_fresh(assignment.answers)) {
-    log_.frequent("shard assignment ignored: it orders a restart and answers an old report, epoch " +
-                  std::to_string(assignment.epoch.number));
+  if (assignment.restart_version && !reporter_.was_sent_recently(assignment.report_sequence)) {
+    log_.write_rate_limited(
+        "shard assignment ignored: it orders a restart and answers an old report, epoch " +
+        std::to_string(assignment.epoch.number));
     return;
   }
   fencing::FencingGuard::Verdict verdict = keys_.guard.accept(assignment, reporter_.incarnation());
   if (verdict == fencing::FencingGuard::Verdict::kStale) {
-    log_.frequent("shard assignment ignored: too old, " + described(assignment));
+    log_.write_rate_limited("shard assignment ignored: too old, " + described(assignment));
   }
   if (verdict != fencing::FencingGuard::Verdict::kAccepted) return;
-  log_.frequent("shard assignment in force: " + described(assignment));
-  reporter_.acts_on(assignment.epoch);
+  log_.write_rate_limited("shard assignment in force: " + described(assignment));
+  reporter_.set_assignment_epoch(assignment.epoch);
   if (idempotency_log_) idempotency_log_->save_assignment(report::encode(assignment));
-  if (!assignment.restart_as || service_.draining()) return;
-  exit_code_ = kRestartAs + *assignment.restart_as;
-  log_.line("drains to be started as version " + std::to_string(*assignment.restart_as) + ", epoch " +
+  if (!assignment.restart_version || service_.draining()) return;
+  exit_code_ = kRestartAs + *assignment.restart_version;
+  log_.line("drains to be started as version " + std::to_string(*assignment.restart_version) + ", epoch " +
             std::to_string(assignment.epoch.number));
   begin_drain();
 }
@@ -126,9 +129,10 @@
 void ServerProgram::apply_reload(ReadAgain read) {
   try {
     if (!read.error.empty()) throw std::runtime_error(read.error);
-    read.own.reports.obey = settings_.reports.obey;  // fixed while it runs
-    reporter_.report_to(read.own.reports);
-    front_.pacing().set_options(read.own.slow_peers);
+    read.own.reports.follows_control_service =
+        settings_.reports.follows_control_service;  // fixed while it runs
+    reporter_.set_report_settings(read.own.reports);
+    front_.slow_client_policy().set_options(read.own.slow_clients);
     engine_.move(read.launch.engine);
     database_.move(read.launch.database);
     membership_.move(read.launch.members);
--- a/src/server_program.h
+++ b/src/server_program.h
@@ -64,7 +64,7 @@
   std::unique_ptr<recovery::DurableIdempotencyLog> idempotency_log_;  // null: nothing is stored
   KeyOwnership keys_;
   service::Service service_;
-  net::Reporter reporter_;
+  net::LoadReporter reporter_;
   int exit_code_ = 0;
   std::string end_ = "stopped";
   net::Timer stop_timer_;
--- a/src/service/dependency_calls.cpp
+++ b/src/service/dependency_calls.cpp
@@ -18,10 +18,10 @@
   handle([&] {
     if (!request.dependency_call.active || request.dependency_call.result) return;
     switch (result) {
-      case CallResult::kRows:
+      case CallResult::kSucceeded:
         end_call(request, Outcome::kOk);
         if (request.answered) return;
-        engine_.feed(request, std::move(body));
+        engine_.deliver_reply(request, std::move(body));
         return;
       case CallResult::kFailed:
         return end_call(request, Outcome::kFailed);
@@ -31,7 +31,7 @@
         return end_call(request, Outcome::kReset);
       case CallResult::kAtCapacity:
       case CallResult::kNotExecuted:
-        request.dependency_call.result = Outcome::kFull;
+        request.dependency_call.result = Outcome::kAtCapacity;
         break;
       case CallResult::kUnreachable:
         request.dependency_call.result = Outcome::kUnreachable;
--- a/src/service/engine_session.cpp
+++ b/src/service/engine_session.cpp
@@ -15,7 +15,7 @@
   give(request, Command::kRun);
 }
 
-void EngineSession::feed(ServerRequest& request, std::string reply) {
+void EngineSession::deliver_reply(ServerRequest& request, std::string reply) {
   request.payload = std::move(reply);
   give(request, Command::kFeed);
 }
@@ -36,7 +36,7 @@
     case Command::kRun:
       return link_.run(request.id, request.request_class->name, request.body);
     case Command::kFeed:
-      return link_.feed(request.id, request.payload);
+      return link_.deliver_reply(request.id, request.payload);
     case Command::kSkip:
       return link_.skip(request.id, request.at_notice);
     case Command::kNone:
@@ -49,7 +49,7 @@
 }
 
 void EngineSession::request_gauges() {
-  if (settled_) link_.stat(++sent_);
+  if (settled_) link_.query_gauges(++sent_);
 }
 
 bool EngineSession::test() {
@@ -61,21 +61,21 @@
 void EngineSession::pause() {
   settled_ = false;
   fence_ = 0;
-  link_.stat(++sent_);
+  link_.query_gauges(++sent_);
 }
 
-void EngineSession::lost() {
+void EngineSession::link_lost() {
   settled_ = false;
   fence_ = 0;
   for (ServerRequest* request : runs_) {
     request->in_doubt |= request->command != Command::kNone && request->sent && request->sent_as > confirmed_;
   }
-  if (std::exchange(testing_, 0)) events_.tested(false);
+  if (std::exchange(testing_, 0)) events_.test_completed(false);
 }
 
 void EngineSession::hello(bool booting, Nanos age) {
   if (!std::exchange(known_, true)) events_.engine_up(booting, age);
-  link_.stat(fence_ = ++sent_);
+  link_.query_gauges(fence_ = ++sent_);
 }
 
 // Notices of a backlog may overlap with what was read; each is taken once.
@@ -104,10 +104,10 @@
   events_.gauges_received(values);
 }
 
-void EngineSession::tested(std::uint64_t token, bool good) {
+void EngineSession::test_completed(std::uint64_t token, bool good) {
   if (token != testing_ || testing_ == 0) return;
   testing_ = 0;
-  events_.tested(good);
+  events_.test_completed(good);
 }
 
 void EngineSession::settle() {
@@ -153,8 +153,8 @@
 
 // The engine does not know it: a run that was rejected so has not begun and never will. A site that allows
 // no test leaves the report alone to answer checks.
-void EngineSession::not_carried_out(std::string_view command, const std::string& id) {
-  if (command == "TEST" && std::exchange(testing_, 0)) return events_.tested(true);
+void EngineSession::command_ignored(std::string_view command, const std::string& id) {
+  if (command == "TEST" && std::exchange(testing_, 0)) return events_.test_completed(true);
   auto place = by_id_.find(id);
   if (command != "RUN" || place == by_id_.end() || place->second->command != Command::kRun) return;
   place->second->unknown_to_engine = true;
--- a/src/service/engine_session.h
+++ b/src/service/engine_session.h
@@ -37,7 +37,7 @@
   virtual void run_needs_call(ServerRequest& request) = 0;
   virtual void run_ended(ServerRequest& request, Outcome outcome, std::string_view result) = 0;
   virtual void gauges_received(const std::vector<double>& values) = 0;
-  virtual void tested(bool good) = 0;
+  virtual void test_completed(bool good) = 0;
 };
 
 class EngineSession {
@@ -45,7 +45,7 @@
   EngineSession(Engine& link, EngineEvents& events) : link_(link), events_(events) {}
 
   void run(ServerRequest& request);
-  void feed(ServerRequest& request, std::string reply);
+  void deliver_reply(ServerRequest& request, std::string reply);
   void skip(ServerRequest& request);
   void forget(ServerRequest& request);
   void request_gauges();
@@ -53,14 +53,14 @@
 
   // From the link.
   void pause();  // send nothing more on this link, and see to it that what was sent is known to have arrived
-  bool nothing_on_its_way() const { return !settled_ && confirmed_ == sent_; }
-  void linked() { link_.attach(last_notice_); }
-  void lost();
+  bool all_commands_confirmed() const { return !settled_ && confirmed_ == sent_; }
+  void link_established() { link_.attach(last_notice_); }
+  void link_lost();
   void hello(bool booting, Nanos age);
   void notice(const Notice& notice);
   void stats(std::uint64_t token, const std::vector<double>& values);
-  void tested(std::uint64_t token, bool good);
-  void not_carried_out(std::string_view command, const std::string& id);
+  void test_completed(std::uint64_t token, bool good);
+  void command_ignored(std::string_view command, const std::string& id);
   std::uint64_t last_notice() const { return last_notice_; }
 
  private:
--- a/src/service/health_checks.cpp
+++ b/src/service/health_checks.cpp
@@ -35,7 +35,7 @@
   for (AnswerSink* sink : sinks) sink->answer({.kind = healthy ? Answer::kCompleted : Answer::kRejected});
 }
 
-void Service::tested(bool passed) {
+void Service::test_completed(bool passed) {
   handle([&] { answer_health_checks(passed && healthy_); });
 }
 
--- a/src/service/key_table.h
+++ b/src/service/key_table.h
@@ -27,9 +27,9 @@
 
 class KeyTable {
  public:
-  // `result_bytes` bounds all results together. One that does not fit is not retained: its retries fail, and
-  // still nothing runs twice.
-  explicit KeyTable(std::size_t result_bytes) : max_bytes_(result_bytes) {}
+  // `max_result_bytes` bounds all results together. One that does not fit is not retained: its retries fail,
+  // and still nothing runs twice.
+  explicit KeyTable(std::size_t max_result_bytes) : max_bytes_(max_result_bytes) {}
 
   // Null: none.
   KeyEntry* find(const RequestClass* request_class, const std::string& key);
--- a/src/service/ports.h
+++ b/src/service/ports.h
@@ -28,9 +28,9 @@
   virtual ~Engine() = default;
   virtual void attach(std::uint64_t last_notice) = 0;
   virtual void run(std::string_view id, std::string_view request_class, std::string_view body) = 0;
-  virtual void feed(std::string_view id, std::string_view reply) = 0;
+  virtual void deliver_reply(std::string_view id, std::string_view reply) = 0;
   virtual void skip(std::string_view id, std::uint64_t notice) = 0;
-  virtual void stat(std::uint64_t token) = 0;
+  virtual void query_gauges(std::uint64_t token) = 0;
   virtual void test(std::uint64_t token) = 0;
 };
 
@@ -51,8 +51,9 @@
  public:
   virtual ~Logger() = default;
   virtual void line(const std::string& text) = 0;
-  virtual void frequent(const std::string& text) = 0;  // rate limited separately: may come in storms
-  virtual void routine(const std::string& text) = 0;   // the same, for ordinary ends
+  virtual void write_rate_limited(
+      const std::string& text) = 0;                         // rate limited separately: may come in storms
+  virtual void write_routine(const std::string& text) = 0;  // the same, for ordinary ends
 };
 
 // Records which keyed requests ran, over a crash. Without one a service knows only those of its own
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 Service::Service(Start start, const Ports& ports)
-    : start_(std::move(start)), ports_(ports), engine_(ports.engine, *this), keys_(start_.result_bytes) {
+    : start_(std::move(start)), ports_(ports), engine_(ports.engine, *this), keys_(start_.max_result_bytes) {
   // The engine protocol has no command to stop a run and no field for an advertised capacity.
   start_.config.stop_mode = StopMode::kNone;
   start_.config.advertised_capacity = AdvertisedCapacity::kNone;
@@ -136,8 +136,8 @@
   gauges_ = {};
   for (std::size_t i = 0; i < std::min(values.size(), start_.gauge_names.size()); ++i) {
     const std::string& name = start_.gauge_names[i];
-    if (name == "core_use") gauges_.core_use = values[i];
-    if (name == "on_cores") gauges_.on_cores = values[i];
+    if (name == "core_use") gauges_.core_utilization = values[i];
+    if (name == "on_cores") gauges_.runnable_threads = values[i];
     if (name == "links") gauges_.connections = values[i];
   }
   gauges_at_ = ports_.clock.now();
--- a/src/service/service.h
+++ b/src/service/service.h
@@ -23,7 +23,15 @@
 namespace myrtlecroft::service {
 
 // How a call to the dependency ended, as its client saw it.
-enum class CallResult { kRows, kAtCapacity, kFailed, kTimedOut, kNotExecuted, kUnreachable, kConnectionLost };
+enum class CallResult {
+  kSucceeded,
+  kAtCapacity,
+  kFailed,
+  kTimedOut,
+  kNotExecuted,
+  kUnreachable,
+  kConnectionLost
+};
 
 class Service final : public ControllerActions, public EngineEvents {
  public:
@@ -31,8 +39,8 @@
     ServiceConfig config;
     std::vector<std::string> gauge_names;
     std::uint64_t seed = 0;
-    Nanos stop_after = 0;          // from begin_drain()
-    std::size_t result_bytes = 0;  // the bound on results retained by key
+    Nanos stop_after = 0;              // from begin_drain()
+    std::size_t max_result_bytes = 0;  // the bound on results retained by key
   };
   Service(Start start, const Ports& ports);
 
@@ -78,7 +86,7 @@
   void run_needs_call(ServerRequest& request) override;
   void run_ended(ServerRequest& request, Outcome outcome, std::string_view result) override;
   void gauges_received(const std::vector<double>& values) override;
-  void tested(bool passed) override;
+  void test_completed(bool passed) override;
 
   // From the Controller (ControllerActions).
   void run(Request& request) override;
