--- a/src/service_config/error_location.cpp
+++ b/src/service_config/error_location.cpp
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-std::string located(const FieldError& error, element root, const simdjson::padded_string& text) {
+std::string format_with_location(const FieldError& error, element root, const simdjson::padded_string& text) {
   std::optional<Step> in = error.object_mark ? find_object(root, error.object_mark, {}) : std::nullopt;
   if (!in) return std::string(" ") + error.what();
   std::optional<int> line = line_at(in->pointer + "/" + error.field, text);
@@ -97,7 +97,7 @@
   return (line ? std::to_string(*line) + ": " : " ") + path + ": " + error.fault;
 }
 
-std::string located(simdjson::error_code error, const simdjson::padded_string& text) {
+std::string format_with_location(simdjson::error_code error, const simdjson::padded_string& text) {
   ondemand::parser parser;
   ondemand::document document;
   const char* place = nullptr;
--- a/src/service_config/error_location.h
+++ b/src/service_config/error_location.h
@@ -10,9 +10,9 @@
 
 // "LINE: PATH: what is wrong" of a field error: the line of the field, or of the object that lacks it. `root`
 // is the document that was read out of `text`.
-std::string located(const FieldError& error, element root, const simdjson::padded_string& text);
+std::string format_with_location(const FieldError& error, element root, const simdjson::padded_string& text);
 
 // "LINE: what is wrong" of a text that is not JSON: the line of the first fault.
-std::string located(simdjson::error_code error, const simdjson::padded_string& text);
+std::string format_with_location(simdjson::error_code error, const simdjson::padded_string& text);
 
 }  // namespace myrtlecroft::config
--- a/src/service_config/json_fields.cpp
+++ b/src/service_config/json_fields.cpp
@@ -88,7 +88,7 @@
   return text_or(fields, name, "");
 }
 
-object part(object fields, std::string_view name) {
+object object_field(object fields, std::string_view name) {
   object inner;
   if (fields[name].get(inner) != simdjson::SUCCESS) fail(fields, name, "is missing or not an object");
   return inner;
--- a/src/service_config/json_fields.h
+++ b/src/service_config/json_fields.h
@@ -44,11 +44,11 @@
 bool boolean(object fields, std::string_view name);
 std::string text(object fields, std::string_view name);
 std::string text_or(object fields, std::string_view name, std::string_view absent);
-object part(object fields, std::string_view name);
+object object_field(object fields, std::string_view name);
 
 // A string that is one of the names of `values`.
 template <class Value>
-Value enumerated(object fields, std::string_view name,
+Value enum_value(object fields, std::string_view name,
                  std::initializer_list<std::pair<std::string_view, Value>> values, std::string_view absent) {
   std::string given = text_or(fields, name, absent);
   for (const auto& [known, value] : values) {
--- a/src/service_config/service_config_reader.cpp
+++ b/src/service_config/service_config_reader.cpp
@@ -19,7 +19,7 @@
   if (entry.get(fields) != simdjson::SUCCESS) fail(in, name, "has an entry that is not an object");
   RequestClass request_class;
   request_class.name = text(fields, "name");
-  request_class.idempotency = enumerated<Idempotency>(fields, "effect",
+  request_class.idempotency = enum_value<Idempotency>(fields, "effect",
                                                       {{"idempotent", Idempotency::kIdempotent},
                                                        {"deduplicated", Idempotency::kKeyed},
                                                        {"at_most_once", Idempotency::kNone}},
@@ -55,15 +55,16 @@
   config.warming_up = boolean(family, "cold");
   config.max_idle_time = integer_or(family, "idleNs", 0);
   config.answer_sharing_window = integer_or(family, "freshNs", 0);
-  config.stop_mode = enumerated<StopMode>(
+  config.stop_mode = enum_value<StopMode>(
       family, "stopMode",
       {{"off", StopMode::kNone}, {"discard", StopMode::kDiscard}, {"freeze", StopMode::kFreeze}}, "off");
-  config.advertised_capacity = enumerated<AdvertisedCapacity>(family, "advert",
-                                                              {{"off", AdvertisedCapacity::kNone},
-                                                               {"floor", AdvertisedCapacity::kFloor},
-                                                               {"allowance", AdvertisedCapacity::kAllowance},
-                                                               {"weight", AdvertisedCapacity::kWeight}},
-                                                              "off");
+  config.advertised_capacity =
+      enum_value<AdvertisedCapacity>(family, "advert",
+                                     {{"off", AdvertisedCapacity::kNone},
+                                      {"floor", AdvertisedCapacity::kMinPriority},
+                                      {"allowance", AdvertisedCapacity::kMaxInFlight},
+                                      {"weight", AdvertisedCapacity::kWeight}},
+                                     "off");
 }
 
 void read_dependency(object family, ServiceConfig& config) {
@@ -97,31 +98,32 @@
 
 }  // namespace
 
-ServiceConfig read_config(object env) {
+ServiceConfig read_service_config(object env) {
   ServiceConfig config;
   read_list(env, "classes", config.request_classes, read_request_class);
   if (config.request_classes.empty()) fail(env, "classes", "is missing or empty");
   read_list(env, "tenants", config.tenants, read_tenant);
   config.servers = at_least_one(env, "servers");
   config.over_quota_weight = number_or(env, "overShareWorth", 1);
-  config.weight_by_work = text_or(env, "worthBy", "request") == "work";
+  config.weight_is_per_core_second = text_or(env, "worthBy", "request") == "work";
   config.tick = integer_or(env, "tickNs", 0);
-  object family = part(env, "familyInfo");
+  object family = object_field(env, "familyInfo");
   read_machine(family, config);
   read_dependency(family, config);
-  read_rules(part(env, "rules"), config);
-  object limits = part(env, "limits");
+  read_rules(object_field(env, "rules"), config);
+  object limits = object_field(env, "limits");
   if (boolean(limits, "retryAfter")) config.max_retry_after = integer_or(limits, "maxRetryAfterNs", 0);
   return config;
 }
 
 std::vector<std::string> read_gauge_names(object env) {
   std::vector<std::string> names;
-  read_list(part(env, "familyInfo"), "meters", names, [](object in, std::string_view name, element entry) {
-    std::string_view gauge;
-    if (entry.get(gauge) != simdjson::SUCCESS) fail(in, name, "has an entry that is not a text");
-    return std::string(gauge);
-  });
+  read_list(object_field(env, "familyInfo"), "meters", names,
+            [](object in, std::string_view name, element entry) {
+              std::string_view gauge;
+              if (entry.get(gauge) != simdjson::SUCCESS) fail(in, name, "has an entry that is not a text");
+              return std::string(gauge);
+            });
   return names;
 }
 
--- a/src/service_config/service_config_reader.h
+++ b/src/service_config/service_config_reader.h
@@ -11,7 +11,7 @@
 namespace myrtlecroft::config {
 
 // Throws FieldError.
-ServiceConfig read_config(object env);
+ServiceConfig read_service_config(object env);
 // The names of the gauges, in the order in which an engine lists them. Throws FieldError.
 std::vector<std::string> read_gauge_names(object env);
 
--- a/src/settings/node_settings.cpp
+++ b/src/settings/node_settings.cpp
@@ -22,9 +22,9 @@
     out.to.push_back(address);
   }
   if (out.to.size() > kMaxControlServices) section.fail("to", "holds more than 8 addresses");
-  out.every = section.milliseconds_or("every_ms", out.every, 50, 10'000);
-  out.obey = section.boolean_or("obey", out.obey);
-  if (out.obey && out.to.empty()) section.fail("obey", "needs control services to obey");
+  out.report_interval = section.milliseconds_or("every_ms", out.report_interval, 50, 10'000);
+  out.follows_control_service = section.boolean_or("obey", out.follows_control_service);
+  if (out.follows_control_service && out.to.empty()) section.fail("obey", "needs control services to obey");
   section.reject_unknown_fields();
   return out;
 }
@@ -32,11 +32,12 @@
 peers::SlowClientOptions read_slow_peers(Section section) {
   peers::SlowClientOptions out;
   out.min_rate = section.number_or("least_bytes_per_s", out.min_rate, 1, 1e9);
-  out.rate_over = section.milliseconds_or("rate_over_ms", out.rate_over, 100, 60'000);
+  out.rate_window = section.milliseconds_or("rate_over_ms", out.rate_window, 100, 60'000);
   out.grace = section.milliseconds_or("grace_ms", out.grace, 100, 60'000);
-  out.hurry = section.milliseconds_or("hurry_ms", out.hurry, 10, 60'000);
-  out.whole_within = section.milliseconds_or("whole_within_ms", out.whole_within, 100, 600'000);
-  out.unread_share = static_cast<std::size_t>(section.number_or("unread_kb", 64, 1, 192)) * kKilobyte;
+  out.final_warning_time = section.milliseconds_or("hurry_ms", out.final_warning_time, 10, 60'000);
+  out.max_request_read_time =
+      section.milliseconds_or("whole_within_ms", out.max_request_read_time, 100, 600'000);
+  out.max_unread_bytes = static_cast<std::size_t>(section.number_or("unread_kb", 64, 1, 192)) * kKilobyte;
   out.balancer_share = section.number_or("balancer_share", out.balancer_share, 0.01, 1);
   section.reject_unknown_fields();
   return out;
@@ -51,7 +52,7 @@
   Section root = document.root();
   root.integer("version", 1, 1);
   if (auto reports = root.optional_section("reports")) out.reports = read_reports(*reports);
-  if (auto slow = root.optional_section("slow_peers")) out.slow_peers = read_slow_peers(*slow);
+  if (auto slow = root.optional_section("slow_peers")) out.slow_clients = read_slow_peers(*slow);
   if (auto store = root.optional_section("store")) {
     out.store.folder = store->text_or("folder", "");
     store->reject_unknown_fields();
--- a/src/settings/node_settings.h
+++ b/src/settings/node_settings.h
@@ -13,10 +13,10 @@
 namespace myrtlecroft::settings {
 
 struct ReportSettings {
-  std::vector<sockaddr_in> to;  // control services; none: no load reports
-  Nanos every = 250 * kMs;      // between two load reports
+  std::vector<sockaddr_in> to;        // control services; none: no load reports
+  Nanos report_interval = 250 * kMs;  // between two load reports
   // Run only keys of shards that the control services have assigned to this server, and follow their orders.
-  bool obey = false;
+  bool follows_control_service = false;
 };
 
 struct StoreSettings {
@@ -26,7 +26,7 @@
 
 struct NodeSettings {
   ReportSettings reports;
-  peers::SlowClientOptions slow_peers;
+  peers::SlowClientOptions slow_clients;
   StoreSettings store;
 };
 
--- a/src/store/group_committer.cpp
+++ b/src/store/group_committer.cpp
@@ -37,7 +37,8 @@
 DiskHealth GroupCommitter::health() const {
   if (failed_) return DiskHealth::kFailed;
   Nanos began = commit_began_;
-  return began && clock_() - began > options_.slow_after ? DiskHealth::kSlow : DiskHealth::kHealthy;
+  return began && clock_() - began > options_.slow_commit_threshold ? DiskHealth::kSlow
+                                                                    : DiskHealth::kHealthy;
 }
 
 void GroupCommitter::put(std::string key, std::string value, Nanos window, Completion completion) {
--- a/src/store/group_committer.h
+++ b/src/store/group_committer.h
@@ -17,13 +17,13 @@
 
 enum class DiskHealth {
   kHealthy,
-  kSlow,   // the commit under way takes longer than CommitterOptions::slow_after
+  kSlow,   // the commit under way takes longer than CommitterOptions::slow_commit_threshold
   kFailed  // the last write or sync failed; records are not accepted until a probe commit succeeds
 };
 const char* name_of(DiskHealth health);
 
 struct CommitterOptions {
-  Nanos slow_after = 500 * kMs;             // of one commit
+  Nanos slow_commit_threshold = 500 * kMs;  // of one commit
   Nanos initial_backoff = 100 * kMs;        // from a failure to the first probe commit; doubles each time
   Nanos max_backoff = 5 * kSecond;          // between probe commits
   std::size_t max_queued_records = 10'000;  // beyond them a record fails at once
--- a/src/store/main.cpp
+++ b/src/store/main.cpp
@@ -20,7 +20,7 @@
 constexpr int kUsage = 2;
 
 // `compact` rewrites and merges more than a running store does.
-constexpr StoreOptions kCompactAll{.dead_share = 0.1, .max_small = 1};
+constexpr StoreOptions kCompactAll{.dead_share = 0.1, .max_small_segments = 1};
 
 struct Arguments {
   std::string folder;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -101,7 +101,7 @@
   segment.bytes = header.size();
   active_file_->sync();
   disk_.sync_folder();
-  stats_.written += header.size();
+  stats_.written_bytes += header.size();
   stats_.syncs += 2;
 }
 
@@ -116,13 +116,13 @@
     std::size_t size = bytes.size() - begin;
     RecordLocation& location = locations.emplace_back(location_of(pending.record, active_segment_, offset));
     location.bytes = static_cast<std::uint32_t>(size);
-    if (!pending.copied_from) stats_.appended += size;
+    if (!pending.copied_from) stats_.appended_bytes += size;
   }
   segment.bytes += bytes.size();  // also where the write fails: as many bytes may be on the disk
   active_file_->append(bytes);
   active_file_->sync();
   ++stats_.syncs;
-  stats_.written += bytes.size();
+  stats_.written_bytes += bytes.size();
   return locations;
 }
 
@@ -160,7 +160,7 @@
     std::string hints =
         write_hints({.number = active_segment_, .salt = segment.salt, .bytes = segment.bytes}, active_hints_);
     disk_.create(hint_name(active_segment_))->append(hints);
-    stats_.written += hints.size();
+    stats_.written_bytes += hints.size();
   } catch (const DiskError&) {
     // Without hints the next start scans the segment.
   }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -25,7 +25,7 @@
   std::size_t segment_bytes = std::size_t{64} << 20;  // a segment of this size is sealed
   double dead_share = 0.5;                            // of a sealed segment's bytes, for it to be compacted
   std::size_t slice_bytes = std::size_t{256} << 10;   // of a segment, read in one slice of compaction
-  std::size_t max_small = 16;                         // sealed segments beyond which the smallest is merged
+  std::size_t max_small_segments = 16;                // sealed segments beyond which the smallest is merged
 };
 
 // What open() read.
@@ -40,10 +40,10 @@
 
 // Since the store was created.
 struct StoreStats {
-  std::uint64_t appended = 0;  // bytes of records that callers put or erased
-  std::uint64_t written = 0;   // bytes in all, with compaction's copies, headers, hints and manifests
+  std::uint64_t appended_bytes = 0;  // bytes of records that callers put or erased
+  std::uint64_t written_bytes = 0;   // bytes in all, with compaction's copies, headers, hints and manifests
   std::uint64_t syncs = 0;
-  std::uint64_t retired = 0;  // segments removed
+  std::uint64_t removed_segments = 0;  // segments removed
 };
 
 class Store {
--- a/src/store/store_compaction.cpp
+++ b/src/store/store_compaction.cpp
@@ -40,7 +40,7 @@
     ++small_segments;
     if (!smallest || segment.bytes < segments_.at(*smallest).bytes) smallest = number;
   }
-  return small_segments > options_.max_small ? smallest : std::nullopt;
+  return small_segments > options_.max_small_segments ? smallest : std::nullopt;
 }
 
 bool Store::should_rewrite(const SegmentState& segment) const {
@@ -86,7 +86,7 @@
   }
   disk_.remove(segment_name(number));
   disk_.remove(hint_name(number));
-  ++stats_.retired;
+  ++stats_.removed_segments;
 }
 
 }  // namespace myrtlecroft::store
--- a/src/store/store_recovery.cpp
+++ b/src/store/store_recovery.cpp
@@ -104,7 +104,7 @@
   next_segment_ = std::max<std::uint64_t>(next_segment_, 1);
   Manifest manifest{.state = Manifest::State::kValid, .next_segment = next_segment_, .store_time = now()};
   for (const auto& [number, segment] : segments_) manifest.live_segments.push_back(number);
-  stats_.written += write_manifest(disk_, manifest);
+  stats_.written_bytes += write_manifest(disk_, manifest);
   stats_.syncs += 2;
 }
 
--- a/src/wirehost/wire.cpp
+++ b/src/wirehost/wire.cpp
@@ -15,10 +15,10 @@
 using namespace config;
 
 Outcome read_outcome(object fields) {
-  return enumerated<Outcome>(fields, "reason",
+  return enum_value<Outcome>(fields, "reason",
                              {{"Ok", Outcome::kOk},
                               {"Failed", Outcome::kFailed},
-                              {"QueueFull", Outcome::kFull},
+                              {"QueueFull", Outcome::kAtCapacity},
                               {"TimedOut", Outcome::kTimedOut},
                               {"ConnectError", Outcome::kUnreachable},
                               {"ResetByPeer", Outcome::kReset},
@@ -30,12 +30,12 @@
 Gauges read_gauges(object fields) {
   Gauges gauges;
   if (!find(fields, "metrics")) return gauges;
-  object values = part(fields, "metrics");
+  object values = object_field(fields, "metrics");
   auto gauge = [&](std::string_view name, std::optional<double>& into) {
     if (auto reading = find(values, name)) into = number(values, name, *reading);
   };
-  gauge("core_use", gauges.core_use);
-  gauge("on_cores", gauges.on_cores);
+  gauge("core_use", gauges.core_utilization);
+  gauge("on_cores", gauges.runnable_threads);
   gauge("links", gauges.connections);
   return gauges;
 }
@@ -91,11 +91,11 @@
     if (!request->request_class)
       throw WireError("field 'profile' names the unknown class '" + request_class + "'");
     request->tenant = tenants_.find(read_tenant(fields));
-    request->has_subject = has_key(fields);
+    request->has_lookup_key = has_key(fields);
     request->writes = boolean(fields, "update");
     request->arrived = -integer_or(fields, "ageNs", 0);  // made a clock time when it is delivered
     request->client_deadline = integer_or(fields, "giveUpAtNs", 0);
-    request->work_hint = integer_or(fields, "workNs", 0);
+    request->estimated_work = integer_or(fields, "workNs", 0);
     request->queued_kb = number(fields, "footprint");
     request->prior_id = static_cast<std::uint64_t>(integer_or(fields, "prior", 0));
     request->is_retry = request->prior_id != 0;
@@ -293,7 +293,8 @@
   std::int64_t number = integer(fields, "server");
   auto seed = static_cast<std::uint64_t>(integer(fields, "seed"));
   end_instance(number);
-  auto instance = std::make_unique<Instance>(number, read_config(part(fields, "env")), seed, reply_);
+  auto instance =
+      std::make_unique<Instance>(number, read_service_config(object_field(fields, "env")), seed, reply_);
   Instance& started = *instance;
   instances_[number] = std::move(instance);
   return started;
--- a/src/xds/cluster_messages.cpp
+++ b/src/xds/cluster_messages.cpp
@@ -47,7 +47,8 @@
 
 cluster::Cluster group_cluster(const routing::RequestClassRoute& request_class, std::uint32_t in_flight,
                                double retry_budget) {
-  cluster::Cluster out = some_cluster(cluster_of_group(request_class.name), in_flight, retry_budget);
+  cluster::Cluster out =
+      some_cluster(request_class_cluster_name(request_class.name), in_flight, retry_budget);
   if (!request_class.key_header.empty()) {
     out.set_lb_policy(cluster::Cluster::RING_HASH);
     out.mutable_ring_hash_lb_config()->set_hash_function(cluster::Cluster::RingHashLbConfig::XX_HASH);
--- a/src/xds/placement.cpp
+++ b/src/xds/placement.cpp
@@ -90,7 +90,7 @@
   }
 }
 
-bool PlacementTable::any_touched(const Places& servers) const {
+bool PlacementTable::any_touched(const ServerIndices& servers) const {
   return !same_places_ ||
          std::any_of(servers.begin(), servers.end(), [&](std::uint32_t place) { return touched_[place]; });
 }
@@ -99,7 +99,7 @@
                                    const routing::RequestClassRoute& request_class,
                                    const PlacementTable* before) const {
   const bool named = !request_class.servers.all();
-  const Places& servers = named ? *request_class.servers.places : all_;
+  const ServerIndices& servers = named ? *request_class.servers.places : all_;
   PlacementPtr old;
   if (before) {
     auto found = before->placements_.find({request_class.servers.places.get(), request_class.subset_size});
@@ -115,14 +115,15 @@
 }
 
 std::shared_ptr<const routing::Subsets> PlacementTable::subsets_of(const routing::Snapshot& snapshot,
-                                                                   const Places& servers, std::uint32_t size,
+                                                                   const ServerIndices& servers,
+                                                                   std::uint32_t size,
                                                                    const Placement* old) const {
   if (size == 0 || size >= servers.size()) return nullptr;
   if (old && same_places_) return old->subsets;
   return std::make_shared<const routing::Subsets>(snapshot.nodes, servers, size);
 }
 
-NodeList PlacementTable::in_service(const Places& servers) const {
+NodeList PlacementTable::in_service(const ServerIndices& servers) const {
   NodeList out;
   for (std::uint32_t place : servers) {
     if (nodes_[place]->health == Health::kHealthy) out.push_back(nodes_[place]);
@@ -130,7 +131,7 @@
   return out;
 }
 
-NodeList PlacementTable::as_they_are(const Places& servers) const {
+NodeList PlacementTable::as_they_are(const ServerIndices& servers) const {
   NodeList out;
   for (std::uint32_t place : servers) out.push_back(nodes_[place]);
   return out;
@@ -139,7 +140,8 @@
 // A service of which nobody is in service keeps its servers as they are: what is sent there is refused there.
 // An empty one would make the whole set unfit, and hold up all other services. Where a service runs on all
 // servers, none is in service at all, and the last set stays.
-NodeListPtr PlacementTable::serving_all(const Places& servers, bool named, const Placement* old) const {
+NodeListPtr PlacementTable::serving_all(const ServerIndices& servers, bool named,
+                                        const Placement* old) const {
   NodeList list = in_service(servers);
   if (list.empty() && named) list = as_they_are(servers);
   return shared_with(old && !old->serving.empty() ? old->serving.front() : nullptr, std::move(list));
@@ -148,14 +150,15 @@
 // None of its own servers has changed, and enough of them are in service, now and so before too: it was not
 // filled up from other subsets, and is not.
 bool PlacementTable::may_be_taken_over(const routing::Subsets& subsets, std::size_t subset) const {
-  const Places& members = subsets.members(subset);
+  const ServerIndices& members = subsets.members(subset);
   if (any_touched(members)) return false;
   auto up = std::count_if(members.begin(), members.end(),
                           [&](std::uint32_t place) { return nodes_[place]->health == Health::kHealthy; });
   return static_cast<std::size_t>(up) >= subsets.min_in_service();
 }
 
-std::vector<NodeListPtr> PlacementTable::serving_of(const routing::Snapshot& snapshot, const Places& servers,
+std::vector<NodeListPtr> PlacementTable::serving_of(const routing::Snapshot& snapshot,
+                                                    const ServerIndices& servers,
                                                     const routing::Subsets* subsets, bool named,
                                                     const Placement* old) const {
   if (!subsets) return {serving_all(servers, named, old)};
@@ -167,13 +170,13 @@
       out.push_back(std::move(before));
       continue;
     }
-    Places told = subsets->in_service(subset, snapshot.nodes);
+    ServerIndices told = subsets->in_service(subset, snapshot.nodes);
     out.push_back(shared_with(before, as_they_are(told.empty() && named ? servers : told)));
   }
   return out;
 }
 
-double PlacementTable::in_flight_of(const Places& servers) const {
+double PlacementTable::in_flight_of(const ServerIndices& servers) const {
   double all = 0;
   for (std::uint32_t place : servers) {
     if (nodes_[place]->health != Health::kHealthy) continue;
@@ -183,7 +186,7 @@
   return all;
 }
 
-std::uint64_t PlacementTable::digest_of(const Places& servers, const routing::Subsets* subsets) const {
+std::uint64_t PlacementTable::digest_of(const ServerIndices& servers, const routing::Subsets* subsets) const {
   std::vector<std::uint64_t> all = {subsets ? subsets->size() : 0};
   for (std::uint32_t place : servers) all.push_back(fingerprints_[place]);
   return XXH3_64bits(all.data(), all.size() * sizeof all.front());
--- a/src/xds/placement.h
+++ b/src/xds/placement.h
@@ -37,31 +37,32 @@
   bool touched(std::size_t place) const { return touched_[place]; }
 
  private:
-  using Places = fleet::ServerList::Places;
-  using Key = std::pair<const Places*, std::uint32_t>;  // the list of servers, and the size of subsets
+  using ServerIndices = fleet::ServerList::ServerIndices;
+  using Key = std::pair<const ServerIndices*, std::uint32_t>;  // the list of servers, and the size of subsets
 
   void share_nodes(const routing::Snapshot& snapshot, const PlacementTable& before);
   PlacementPtr place(const routing::Snapshot& snapshot, const routing::RequestClassRoute& request_class,
                      const PlacementTable* before) const;
-  bool any_touched(const Places& servers) const;
-  std::shared_ptr<const routing::Subsets> subsets_of(const routing::Snapshot& snapshot, const Places& servers,
-                                                     std::uint32_t size, const Placement* old) const;
-  NodeList in_service(const Places& servers) const;
-  NodeList as_they_are(const Places& servers) const;
-  NodeListPtr serving_all(const Places& servers, bool named, const Placement* old) const;
-  std::vector<NodeListPtr> serving_of(const routing::Snapshot& snapshot, const Places& servers,
+  bool any_touched(const ServerIndices& servers) const;
+  std::shared_ptr<const routing::Subsets> subsets_of(const routing::Snapshot& snapshot,
+                                                     const ServerIndices& servers, std::uint32_t size,
+                                                     const Placement* old) const;
+  NodeList in_service(const ServerIndices& servers) const;
+  NodeList as_they_are(const ServerIndices& servers) const;
+  NodeListPtr serving_all(const ServerIndices& servers, bool named, const Placement* old) const;
+  std::vector<NodeListPtr> serving_of(const routing::Snapshot& snapshot, const ServerIndices& servers,
                                       const routing::Subsets* subsets, bool named,
                                       const Placement* old) const;
   bool may_be_taken_over(const routing::Subsets& subsets, std::size_t subset) const;
-  double in_flight_of(const Places& servers) const;
-  std::uint64_t digest_of(const Places& servers, const routing::Subsets* subsets) const;
+  double in_flight_of(const ServerIndices& servers) const;
+  std::uint64_t digest_of(const ServerIndices& servers, const routing::Subsets* subsets) const;
 
   std::vector<NodePtr> nodes_;
   std::vector<std::uint64_t> fingerprints_;  // of all that a server's endpoints are made from
   std::vector<std::uint32_t> in_flight_;     // of servers: no part of their endpoints
   std::vector<bool> touched_;
   bool same_places_ = false;
-  Places all_;
+  ServerIndices all_;
   std::map<Key, PlacementPtr> placements_;
   std::vector<PlacementPtr> of_group_;
   std::vector<fleet::ServerList> lists_;  // keeps the keys alive
--- a/src/xds/resource_builder.cpp
+++ b/src/xds/resource_builder.cpp
@@ -61,7 +61,7 @@
     for (std::size_t at = 0; from_.service_listeners && at < from_.request_classes.size(); ++at)
       add_service(at);
     add_listener(from_.listener);
-    if (!same_runtime()) add(Type::kRuntime, kRuntimeName, runtime_message(from_), {});
+    if (!same_runtime()) add(ResourceType::kRuntime, kRuntimeName, runtime_message(from_), {});
     compare();
     return out_;
   }
@@ -69,27 +69,28 @@
  private:
   // ---- What stays
 
-  Resources& of(Type type) { return out_->by_type[static_cast<std::size_t>(type)]; }
-  ResourcePtr old_resource(Type type, const std::string& name) const {
+  Resources& of(ResourceType type) { return out_->by_type[static_cast<std::size_t>(type)]; }
+  ResourcePtr old_resource(ResourceType type, const std::string& name) const {
     if (!before_) return nullptr;
     auto found = before_->of(type).find(name);
     return found == before_->of(type).end() ? nullptr : found->second;
   }
   // True where there was one by this name: it stays.
-  bool keep(Type type, const std::string& name) {
+  bool keep(ResourceType type, const std::string& name) {
     ResourcePtr old = old_resource(type, name);
     if (!old) return false;
     of(type)[name] = std::move(old);
     return true;
   }
-  void put(Type type, ResourcePtr made) {
+  void put(ResourceType type, ResourcePtr made) {
     ResourcePtr old = old_resource(type, made->name);
     bool same = old && old->version == made->version;
     std::string name = made->name;
     of(type)[name] = same ? std::move(old) : std::move(made);
   }
-  void add(Type type, const std::string& name, const Message& message, std::vector<std::string> refers) {
-    put(type, make_resource(type, name, message, std::move(refers)));
+  void add(ResourceType type, const std::string& name, const Message& message,
+           std::vector<std::string> references) {
+    put(type, make_resource(type, name, message, std::move(references)));
   }
   // The group at the same place before, where it had the same name.
   const RequestClassRoute* old_class(std::size_t at) const {
@@ -114,24 +115,24 @@
   void add_request_class(std::size_t at) {
     const RequestClassRoute& request_class = from_.request_classes[at];
     if (request_class.idempotency == Idempotency::kKeyed) return;
-    const std::string name = cluster_of_group(request_class.name);
+    const std::string name = request_class_cluster_name(request_class.name);
     const PlacementPtr& placement = placements_.of_group(at);
     const RequestClassRoute* old = old_class(at);
     bool placed_as_before = old && old_->placements.of_group(at) == placement;
     bool same_cluster = placed_as_before && old->key_header == request_class.key_header &&
                         old_->snapshot.retry_budget == from_.retry_budget;
     bool same_endpoints = placed_as_before && dropped_of(*old) == dropped_of(request_class);
-    if (!same_cluster || !keep(Type::kClusters, name)) {
+    if (!same_cluster || !keep(ResourceType::kClusters, name)) {
       std::uint32_t in_flight = placement->in_flight > 0 ? in_flight_step(placement->in_flight) : 0;
-      add(Type::kClusters, name, group_cluster(request_class, in_flight, from_.retry_budget), {name});
+      add(ResourceType::kClusters, name, group_cluster(request_class, in_flight, from_.retry_budget), {name});
     }
-    if (same_endpoints && keep(Type::kEndpoints, name)) return;
+    if (same_endpoints && keep(ResourceType::kEndpoints, name)) return;
     if (placement->subsets) {
-      put(Type::kEndpoints,
-          make_subset_resource(request_class, placement, old_resource(Type::kEndpoints, name).get()));
+      put(ResourceType::kEndpoints,
+          make_subset_resource(request_class, placement, old_resource(ResourceType::kEndpoints, name).get()));
     } else {
-      add(Type::kEndpoints, name, service_endpoints(name, *placement->serving[0], dropped_of(request_class)),
-          {});
+      add(ResourceType::kEndpoints, name,
+          service_endpoints(name, *placement->serving[0], dropped_of(request_class)), {});
     }
   }
 
@@ -140,35 +141,37 @@
     const std::string name = cluster_of_node(node.name);
     bool same = placements_.same_places() && !placements_.touched(place) &&
                 old_->snapshot.retry_budget == from_.retry_budget;
-    if (same && keep(Type::kClusters, name) && keep(Type::kEndpoints, name)) return;
-    add(Type::kClusters, name, node_cluster(node, from_.retry_budget), {name});
-    add(Type::kEndpoints, name, node_endpoints(node), {});
+    if (same && keep(ResourceType::kClusters, name) && keep(ResourceType::kEndpoints, name)) return;
+    add(ResourceType::kClusters, name, node_cluster(node, from_.retry_budget), {name});
+    add(ResourceType::kEndpoints, name, node_endpoints(node), {});
   }
 
   // ---- Listeners, routes and runtime layer
 
   void add_routes(const std::string& name, RouteMessage made) {
-    add(Type::kRoutes, name, made.routes, {made.clusters.begin(), made.clusters.end()});
+    add(ResourceType::kRoutes, name, made.routes, {made.clusters.begin(), made.clusters.end()});
   }
 
   void add_fleet_routes() {
     bool same = old_ && old_->snapshot.listener == from_.listener &&
                 old_->snapshot.request_classes.size() == from_.request_classes.size();
     for (std::size_t at = 0; same && at < from_.request_classes.size(); ++at) same = same_routes_of(at);
-    if (!same || !keep(Type::kRoutes, from_.listener)) add_routes(from_.listener, fleet_routes(from_));
+    if (!same || !keep(ResourceType::kRoutes, from_.listener))
+      add_routes(from_.listener, fleet_routes(from_));
   }
 
   void add_service(std::size_t at) {
     const RequestClassRoute& request_class = from_.request_classes[at];
     add_listener(request_class.name);
     bool same = old_ && old_->snapshot.service_listeners && same_routes_of(at);
-    if (!same || !keep(Type::kRoutes, request_class.name))
+    if (!same || !keep(ResourceType::kRoutes, request_class.name))
       add_routes(request_class.name, service_routes(from_, request_class));
   }
 
   // A listener is made from its name alone.
   void add_listener(const std::string& name) {
-    if (!keep(Type::kListeners, name)) add(Type::kListeners, name, listener_message(name), {name});
+    if (!keep(ResourceType::kListeners, name))
+      add(ResourceType::kListeners, name, listener_message(name), {name});
   }
 
   bool same_runtime() {
@@ -183,7 +186,7 @@
       if (request_class.idempotency == Idempotency::kNone && old->admitted != request_class.admitted)
         return false;
     }
-    return keep(Type::kRuntime, kRuntimeName);
+    return keep(ResourceType::kRuntime, kRuntimeName);
   }
 
   // ---- What is new
@@ -192,8 +195,8 @@
     out_->before = before_ ? before_->number : 0;
     for (std::size_t type = 0; type < kTypes; ++type) compare(type);
     if (!before_) return;
-    const Resources& now = out_->of(Type::kClusters);
-    for (const Resources* old : {&before_->of(Type::kClusters), &before_->late_clusters}) {
+    const Resources& now = out_->of(ResourceType::kClusters);
+    for (const Resources* old : {&before_->of(ResourceType::kClusters), &before_->late_clusters}) {
       for (const auto& [name, resource] : *old) {
         if (!now.contains(name) && out_->late_clusters.size() < kMaxLate)
           out_->late_clusters.emplace(name, resource);
@@ -208,14 +211,14 @@
       const Resources& old = before_->by_type[type];
       auto had = old.begin();
       for (const auto& [name, resource] : now) {
-        for (; had != old.end() && had->first < name; ++had) out_->fewer[type] = true;
+        for (; had != old.end() && had->first < name; ++had) out_->has_removals[type] = true;
         bool there = had != old.end() && had->first == name;
         if (!there || had->second != resource) out_->changed[type].push_back(resource);
         if (there) ++had;
       }
-      out_->fewer[type] = out_->fewer[type] || had != old.end();
+      out_->has_removals[type] = out_->has_removals[type] || had != old.end();
     }
-    bool same = before_ && out_->changed[type].empty() && !out_->fewer[type];
+    bool same = before_ && out_->changed[type].empty() && !out_->has_removals[type];
     out_->versions[type] = same ? before_->versions[type] : version_of(now);
   }
 
@@ -231,8 +234,8 @@
 
 }  // namespace
 
-std::shared_ptr<const ResourceSet> make_resources(const routing::PublishedSnapshot& published,
-                                                  const ResourceSet* before) {
+std::shared_ptr<const ResourceSet> build_resource_set(const routing::PublishedSnapshot& published,
+                                                      const ResourceSet* before) {
   return ResourceBuilder(published.snapshot, before).make(published.number);
 }
 
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -12,7 +12,7 @@
   return out;
 }
 
-const std::string& url_of(Type type) {
+const std::string& type_url_of(ResourceType type) {
   static const std::array<std::string, kTypes> urls = {
       "type.googleapis.com/envoy.config.cluster.v3.Cluster",
       "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
@@ -22,22 +22,22 @@
   return urls[static_cast<std::size_t>(type)];
 }
 
-const char* name_of(Type type) {
+const char* name_of(ResourceType type) {
   constexpr const char* names[] = {"clusters", "endpoints", "listeners", "routes", "runtime"};
   return names[static_cast<std::size_t>(type)];
 }
 
-std::optional<Type> type_of(std::string_view url) {
-  for (Type type : kAllTypes) {
-    if (url_of(type) == url) return type;
+std::optional<ResourceType> type_of(std::string_view url) {
+  for (ResourceType type : kAllTypes) {
+    if (type_url_of(type) == url) return type;
   }
   return std::nullopt;
 }
 
-std::string cluster_of_group(const std::string& request_class) { return "group/" + request_class; }
+std::string request_class_cluster_name(const std::string& request_class) { return "group/" + request_class; }
 std::string cluster_of_node(const std::string& node) { return "node/" + node; }
 
-std::string pattern_of(const std::vector<std::size_t>& shards, int digits) {
+std::string shard_key_pattern(const std::vector<std::size_t>& shards, int digits) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::map<std::size_t, std::string> by_beginning;  // all digits but the last -> the last ones
   for (std::size_t shard : shards) by_beginning[shard >> 4] += kDigits[shard & 15];
--- a/src/xds/resources.h
+++ b/src/xds/resources.h
@@ -17,13 +17,14 @@
 namespace myrtlecroft::xds {
 
 // In the order in which proxies get what is new: what is referred to comes before what refers to it.
-enum class Type { kClusters, kEndpoints, kListeners, kRoutes, kRuntime };
+enum class ResourceType { kClusters, kEndpoints, kListeners, kRoutes, kRuntime };
 constexpr std::size_t kTypes = 5;
-constexpr std::array<Type, kTypes> kAllTypes = {Type::kClusters, Type::kEndpoints, Type::kListeners,
-                                                Type::kRoutes, Type::kRuntime};
-const std::string& url_of(Type type);
-const char* name_of(Type type);
-std::optional<Type> type_of(std::string_view url);
+constexpr std::array<ResourceType, kTypes> kAllTypes = {ResourceType::kClusters, ResourceType::kEndpoints,
+                                                        ResourceType::kListeners, ResourceType::kRoutes,
+                                                        ResourceType::kRuntime};
+const std::string& type_url_of(ResourceType type);
+const char* name_of(ResourceType type);
+std::optional<ResourceType> type_of(std::string_view url);
 
 class SubsetResources;
 struct SetOrigin;
@@ -31,9 +32,9 @@
 struct Resource {
   std::string name;
   std::string version;
-  std::string plain;                // as a field of DiscoveryResponse, tag and length included
-  std::string wrapped;              // as a field of DeltaDiscoveryResponse, with version and name
-  std::vector<std::string> refers;  // names of the resources it can't do without
+  std::string sotw_encoding;            // as a field of DiscoveryResponse, tag and length included
+  std::string delta_encoding;           // as a field of DeltaDiscoveryResponse, with version and name
+  std::vector<std::string> references;  // names of the resources it can't do without
   // Endpoints of a service with subsets: this one stands for those of each subset, and is never sent itself.
   std::shared_ptr<const SubsetResources> subsets = nullptr;
 };
@@ -54,14 +55,14 @@
   // Against the set with this number: what is new or other, and whether something is gone.
   std::uint64_t before = 0;
   std::array<std::vector<ResourcePtr>, kTypes> changed;  // in the order of their names
-  std::array<bool, kTypes> fewer{};
+  std::array<bool, kTypes> has_removals{};
   // Clusters of sets before this one: a proxy that comes back with one of those needs them until it has the
   // routes of this one.
   Resources late_clusters;
   // What it was made from, so that the next one is made from what differs.
   std::shared_ptr<const SetOrigin> origin;
 
-  const Resources& of(Type type) const { return by_type[static_cast<std::size_t>(type)]; }
+  const Resources& of(ResourceType type) const { return by_type[static_cast<std::size_t>(type)]; }
 };
 
 // All 16 digits: versions and digests as they are shown.
@@ -69,20 +70,20 @@
 
 // What did not change since `before` is taken over from there: the set is the same as one made from nothing,
 // but only what changed is made.
-std::shared_ptr<const ResourceSet> make_resources(const routing::PublishedSnapshot& published,
-                                                  const ResourceSet* before);
+std::shared_ptr<const ResourceSet> build_resource_set(const routing::PublishedSnapshot& published,
+                                                      const ResourceSet* before);
 
 // What makes a set unfit to be served, as one line; empty when nothing does. It looks at what was serialised,
 // not at the snapshot it came from. What the set shares with `before`, a fit one, is not looked at again.
-std::string fault_of(const ResourceSet& set, const ResourceSet* before = nullptr);
+std::string find_inconsistency(const ResourceSet& set, const ResourceSet* before = nullptr);
 
 // A hash of names and versions.
 std::string version_of(const Resources& resources);
 
 // Cluster names.
-std::string cluster_of_group(const std::string& request_class);
+std::string request_class_cluster_name(const std::string& request_class);
 std::string cluster_of_node(const std::string& node);
 // What a key of one of these shards looks like, for a proxy that matches headers.
-std::string pattern_of(const std::vector<std::size_t>& shards, int digits);
+std::string shard_key_pattern(const std::vector<std::size_t>& shards, int digits);
 
 }  // namespace myrtlecroft::xds
--- a/src/xds/route_messages.cpp
+++ b/src/xds/route_messages.cpp
@@ -79,7 +79,7 @@
         case RetryOn::kReset:
           say("reset,unavailable,resource-exhausted");
           break;
-        case RetryOn::kLate:
+        case RetryOn::kAttemptTimeout:
           say("gateway-error");
           break;
       }
@@ -112,8 +112,8 @@
     route::Route& out = *host.add_routes();
     out.set_name(request_class.name);
     out.mutable_match()->set_path(request_class.path);
-    set_action(out, request_class, cluster_of_group(request_class.name));
-    refers_.insert(cluster_of_group(request_class.name));
+    set_action(out, request_class, request_class_cluster_name(request_class.name));
+    refers_.insert(request_class_cluster_name(request_class.name));
     if (request_class.idempotency != Idempotency::kNone) return;
     // How much is let through comes by runtime layer, so that a change of it touches no route.
     core::RuntimeFractionalPercent& fraction = *out.mutable_match()->mutable_runtime_fraction();
@@ -142,7 +142,7 @@
       auto& pattern =
           *header.mutable_safe_regex_match();  // older than string_match, and known to more clients
       pattern.mutable_google_re2();
-      pattern.set_regex(pattern_of(shards, from_.shard_digits));
+      pattern.set_regex(shard_key_pattern(shards, from_.shard_digits));
       set_action(out, request_class, cluster_of_node(node.name));
       refers_.insert(cluster_of_node(node.name));
     }
--- a/src/xds/serialise.cpp
+++ b/src/xds/serialise.cpp
@@ -40,28 +40,28 @@
 
 }  // namespace
 
-ResourcePtr make_resource(Type type, const std::string& name, const Message& message,
-                          std::vector<std::string> refers) {
+ResourcePtr make_resource(ResourceType type, const std::string& name, const Message& message,
+                          std::vector<std::string> references) {
   std::string bytes = serialised(message);
   auto made = std::make_shared<Resource>();
   made->name = name;
   made->version = hex(XXH3_64bits(bytes.data(), bytes.size()));
-  made->refers = std::move(refers);
+  made->references = std::move(references);
   google::protobuf::Any any;
-  any.set_type_url(url_of(type));
+  any.set_type_url(type_url_of(type));
   any.set_value(std::move(bytes));
   std::string packed = serialised(any);
-  made->plain = field(discovery::DiscoveryResponse::kResourcesFieldNumber, packed);
-  std::string wrapped = field(discovery::Resource::kVersionFieldNumber, made->version) +
-                        field(discovery::Resource::kResourceFieldNumber, packed) +
-                        field(discovery::Resource::kNameFieldNumber, name);
-  made->wrapped = field(discovery::DeltaDiscoveryResponse::kResourcesFieldNumber, wrapped);
+  made->sotw_encoding = field(discovery::DiscoveryResponse::kResourcesFieldNumber, packed);
+  std::string delta_encoding = field(discovery::Resource::kVersionFieldNumber, made->version) +
+                               field(discovery::Resource::kResourceFieldNumber, packed) +
+                               field(discovery::Resource::kNameFieldNumber, name);
+  made->delta_encoding = field(discovery::DeltaDiscoveryResponse::kResourcesFieldNumber, delta_encoding);
   return made;
 }
 
 bool parse_back(const Resource& resource, Message& out) {
   discovery::DiscoveryResponse response;
-  return response.ParseFromString(resource.plain) && response.resources_size() == 1 &&
+  return response.ParseFromString(resource.sotw_encoding) && response.resources_size() == 1 &&
          out.ParseFromString(response.resources(0).value());
 }
 
--- a/src/xds/serialise.h
+++ b/src/xds/serialise.h
@@ -8,8 +8,8 @@
 namespace myrtlecroft::xds {
 
 // Equal messages have equal bytes, and so equal versions.
-ResourcePtr make_resource(Type type, const std::string& name, const google::protobuf::Message& message,
-                          std::vector<std::string> refers);
+ResourcePtr make_resource(ResourceType type, const std::string& name,
+                          const google::protobuf::Message& message, std::vector<std::string> references);
 
 // The message inside what was serialised for the wire. False where it can't be read.
 bool parse_back(const Resource& resource, google::protobuf::Message& out);
--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -12,14 +12,18 @@
 constexpr std::size_t kLongestReason = 500;  // of a refusal, as kept and shown
 
 // Types whose answers tell by absence that something is gone (the specification, "State of the World").
-bool told_whole(Type type) { return type == Type::kClusters || type == Type::kListeners; }
+bool told_whole(ResourceType type) {
+  return type == ResourceType::kClusters || type == ResourceType::kListeners;
+}
 
 // Types of which something may stay for a while after it has left the set.
-bool may_linger(Type type) { return type == Type::kClusters || type == Type::kEndpoints; }
+bool may_linger(ResourceType type) {
+  return type == ResourceType::kClusters || type == ResourceType::kEndpoints;
+}
 
 }  // namespace
 
-const char* name_of(Fault fault) {
+const char* name_of(StreamError fault) {
   constexpr const char* names[] = {"none", "too many names", "too many requests"};
   return names[static_cast<std::size_t>(fault)];
 }
@@ -28,33 +32,33 @@
   return wildcard || std::binary_search(names.begin(), names.end(), name);
 }
 
-bool Session::Subscription::has_any(Type type, const std::string& name) const {
+bool Session::Subscription::has_any(ResourceType type, const std::string& name) const {
   if (auto other = differs.find(name); other != differs.end()) return !other->second.version.empty();
   return base && base->of(type).contains(name);
 }
 
-ResourcePtr Session::find(const ResourceSet* set, Type type, const std::string& name) const {
+ResourcePtr Session::find(const ResourceSet* set, ResourceType type, const std::string& name) const {
   if (!set) return nullptr;
   auto found = set->of(type).find(name);
   return found == set->of(type).end() ? nullptr : resolved(found->second, caller_);
 }
 
-Session::Has Session::has(Type type, const std::string& name) const {
+Session::Has Session::has(ResourceType type, const std::string& name) const {
   const Subscription& state = of(type);
   if (auto other = state.differs.find(name); other != state.differs.end()) return other->second;
   ResourcePtr resource = find(state.base.get(), type, name);
   return resource ? Has{resource->version, resource} : Has{};
 }
 
-bool Session::has_version(Type type, const Resource& resource) const {
+bool Session::has_version(ResourceType type, const Resource& resource) const {
   return has(type, resource.name).version == resource.version;
 }
 
 // ---- What the proxy says
 
-Fault Session::request(const Request& request, Nanos now) {
+StreamError Session::request(const Request& request, Nanos now) {
   requests_.add(1, now);
-  if (requests_.read(now) > kMaxRequests) return Fault::kTooManyRequests;
+  if (requests_.read(now) > kMaxRequests) return StreamError::kTooManyRequests;
   auto too_long = [](const auto& names) {
     return std::any_of(names.begin(), names.end(),
                        [](const auto& name) { return name.size() > kLongestName; });
@@ -62,11 +66,11 @@
   Subscription& state = of(request.type);
   if (request.names.size() > kMaxNames || too_long(request.names) || too_long(request.subscribe) ||
       state.names.size() + request.subscribe.size() > kMaxNames || request.has.size() > kMaxNames) {
-    return Fault::kTooManyNames;
+    return StreamError::kTooManyNames;
   }
   handle(state, request);
   applied();
-  return Fault::kNone;
+  return StreamError::kNone;
 }
 
 void Session::offer(std::shared_ptr<const ResourceSet> set) {
@@ -92,28 +96,29 @@
   bool first = !std::exchange(state.subscribed, true);
   bool current = state.pending && request.nonce == state.pending->nonce;
   bool last = !state.pending && request.nonce == std::to_string(state.answers);
-  if (!first && !current && !last && !request.nonce.empty() && form_ == Form::kStateOfTheWorld) return;
+  if (!first && !current && !last && !request.nonce.empty() && form_ == ProtocolVariant::kStateOfTheWorld)
+    return;
   if (current && request.error) refuse(state, request.type, *request.error);
   if (current && !request.error) accept(state, request.type);
   subscribe(state, request, first);
 }
 
-void Session::accept(Subscription& state, Type type) {
+void Session::accept(Subscription& state, ResourceType type) {
   ++acks_;
-  routes_once_ = routes_once_ || (type == Type::kRoutes && !state.pending->resources.empty());
+  routes_once_ = routes_once_ || (type == ResourceType::kRoutes && !state.pending->resources.empty());
   for (ResourcePtr& resource : state.pending->resources) {
     auto refused = state.refused.find(resource->name);
     ResourcePtr now = refused == state.refused.end() ? nullptr : find(target_.get(), type, resource->name);
     bool stand_in = now && now->version == refused->second.first;
     if (refused != state.refused.end() && !stand_in) state.refused.erase(refused);
-    if (type == Type::kClusters && !has_version(type, *resource)) {
+    if (type == ResourceType::kClusters && !has_version(type, *resource)) {
       forget_endpoints(resource->name);
     }
     state.differs[resource->name] = {resource->version, resource};
   }
   for (const std::string& name : state.pending->removed) {
     state.differs[name] = {};
-    if (type == Type::kClusters) forget_endpoints(name);
+    if (type == ResourceType::kClusters) forget_endpoints(name);
   }
   state.pending.reset();
   if (state.synced == target_->number && state.unanswered.empty() && !state.must_answer)
@@ -123,7 +128,7 @@
 // A proxy that replaces a cluster, or lets it go, lets go of its endpoints too, and waits to be told them
 // anew.
 void Session::forget_endpoints(const std::string& cluster) {
-  Subscription& endpoints = of(Type::kEndpoints);
+  Subscription& endpoints = of(ResourceType::kEndpoints);
   if (!endpoints.wants(cluster)) return;
   endpoints.differs[cluster] = {};
   endpoints.synced = 0;
@@ -131,7 +136,7 @@
 
 // An answer is refused whole. What the proxy names in its reason is held back until its content changes, and
 // the rest is sent again; where it names nothing, all that was new in the answer is held back.
-void Session::refuse(Subscription& state, Type type, const std::string& reason) {
+void Session::refuse(Subscription& state, ResourceType type, const std::string& reason) {
   ++nacks_;
   std::vector<ResourcePtr> suspects;
   std::vector<ResourcePtr> named;
@@ -157,10 +162,11 @@
 
 void Session::subscribe(Subscription& state, const Request& request, bool first) {
   // The usual acknowledgement says the same names again, in the same order.
-  if (!first && form_ == Form::kStateOfTheWorld && !state.wildcard && request.names == state.names) return;
+  if (!first && form_ == ProtocolVariant::kStateOfTheWorld && !state.wildcard && request.names == state.names)
+    return;
   std::vector<std::string> names;
   bool all = state.wildcard;
-  if (form_ == Form::kStateOfTheWorld) {
+  if (form_ == ProtocolVariant::kStateOfTheWorld) {
     names = request.names;
     all = std::erase(names, "*") > 0 ||
           (told_whole(request.type) && names.empty() && (first || state.wildcard));
@@ -184,7 +190,7 @@
     if (state.wants(name) || (first && request.has.contains(name))) continue;
     state.differs[name] = {};
     state.must_answer = true;
-    if (form_ == Form::kDelta) state.unanswered.insert(name);
+    if (form_ == ProtocolVariant::kDelta) state.unanswered.insert(name);
   }
   for (const std::string& name : request.subscribe) {
     if (first || name == "*" || !state.wants(name)) continue;
@@ -204,54 +210,56 @@
 
 // A proxy that asks for all clusters may have routes from before this stream, and has not yet asked for them.
 bool Session::routes_settled() const {
-  const Subscription& state = of(Type::kRoutes);
-  if (!state.subscribed) return !of(Type::kClusters).wildcard;
+  const Subscription& state = of(ResourceType::kRoutes);
+  if (!state.subscribed) return !of(ResourceType::kClusters).wildcard;
   if (state.pending) return false;
-  const Resources& now = target_->of(Type::kRoutes);
+  const Resources& now = target_->of(ResourceType::kRoutes);
   if (state.wildcard) {
     return std::all_of(now.begin(), now.end(),
-                       [&](const auto& one) { return has_version(Type::kRoutes, *one.second); });
+                       [&](const auto& one) { return has_version(ResourceType::kRoutes, *one.second); });
   }
   return std::all_of(state.names.begin(), state.names.end(), [&](const std::string& name) {
     auto found = now.find(name);
-    return found == now.end() || has_version(Type::kRoutes, *found->second);
+    return found == now.end() || has_version(ResourceType::kRoutes, *found->second);
   });
 }
 
 // Whether the proxy has accepted every cluster that the routes refer to, with its endpoints. One that asks
 // for clusters by name does so after it has read the routes, and sees to the order itself.
 bool Session::usable(const Resource& routes) const {
-  const Subscription& clusters = of(Type::kClusters);
-  const Subscription& endpoints = of(Type::kEndpoints);
+  const Subscription& clusters = of(ResourceType::kClusters);
+  const Subscription& endpoints = of(ResourceType::kEndpoints);
   if (!clusters.subscribed || !clusters.wildcard) return true;
   auto goes = [](const Subscription& of, const std::string& name) {
     return of.pending && std::find(of.pending->removed.begin(), of.pending->removed.end(), name) !=
                              of.pending->removed.end();
   };
-  return std::all_of(routes.refers.begin(), routes.refers.end(), [&](const std::string& name) {
-    return !goes(clusters, name) && !goes(endpoints, name) && clusters.has_any(Type::kClusters, name) &&
-           (!endpoints.subscribed || (endpoints.wants(name) && endpoints.has_any(Type::kEndpoints, name)));
+  return std::all_of(routes.references.begin(), routes.references.end(), [&](const std::string& name) {
+    return !goes(clusters, name) && !goes(endpoints, name) &&
+           clusters.has_any(ResourceType::kClusters, name) &&
+           (!endpoints.subscribed ||
+            (endpoints.wants(name) && endpoints.has_any(ResourceType::kEndpoints, name)));
   });
 }
 
 // Endpoints go after their cluster.
 bool Session::has_cluster(const std::string& name) const {
-  const Subscription& clusters = of(Type::kClusters);
-  return clusters.wildcard && clusters.has_any(Type::kClusters, name);
+  const Subscription& clusters = of(ResourceType::kClusters);
+  return clusters.wildcard && clusters.has_any(ResourceType::kClusters, name);
 }
 
 // The proxy has the set before this one whole, and nothing stands in the way of what is new in it: there is
 // no need to look at the rest.
-bool Session::only_news(Type type, const Subscription& state) const {
+bool Session::only_news(ResourceType type, const Subscription& state) const {
   return target_->before != 0 && state.synced == target_->before && state.refused.empty() &&
-         state.unanswered.empty() && !state.must_answer && type != Type::kRoutes &&
-         !target_->fewer[static_cast<std::size_t>(type)];
+         state.unanswered.empty() && !state.must_answer && type != ResourceType::kRoutes &&
+         !target_->has_removals[static_cast<std::size_t>(type)];
 }
 
 // What changed since the set before, and the caller asks for; whichever list is shorter is gone through.
 // Changes stand in the order of their names.
 template <class Visit>
-void Session::for_each_wanted_change(Type type, const Subscription& state, Visit visit) const {
+void Session::for_each_wanted_change(ResourceType type, const Subscription& state, Visit visit) const {
   const std::vector<ResourcePtr>& changed = target_->changed[static_cast<std::size_t>(type)];
   if (state.wildcard || changed.size() < state.names.size()) {
     for (const ResourcePtr& one : changed) {
@@ -269,7 +277,7 @@
 // The names of an earlier set that the caller has and wants. One that asks by name has no others: with
 // thousands of services a look through all of them for each caller would hold every change up by seconds.
 template <class Visit>
-void Session::for_each_in_base(Type type, const Subscription& state, Visit visit) const {
+void Session::for_each_in_base(ResourceType type, const Subscription& state, Visit visit) const {
   if (!state.base || state.base == target_) return;
   const Resources& base = state.base->of(type);
   if (state.wildcard) {
@@ -281,11 +289,11 @@
   }
 }
 
-Session::Plan Session::plan(Type type, const Subscription& state) const {
+Session::Plan Session::plan(ResourceType type, const Subscription& state) const {
   Plan out;
   const Resources& all = target_->of(type);
   const bool news = only_news(type, state);
-  const bool whole = form_ == Form::kStateOfTheWorld && told_whole(type);
+  const bool whole = form_ == ProtocolVariant::kStateOfTheWorld && told_whole(type);
   if (news) {
     for_each_wanted_change(type, state, [&](const ResourcePtr& changed) {
       // Of a service with subsets another one may have changed than this caller's.
@@ -298,7 +306,7 @@
     ResourcePtr resource = resolved(in_set, caller_);
     auto refused = state.refused.find(name);
     bool held_back = refused != state.refused.end() && refused->second.first == resource->version;
-    bool too_early = type == Type::kRoutes && !usable(*resource);
+    bool too_early = type == ResourceType::kRoutes && !usable(*resource);
     if (too_early) out.complete = false;
     if (held_back || too_early) resource = has(type, name).resource;
     if (!resource) return;
@@ -326,7 +334,7 @@
     if (all.contains(name) || !state.wants(name)) return;
     Has had = has(type, name);
     if (had.version.empty()) return;
-    if (!lingers && !(type == Type::kEndpoints && has_cluster(name))) {
+    if (!lingers && !(type == ResourceType::kEndpoints && has_cluster(name))) {
       out.gone.push_back(name);
       return;
     }
@@ -344,7 +352,7 @@
 
 std::optional<Response> Session::next() {
   if (!target_) return std::nullopt;
-  for (Type type : kAllTypes) {
+  for (ResourceType type : kAllTypes) {
     Subscription& state = of(type);
     if (!state.subscribed || state.pending) continue;
     if (auto response = answer(type, state)) return response;
@@ -353,7 +361,7 @@
 }
 
 // With nothing out and nothing to say, what the proxy has is the set itself but for what it refused.
-void Session::settle(Type type, Subscription& state, bool complete) {
+void Session::settle(ResourceType type, Subscription& state, bool complete) {
   state.synced = complete ? target_->number : 0;
   if (!complete || !state.refused.empty()) return;
   std::erase_if(state.differs, [&](const auto& one) {
@@ -365,15 +373,15 @@
 
 // Endpoints, routes and runtime layers stay until something else is said of them, so only what changed goes
 // out in either form; clusters and listeners are told whole in the older one.
-std::optional<Response> Session::answer(Type type, Subscription& state) {
+std::optional<Response> Session::answer(ResourceType type, Subscription& state) {
   if (state.synced == target_->number && state.unanswered.empty() && !state.must_answer) return std::nullopt;
   Plan plan = this->plan(type, state);
-  const bool whole = form_ == Form::kStateOfTheWorld && told_whole(type);
+  const bool whole = form_ == ProtocolVariant::kStateOfTheWorld && told_whole(type);
   for (const std::string& name : std::exchange(state.unanswered, {})) {
     if (!target_->of(type).contains(name)) plan.gone.push_back(name);
   }
   bool owed = std::exchange(state.must_answer, false) && whole;
-  bool silent = form_ == Form::kStateOfTheWorld && !whole;  // no way to say that something is gone
+  bool silent = form_ == ProtocolVariant::kStateOfTheWorld && !whole;  // no way to say that something is gone
   if (plan.changed.empty() && !owed && (plan.gone.empty() || silent)) {
     for (const std::string& name : plan.gone) state.differs[name] = {};
     settle(type, state, plan.complete);
@@ -386,7 +394,7 @@
   if (!state.refused.empty()) response.version += "-held-" + std::to_string(state.refused.size());
   response.nonce = std::to_string(++state.answers);
   response.resources = whole ? std::move(plan.whole) : std::move(plan.changed);
-  if (form_ == Form::kDelta) response.removed = plan.gone;
+  if (form_ == ProtocolVariant::kDelta) response.removed = plan.gone;
   state.pending = Pending{response.nonce, response.resources, std::move(plan.gone)};
   return response;
 }
@@ -395,7 +403,7 @@
 
 std::uint64_t Session::applied() {
   if (!target_ || !routes()) return 0;
-  for (Type type : {Type::kRoutes, Type::kClusters, Type::kEndpoints}) {
+  for (ResourceType type : {ResourceType::kRoutes, ResourceType::kClusters, ResourceType::kEndpoints}) {
     const Subscription& state = of(type);
     if (!state.subscribed) continue;
     if (state.pending || !state.refused.empty() || state.synced != target_->number) return applied_;
@@ -403,9 +411,9 @@
   return applied_ = target_->number;
 }
 
-std::vector<Refusal> Session::refusals() const {
-  std::vector<Refusal> out;
-  for (Type type : kAllTypes) {
+std::vector<RejectedResource> Session::rejected_resources() const {
+  std::vector<RejectedResource> out;
+  for (ResourceType type : kAllTypes) {
     for (const auto& [name, refused] : of(type).refused) {
       out.push_back({type, name, refused.first, refused.second});
     }
--- a/src/xds/session.h
+++ b/src/xds/session.h
@@ -17,11 +17,11 @@
 
 namespace myrtlecroft::xds {
 
-enum class Form { kStateOfTheWorld, kDelta };
+enum class ProtocolVariant { kStateOfTheWorld, kDelta };
 
 // A request in either form, as it was read.
 struct Request {
-  Type type = Type::kClusters;
+  ResourceType type = ResourceType::kClusters;
   std::string nonce;
   std::optional<std::string> error;  // the proxy refuses the answer with this nonce
   // State of the world: all names that are wanted.
@@ -33,7 +33,7 @@
 };
 
 struct Response {
-  Type type = Type::kClusters;
+  ResourceType type = ResourceType::kClusters;
   std::string version;
   std::string nonce;
   std::vector<ResourcePtr> resources;
@@ -41,11 +41,11 @@
 };
 
 // Why a stream is ended by us.
-enum class Fault { kNone, kTooManyNames, kTooManyRequests };
-const char* name_of(Fault fault);
+enum class StreamError { kNone, kTooManyNames, kTooManyRequests };
+const char* name_of(StreamError fault);
 
-struct Refusal {
-  Type type;
+struct RejectedResource {
+  ResourceType type;
   std::string resource;
   std::string version;
   std::string reason;
@@ -53,24 +53,24 @@
 
 class Session {
  public:
-  explicit Session(Form form) : form_(form) {}
+  explicit Session(ProtocolVariant variant) : form_(variant) {}
 
   // Who is served: it decides which subsets of services it is told of. Before the first set is offered.
   void set_caller(const Caller& caller) { caller_ = caller; }
   // A newer set. The one before is let go of as soon as nothing of it is needed.
   void offer(std::shared_ptr<const ResourceSet> set);
-  Fault request(const Request& request, Nanos now);
+  StreamError request(const Request& request, Nanos now);
   // What should be written next; nothing where the proxy must answer first, or has all there is.
   std::optional<Response> next();
 
   // The publication that the proxy has applied whole; 0 = none yet.
   std::uint64_t applied();
   // It has asked for routes, so that it may send requests.
-  bool routes() const { return of(Type::kRoutes).subscribed; }
-  std::vector<Refusal> refusals() const;
+  bool routes() const { return of(ResourceType::kRoutes).subscribed; }
+  std::vector<RejectedResource> rejected_resources() const;
   std::uint64_t acks() const { return acks_; }
   std::uint64_t nacks() const { return nacks_; }
-  Form form() const { return form_; }
+  ProtocolVariant variant() const { return form_; }
 
  private:
   // What the proxy has under a name.
@@ -98,7 +98,7 @@
     std::map<std::string, std::pair<std::string, std::string>> refused;  // name -> version, reason
 
     bool wants(const std::string& name) const;
-    bool has_any(Type type, const std::string& name) const;
+    bool has_any(ResourceType type, const std::string& name) const;
   };
   // What should go out of one type, were it told now.
   struct Plan {
@@ -108,34 +108,34 @@
     bool complete = true;  // nothing is held back for the sake of order
   };
 
-  Subscription& of(Type type) { return subscriptions_[static_cast<std::size_t>(type)]; }
-  const Subscription& of(Type type) const { return subscriptions_[static_cast<std::size_t>(type)]; }
+  Subscription& of(ResourceType type) { return subscriptions_[static_cast<std::size_t>(type)]; }
+  const Subscription& of(ResourceType type) const { return subscriptions_[static_cast<std::size_t>(type)]; }
 
   // What this caller is told of a set under a name; null where there is nothing.
-  ResourcePtr find(const ResourceSet* set, Type type, const std::string& name) const;
-  Has has(Type type, const std::string& name) const;
-  bool has_version(Type type, const Resource& resource) const;
+  ResourcePtr find(const ResourceSet* set, ResourceType type, const std::string& name) const;
+  Has has(ResourceType type, const std::string& name) const;
+  bool has_version(ResourceType type, const Resource& resource) const;
 
   void handle(Subscription& state, const Request& request);
-  void accept(Subscription& state, Type type);
+  void accept(Subscription& state, ResourceType type);
   void forget_endpoints(const std::string& cluster);
-  void refuse(Subscription& state, Type type, const std::string& reason);
+  void refuse(Subscription& state, ResourceType type, const std::string& reason);
   void subscribe(Subscription& state, const Request& request, bool first);
   static void drop(Subscription& state, const std::string& name);
 
   bool usable(const Resource& routes) const;
   bool routes_settled() const;
   bool has_cluster(const std::string& name) const;
-  bool only_news(Type type, const Subscription& state) const;
-  Plan plan(Type type, const Subscription& state) const;
+  bool only_news(ResourceType type, const Subscription& state) const;
+  Plan plan(ResourceType type, const Subscription& state) const;
   template <class Visit>
-  void for_each_wanted_change(Type type, const Subscription& state, Visit visit) const;
+  void for_each_wanted_change(ResourceType type, const Subscription& state, Visit visit) const;
   template <class Visit>
-  void for_each_in_base(Type type, const Subscription& state, Visit visit) const;
-  std::optional<Response> answer(Type type, Subscription& state);
-  void settle(Type type, Subscription& state, bool complete);
+  void for_each_in_base(ResourceType type, const Subscription& state, Visit visit) const;
+  std::optional<Response> answer(ResourceType type, Subscription& state);
+  void settle(ResourceType type, Subscription& state, bool complete);
 
-  Form form_;
+  ProtocolVariant form_;
   Caller caller_;
   std::shared_ptr<const ResourceSet> target_;
   std::array<Subscription, kTypes> subscriptions_;
--- a/src/xds/session_table.cpp
+++ b/src/xds/session_table.cpp
@@ -14,8 +14,9 @@
 
 }  // namespace
 
-StreamId SessionTable::open(Form form, std::string peer) {
-  streams_.emplace(++last_, Stream{.session = Session(form), .id = "", .zone = "", .peer = std::move(peer)});
+StreamId SessionTable::open(ProtocolVariant variant, std::string peer) {
+  streams_.emplace(++last_,
+                   Stream{.session = Session(variant), .id = "", .zone = "", .peer = std::move(peer)});
   return last_;
 }
 
@@ -24,7 +25,7 @@
   for (auto& [id, stream] : streams_) offer_through_gate(stream, now);
 }
 
-bool SessionTable::gate_stays(Nanos fresh_until, std::shared_ptr<const ResourceSet> closed, Nanos now) {
+bool SessionTable::extend_gate(Nanos fresh_until, std::shared_ptr<const ResourceSet> closed, Nanos now) {
   if (!gate_) return false;
   gate_->fresh_until = fresh_until;
   gate_->closed = std::move(closed);
@@ -115,14 +116,14 @@
   }
 }
 
-Fault SessionTable::request(StreamId id, const std::string& node, const std::string& zone,
-                            const Request& request, Nanos now) {
+StreamError SessionTable::request(StreamId id, const std::string& node, const std::string& zone,
+                                  const Request& request, Nanos now) {
   Stream& stream = streams_.at(id);
   if (stream.id.empty() && !node.empty()) name(stream, node, zone);
   stream.asked = true;
   offer(stream, now);
   std::uint64_t refused = stream.session.nacks();
-  Fault fault = stream.session.request(request, now);
+  StreamError fault = stream.session.request(request, now);
   if (stream.session.nacks() > refused) {
     log_("proxy " + stream.id + " refuses " + name_of(request.type) + ": " +
          request.error.value_or("").substr(0, 300));
@@ -135,7 +136,7 @@
   return found == streams_.end() ? std::nullopt : found->second.session.next();
 }
 
-void SessionTable::remember(const std::vector<std::string>& ids, Nanos now) {
+void SessionTable::restore_proxies(const std::vector<std::string>& ids, Nanos now) {
   for (const std::string& id : ids) add_gone({id, 0, now, last_});
 }
 
@@ -176,8 +177,9 @@
 std::vector<ProxyView> SessionTable::view() {
   std::vector<ProxyView> out;
   for (auto& [id, stream] : streams_) {
-    out.push_back({id, stream.id, stream.zone, stream.peer, stream.session.form(), stream.session.applied(),
-                   stream.session.acks(), stream.session.nacks(), stream.session.refusals()});
+    out.push_back({id, stream.id, stream.zone, stream.peer, stream.session.variant(),
+                   stream.session.applied(), stream.session.acks(), stream.session.nacks(),
+                   stream.session.rejected_resources()});
   }
   return out;
 }
--- a/src/xds/session_table.h
+++ b/src/xds/session_table.h
@@ -18,11 +18,11 @@
   std::string id;
   std::string zone;
   std::string peer;
-  Form form = Form::kStateOfTheWorld;
+  ProtocolVariant variant = ProtocolVariant::kStateOfTheWorld;
   std::uint64_t applied = 0;
   std::uint64_t acks = 0;
   std::uint64_t nacks = 0;
-  std::vector<Refusal> refusals;
+  std::vector<RejectedResource> rejected_resources;
 };
 
 class SessionTable {
@@ -30,7 +30,7 @@
   using Log = std::function<void(const std::string&)>;
   explicit SessionTable(Log log) : log_(std::move(log)) {}
 
-  StreamId open(Form form, std::string peer);
+  StreamId open(ProtocolVariant variant, std::string peer);
   void close(StreamId stream, Nanos now);
   // From now on this set is what proxies get.
   void publish(std::shared_ptr<const ResourceSet> set);
@@ -45,14 +45,14 @@
   };
   void gate(Gate gate, Nanos now);
   // The same proxies as in the last gate. True where a stream was offered something.
-  bool gate_stays(Nanos fresh_until, std::shared_ptr<const ResourceSet> closed, Nanos now);
+  bool extend_gate(Nanos fresh_until, std::shared_ptr<const ResourceSet> closed, Nanos now);
   // The server is named in the first request of a stream, and may be left out of the others.
-  Fault request(StreamId stream, const std::string& id, const std::string& zone, const Request& request,
-                Nanos now);
+  StreamError request(StreamId stream, const std::string& id, const std::string& zone, const Request& request,
+                      Nanos now);
   std::optional<Response> next(StreamId stream);
 
   // Proxies that were there before a restart.
-  void remember(const std::vector<std::string>& ids, Nanos now);
+  void restore_proxies(const std::vector<std::string>& ids, Nanos now);
   // Those that must be remembered over one: there now, or gone not long ago.
   std::vector<std::string> known() const;
   // The publication that every proxy which may send has applied. A proxy that is gone may send by the last
--- a/src/xds/subset_resources.cpp
+++ b/src/xds/subset_resources.cpp
@@ -11,7 +11,7 @@
 
 SubsetResources::SubsetResources(const routing::RequestClassRoute& request_class, PlacementPtr placement,
                                  const SubsetResources* before)
-    : cluster_(cluster_of_group(request_class.name)),
+    : cluster_(request_class_cluster_name(request_class.name)),
       service_(routing::service_key(request_class.name)),
       dropped_(dropped_of(request_class)),
       placement_(std::move(placement)),
@@ -29,14 +29,14 @@
   std::lock_guard lock(mutex_);
   ResourcePtr& made = made_[subset];
   if (!made) {
-    made = make_resource(Type::kEndpoints, cluster_,
+    made = make_resource(ResourceType::kEndpoints, cluster_,
                          service_endpoints(cluster_, *placement_->serving[subset], dropped_), {});
   }
   return made;
 }
 
 ResourcePtr SubsetResources::of(const Caller& caller) const {
-  return at(placement_->subsets->of_caller(caller.key, service_));
+  return at(placement_->subsets->subset_of_caller(caller.key, service_));
 }
 
 std::size_t SubsetResources::made() const {
@@ -56,7 +56,7 @@
   std::string content =
       request_class.name + ' ' + hex(placement->digest) + ' ' + std::to_string(dropped_of(request_class));
   auto made = std::make_shared<Resource>();
-  made->name = cluster_of_group(request_class.name);
+  made->name = request_class_cluster_name(request_class.name);
   made->version = hex(XXH3_64bits(content.data(), content.size()));
   made->subsets = std::make_shared<const SubsetResources>(request_class, placement,
                                                           before ? before->subsets.get() : nullptr);
--- a/src/xds/wire.cpp
+++ b/src/xds/wire.cpp
@@ -8,7 +8,7 @@
 namespace discovery = envoy::service::discovery::v3;
 
 template <class Message>
-bool read_common(const Message& message, ReadRequest& out) {
+bool read_common(const Message& message, ParsedRequest& out) {
   out.node = message.node().id();
   out.zone = message.node().locality().zone();
   auto type = type_of(message.type_url());
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-bool read_request(Form form, const void* bytes, std::size_t size, ReadRequest& out) {
-  if (form == Form::kStateOfTheWorld) {
+bool read_request(ProtocolVariant variant, const void* bytes, std::size_t size, ParsedRequest& out) {
+  if (variant == ProtocolVariant::kStateOfTheWorld) {
     discovery::DiscoveryRequest message;
     if (!message.ParseFromArray(bytes, static_cast<int>(size))) return false;
     if (!read_common(message, out)) return true;
@@ -42,17 +42,17 @@
   return true;
 }
 
-std::string head_of(const Response& response, Form form) {
-  if (form == Form::kStateOfTheWorld) {
+std::string encode_response_header(const Response& response, ProtocolVariant variant) {
+  if (variant == ProtocolVariant::kStateOfTheWorld) {
     discovery::DiscoveryResponse out;
     out.set_version_info(response.version);
-    out.set_type_url(url_of(response.type));
+    out.set_type_url(type_url_of(response.type));
     out.set_nonce(response.nonce);
     return out.SerializeAsString();
   }
   discovery::DeltaDiscoveryResponse out;
   out.set_system_version_info(response.version);
-  out.set_type_url(url_of(response.type));
+  out.set_type_url(type_url_of(response.type));
   out.set_nonce(response.nonce);
   for (const std::string& name : response.removed) out.add_removed_resources(name);
   return out.SerializeAsString();
--- a/src/xds/wire.h
+++ b/src/xds/wire.h
@@ -5,20 +5,20 @@
 
 namespace myrtlecroft::xds {
 
-struct ReadRequest {
+struct ParsedRequest {
   std::string node;  // empty where the request does not name it
   std::string zone;
   std::optional<Request> request;  // none where the type is not served
 };
 
 // False where the bytes are no such message.
-bool read_request(Form form, const void* bytes, std::size_t size, ReadRequest& out);
+bool read_request(ProtocolVariant variant, const void* bytes, std::size_t size, ParsedRequest& out);
 
 // All of a response but its resources, which are serialised already and go after it as they are.
-std::string head_of(const Response& response, Form form);
+std::string encode_response_header(const Response& response, ProtocolVariant variant);
 // A resource as a field of such a response.
-inline const std::string& body_of(const Resource& resource, Form form) {
-  return form == Form::kDelta ? resource.wrapped : resource.plain;
+inline const std::string& encoded_resource(const Resource& resource, ProtocolVariant variant) {
+  return variant == ProtocolVariant::kDelta ? resource.delta_encoding : resource.sotw_encoding;
 }
 
 }  // namespace myrtlecroft::xds
--- a/standin/ads_client.cpp
+++ b/standin/ads_client.cpp
@@ -26,7 +26,7 @@
   return out->ParseFromString(bytes) ? out : nullptr;
 }
 
-BodyCache::Body body_of(const std::string& type, const std::string& bytes) {
+ParsedResourceCache::Body body_of(const std::string& type, const std::string& bytes) {
   if (type == kClusters) {
     if (auto body = parsed<AppliedSet::Cluster>(bytes)) return {body->name(), body, {}};
   } else if (type == kEndpoints) {
@@ -39,7 +39,7 @@
     }
   } else if (type == kRoutes) {
     if (auto body = parsed<AppliedSet::Routes>(bytes)) {
-      BodyCache::Body out{body->name(), body, {}};
+      ParsedResourceCache::Body out{body->name(), body, {}};
       for (const auto& host : body->virtual_hosts()) {
         for (const auto& route : host.routes()) {
           if (route.has_route()) out.refers.insert(route.route().cluster());
@@ -54,13 +54,14 @@
 }
 
 template <class Message>
-std::shared_ptr<const Message> as(const BodyCache::Body& body) {
+std::shared_ptr<const Message> as(const ParsedResourceCache::Body& body) {
   return std::static_pointer_cast<const Message>(body.message);
 }
 
 }  // namespace
 
-std::shared_ptr<const BodyCache::Body> BodyCache::read(const std::string& type, const std::string& bytes) {
+std::shared_ptr<const ParsedResourceCache::Body> ParsedResourceCache::read(const std::string& type,
+                                                                           const std::string& bytes) {
   std::uint64_t hash = XXH3_64bits_withSeed(bytes.data(), bytes.size(), std::hash<std::string>()(type));
   std::lock_guard lock(mutex_);
   std::weak_ptr<const Body>& known = bodies_[hash];
@@ -70,7 +71,7 @@
   return body;
 }
 
-std::vector<std::string> AdsClient::connected() {
+std::vector<std::string> AdsClient::open_stream() {
   std::vector<std::string> out;
   for (const std::string& type : {kClusters, kEndpoints, kListeners, kRoutes, kRuntime}) {
     Kind& kind = kinds_[type];
@@ -112,7 +113,7 @@
   return fill(out);
 }
 
-std::vector<std::string> AdsClient::came(const std::string& bytes) {
+std::vector<std::string> AdsClient::handle_response(const std::string& bytes) {
   bytes_in_ += bytes.size();
   std::map<std::string, Held> resources;
   std::vector<std::string> removed;
--- a/standin/ads_client.h
+++ b/standin/ads_client.h
@@ -30,7 +30,7 @@
 
 // What was read from equal bytes, once for all the proxies of a process: a thousand of them must not cost a
 // thousand machines.
-class BodyCache {
+class ParsedResourceCache {
  public:
   struct Body {
     std::string name;
@@ -48,20 +48,20 @@
  public:
   // `services`: listeners that it asks for by name, and then only for what they refer to; none: all there
   // are.
-  AdsClient(bool delta, std::string id, std::string zone, std::shared_ptr<BodyCache> bodies = nullptr,
-            std::vector<std::string> services = {})
+  AdsClient(bool delta, std::string id, std::string zone,
+            std::shared_ptr<ParsedResourceCache> bodies = nullptr, std::vector<std::string> services = {})
       : delta_(delta),
         id_(std::move(id)),
         zone_(std::move(zone)),
-        bodies_(bodies ? std::move(bodies) : std::make_shared<BodyCache>()),
+        bodies_(bodies ? std::move(bodies) : std::make_shared<ParsedResourceCache>()),
         services_(std::move(services)) {}
 
   // A new stream: the requests that open it. What was applied stays.
-  std::vector<std::string> connected();
+  std::vector<std::string> open_stream();
   // A response as it came; the requests that follow from it.
-  std::vector<std::string> came(const std::string& bytes);
+  std::vector<std::string> handle_response(const std::string& bytes);
   // From now on refuses answers that hold a resource with this in its name; nothing: refuses none.
-  void refuse(std::optional<std::string> part) { refuses_ = std::move(part); }
+  void nack_matching(std::optional<std::string> part) { refuses_ = std::move(part); }
 
   const std::shared_ptr<const AppliedSet>& applied() const { return applied_; }
   // Times that routes came before what they refer to, or it went before they did.
@@ -73,7 +73,7 @@
  private:
   struct Held {
     std::string version;
-    std::shared_ptr<const BodyCache::Body> body;
+    std::shared_ptr<const ParsedResourceCache::Body> body;
   };
   struct Kind {
     std::map<std::string, Held> held;
@@ -94,7 +94,7 @@
   bool delta_;
   std::string id_;
   std::string zone_;
-  std::shared_ptr<BodyCache> bodies_;
+  std::shared_ptr<ParsedResourceCache> bodies_;
   std::vector<std::string> services_;
   std::map<std::string, Kind> kinds_;
   std::optional<std::string> refuses_;
--- a/standin/ads_link.cpp
+++ b/standin/ads_link.cpp
@@ -14,7 +14,7 @@
     context_.set_wait_for_ready(true);
     grpc::StubOptions options;
     link_.stub_->PrepareBidiStreamingCall(&context_, link_.method_, options, this);
-    for (std::string& bytes : link_.client_.connected()) queue_.push_back(std::move(bytes));
+    for (std::string& bytes : link_.client_.open_stream()) queue_.push_back(std::move(bytes));
     AddHold();
     StartRead(&in_);
     write_next();
@@ -41,7 +41,7 @@
         return;
       }
       auto before = link_.client_.applied();
-      for (std::string& reply : link_.client_.came(std::string(bytes.begin(), bytes.end()))) {
+      for (std::string& reply : link_.client_.handle_response(std::string(bytes.begin(), bytes.end()))) {
         queue_.push_back(std::move(reply));
       }
       write_next();
@@ -98,7 +98,8 @@
 };
 
 AdsLink::AdsLink(const std::string& target, bool delta, const std::string& id, Applied applied,
-                 std::shared_ptr<BodyCache> bodies, std::vector<std::string> services, int connect_within_ms)
+                 std::shared_ptr<ParsedResourceCache> bodies, std::vector<std::string> services,
+                 int connect_within_ms)
     : method_(std::string("/envoy.service.discovery.v3.AggregatedDiscoveryService/") +
               (delta ? "DeltaAggregatedResources" : "StreamAggregatedResources")),
       told_(std::move(applied)),
@@ -144,7 +145,7 @@
   open();
 }
 
-void AdsLink::cut() {
+void AdsLink::reset_stream() {
   std::lock_guard lock(mutex_);
   if (stream_) stream_->cancel();
 }
@@ -169,9 +170,9 @@
   return client_.bytes_in();
 }
 
-void AdsLink::refuse(std::optional<std::string> part) {
+void AdsLink::nack_matching(std::optional<std::string> part) {
   std::lock_guard lock(mutex_);
-  client_.refuse(std::move(part));
+  client_.nack_matching(std::move(part));
 }
 
 }  // namespace myrtlecroft::standin
--- a/standin/ads_link.h
+++ b/standin/ads_link.h
@@ -20,23 +20,23 @@
  public:
   // A connection that is not there by then is given up for another. Short, so that a caller soon leaves an
   // instance that hangs; with thousands of callers on one busy machine it would be a storm of connections.
-  static constexpr int kConnectWithinMs = 50;
+  static constexpr int kConnectTimeoutMs = 50;
   // Told after each change of what is applied, from a thread of gRPC's.
   using Applied = std::function<void(const AppliedSet&)>;
   AdsLink(const std::string& target, bool delta, const std::string& id, Applied applied = {},
-          std::shared_ptr<BodyCache> bodies = nullptr, std::vector<std::string> services = {},
-          int connect_within_ms = kConnectWithinMs);
+          std::shared_ptr<ParsedResourceCache> bodies = nullptr, std::vector<std::string> services = {},
+          int connect_within_ms = kConnectTimeoutMs);
   ~AdsLink();
 
   std::shared_ptr<const AppliedSet> applied() const;
   int half_applied() const;
   std::string half_applied_last() const;
   std::uint64_t bytes_in() const;
-  void refuse(std::optional<std::string> part);
+  void nack_matching(std::optional<std::string> part);
   // Reads nothing more from here on, and says so to nobody.
   void stop_reading() { reading_ = false; }
   // Cuts the stream; a new one follows by itself.
-  void cut();
+  void reset_stream();
   bool connected() const { return connected_; }
 
  private:
--- a/standin/cgi_client.h
+++ b/standin/cgi_client.h
@@ -10,13 +10,13 @@
 namespace myrtlecroft::standin {
 
 constexpr std::size_t kCgiHeader = 8;
-constexpr std::uint8_t kCgiEnd = 3;
-constexpr std::uint8_t kCgiOutput = 6;
-constexpr std::size_t kCgiStatus = 4;  // where an end's content says OVERLOADED, with 2
+constexpr std::uint8_t kFastCgiEndRequest = 3;
+constexpr std::uint8_t kFastCgiStdout = 6;
+constexpr std::size_t kFastCgiProtocolStatusOffset = 4;  // where an end's content says OVERLOADED, with 2
 
 // Tells type, request and content of every whole record, and says how many bytes they were.
 template <class Tell>
-std::size_t each_cgi_record(std::string_view bytes, Tell tell) {
+std::size_t for_each_fastcgi_record(std::string_view bytes, Tell tell) {
   std::size_t taken = 0;
   while (bytes.size() - taken >= kCgiHeader) {
     auto byte = [&](std::size_t at) { return static_cast<std::uint8_t>(bytes[taken + at]); };
@@ -32,7 +32,7 @@
   return taken;
 }
 
-struct CgiFields {
+struct FastCgiRequestFields {
   std::string path;
   std::uint64_t trace = 0;
   Nanos accepted_unix = 0;
@@ -57,7 +57,7 @@
 }
 
 // `id` is the request's on its connection, which stays open after it where `keep` says so.
-inline std::string cgi_request(const CgiFields& fields, int id = 1, bool keep = false) {
+inline std::string encode_fastcgi_request(const FastCgiRequestFields& fields, int id = 1, bool keep = false) {
   std::string pairs;
   auto add = [&](std::string_view name, std::string_view value) {  // both are shorter than 128
     pairs += static_cast<char>(name.size());
--- a/standin/child.h
+++ b/standin/child.h
@@ -17,12 +17,12 @@
 
 namespace myrtlecroft::standin {
 
-class Child {
+class ChildProcess {
  public:
-  Child() = default;
+  ChildProcess() = default;
   // Standard output and error go to `log`; `variables` are added to the environment.
-  Child(const std::vector<std::string>& command, const std::string& log,
-        const std::vector<std::pair<std::string, std::string>>& variables = {}) {
+  ChildProcess(const std::vector<std::string>& command, const std::string& log,
+               const std::vector<std::pair<std::string, std::string>>& variables = {}) {
     pid_ = ::fork();
     if (pid_ != 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // whoever started it may be killed
@@ -36,12 +36,12 @@
     ::execv(words[0], words.data());
     ::_exit(127);
   }
-  Child(Child&& other) noexcept : pid_(std::exchange(other.pid_, -1)), code_(other.code_) {}
-  Child& operator=(Child&& other) noexcept {
+  ChildProcess(ChildProcess&& other) noexcept : pid_(std::exchange(other.pid_, -1)), code_(other.code_) {}
+  ChildProcess& operator=(ChildProcess&& other) noexcept {
     if (this != &other) end(SIGKILL), pid_ = std::exchange(other.pid_, -1), code_ = other.code_;
     return *this;
   }
-  ~Child() { end(SIGKILL); }
+  ~ChildProcess() { end(SIGKILL); }
 
   void signal(int number) const {
     if (pid_ > 0) ::kill(pid_, number);
@@ -59,7 +59,7 @@
   }
   int pid() const { return pid_; }
   // It has ended by itself, or was killed by another: then there is no process any more.
-  bool is_over() {
+  bool has_exited() {
     if (pid_ <= 0) return true;
     int status = 0;
     if (::waitpid(pid_, &status, WNOHANG) == 0) return false;
@@ -67,7 +67,7 @@
     pid_ = -1;
     return true;
   }
-  int code() const { return code_; }  // of its exit, once is_over() has seen it; -1: killed
+  int code() const { return code_; }  // of its exit, once has_exited() has seen it; -1: killed
 
   // Memory in kB and CPU time in ms, so far.
   long resident_kb() const {
--- a/standin/control_fleet.cpp
+++ b/standin/control_fleet.cpp
@@ -9,11 +9,11 @@
 namespace myrtlecroft::standin {
 
 int free_port(std::set<int>& taken) {
-  constexpr int kFirst = 12'000;
+  constexpr int kFirstStart = 12'000;
   constexpr int kCount = 18'000;
   static std::mt19937 draws(static_cast<unsigned>(::getpid()));
   for (;;) {
-    int port = kFirst + static_cast<int>(draws() % kCount);
+    int port = kFirstStart + static_cast<int>(draws() % kCount);
     int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address = net::loopback(static_cast<std::uint16_t>(port));
     bool good = ::bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
@@ -22,15 +22,15 @@
   }
 }
 
-std::string on_loopback(int port) { return "127.0.0.1:" + std::to_string(port); }
+std::string loopback_address(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-ControlFleet::ControlFleet(ControlFleetOptions options, std::set<int>& taken)
+ControlCluster::ControlCluster(ControlClusterOptions options, std::set<int>& taken)
     : options_(std::move(options)), taken_(taken) {
   for (int i = 0; i < options_.instances; ++i) add();
 }
 
-int ControlFleet::add() {
-  Place place;
+int ControlCluster::add() {
+  ReplicaProcess place;
   for (int* port : {&place.xds, &place.reports, &place.admin, &place.peer}) *port = free_port(taken_);
   place.faults =
       std::make_unique<FaultFile>(options_.folder + "/faults" + std::to_string(places_.size() + 1));
@@ -38,44 +38,44 @@
   return size() - 1;
 }
 
-void ControlFleet::start(int at, Start how) {
-  Place& one = (*this)[at];
+void ControlCluster::start(int at, Start how) {
+  ReplicaProcess& one = (*this)[at];
   std::string id = std::to_string(at + 1);
   std::vector<std::string> command = {MYRTLECROFT_CONTROL,
                                       "serve",
                                       "--fleet",
                                       options_.fleet,
                                       "--xds",
-                                      on_loopback(one.xds),
+                                      loopback_address(one.xds),
                                       "--reports",
-                                      on_loopback(one.reports),
+                                      loopback_address(one.reports),
                                       "--admin",
-                                      on_loopback(one.admin)};
-  if (options_.agreed) {
-    command.insert(command.end(), {"--instance", id, "--peer", on_loopback(one.peer), "--log", state(at),
-                                   "--reach", one.reach});
+                                      loopback_address(one.admin)};
+  if (options_.replicated) {
+    command.insert(command.end(), {"--instance", id, "--peer", loopback_address(one.peer), "--log", state(at),
+                                   "--reach", one.address_overrides});
     std::string all;
     for (int k = 0; k < options_.instances; ++k)
-      all += (k ? "," : "") + std::to_string(k + 1) + "=" + on_loopback((*this)[k].peer);
-    if (how == Start::kFirst) command.insert(command.end(), {"--begin", all});
+      all += (k ? "," : "") + std::to_string(k + 1) + "=" + loopback_address((*this)[k].peer);
+    if (how == Start::kFirstStart) command.insert(command.end(), {"--begin", all});
     if (how == Start::kJoin) command.push_back("--join");
   } else {
     command.insert(command.end(), {"--state", state(at)});
   }
-  if (how == Start::kFirst) command.push_back("--first-start");
+  if (how == Start::kFirstStart) command.push_back("--first-start");
   command.insert(command.end(), options_.more.begin(), options_.more.end());
-  one.process = Child(command, log(at), one.faults->variables(MYRTLECROFT_FAULTY));
+  one.process = ChildProcess(command, log(at), one.faults->variables(MYRTLECROFT_FAULTY));
 }
 
-void ControlFleet::start_all() {
-  for (int i = 0; i < size(); ++i) start(i, Start::kFirst);
+void ControlCluster::start_all() {
+  for (int i = 0; i < size(); ++i) start(i, Start::kFirstStart);
 }
 
-std::string ControlFleet::discovery(int first) const {
+std::string ControlCluster::discovery(int first) const {
   std::string out = "ipv4:";
   for (int k = 0; k < options_.instances; ++k) {
-    const Place& place = places_[static_cast<std::size_t>((k + first) % options_.instances)];
-    out += (k ? "," : "") + on_loopback(place.xds);
+    const ReplicaProcess& place = places_[static_cast<std::size_t>((k + first) % options_.instances)];
+    out += (k ? "," : "") + loopback_address(place.xds);
   }
   return out;
 }
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 Engine::Engine(net::Loop& loop, service::Logger& log, std::string node, int cores,
-               std::function<void(const RunSeen&)> seen)
+               std::function<void(const ObservedRun&)> seen)
     : loop_(loop),
       node_(std::move(node)),
       cores_(cores),
@@ -27,7 +27,7 @@
             {.received =
                  [this](control::FrameServer::Id id, net::Connection& connection, std::string_view bytes) {
                    link_id_ = id;
-                   return came(connection, bytes);
+                   return bytes_received(connection, bytes);
                  },
              // A new link replaces the one before it, whose end may be seen later.
              .closed =
@@ -52,7 +52,7 @@
   warm_at_ = started_ + cold_for;
 }
 
-std::size_t Engine::came(net::Connection& connection, std::string_view bytes) {
+std::size_t Engine::bytes_received(net::Connection& connection, std::string_view bytes) {
   link_ = &connection;
   std::size_t taken = 0;
   for (std::size_t end; (end = bytes.find('\n', taken)) != std::string_view::npos; taken = end + 1) {
@@ -98,7 +98,7 @@
 
 void Engine::start(const std::string& id, const std::string& payload) {
   std::istringstream words(payload);
-  RunSeen seen;
+  ObservedRun seen;
   seen.node = node_;
   seen.at = loop_.now();
   double ms = 0;
@@ -110,7 +110,7 @@
     runs_[id] = {loop_.now(), false, false, std::min(result, kMaxResult), kMs};
     return end_due();
   }
-  bool fits = loop_.now() - started_ >= behaviour_.after && runs_.size() >= behaviour_.from_runs &&
+  bool fits = loop_.now() - started_ >= behaviour_.after && runs_.size() >= behaviour_.min_concurrent_runs &&
               (behaviour_.request_class.empty() || behaviour_.request_class == seen.request_class);
   double work =
       ms * slow_ * (fits ? behaviour_.slow : 1) * (warming_up() ? kColdSpeed : 1) * static_cast<double>(kMs);
@@ -153,9 +153,9 @@
 Database::Database(net::Loop& loop, service::Logger& log)
     : door_(loop, log, net::loopback(0), "database", 4 * kConnections,
             {.received = [this](control::FrameServer::Id, net::Connection& connection,
-                                std::string_view bytes) { return came(connection, bytes); }}) {}
+                                std::string_view bytes) { return bytes_received(connection, bytes); }}) {}
 
-std::size_t Database::came(net::Connection& connection, std::string_view bytes) {
+std::size_t Database::bytes_received(net::Connection& connection, std::string_view bytes) {
   std::size_t taken = 0;
   for (;;) {
     std::size_t end = bytes.find("\r\n", taken);
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -14,7 +14,7 @@
 namespace myrtlecroft::standin {
 
 // One run, as it came to some engine.
-struct RunSeen {
+struct ObservedRun {
   std::string node;
   std::string request_class;
   std::string key;
@@ -23,17 +23,17 @@
 
 // What a version of the program does to what it runs.
 struct Behaviour {
-  double slow = 1;            // times the usual time
-  Nanos after = 0;            // since its start
-  std::size_t from_runs = 0;  // only with so many at once
-  std::string request_class;  // only this one; empty: all
-  bool silent = false;        // takes runs and ends none
+  double slow = 1;                      // times the usual time
+  Nanos after = 0;                      // since its start
+  std::size_t min_concurrent_runs = 0;  // only with so many at once
+  std::string request_class;            // only this one; empty: all
+  bool silent = false;                  // takes runs and ends none
 };
 
 class Engine {
  public:
   Engine(net::Loop& loop, service::Logger& log, std::string node, int cores,
-         std::function<void(const RunSeen&)> seen);
+         std::function<void(const ObservedRun&)> seen);
 
   std::uint16_t port() const { return door_.port(); }
   void slow(double factor) { slow_ = factor; }  // times its usual time for each run from now on
@@ -41,10 +41,10 @@
   // More runs than cores wait for one, and cost nothing beyond that; else each slows those that come after
   // it.
   void queue_for_cores() { free_at_.assign(static_cast<std::size_t>(cores_), 0); }
-  void behave(Behaviour behaviour) { behaviour_ = std::move(behaviour); }
+  void apply_behaviour(Behaviour behaviour) { behaviour_ = std::move(behaviour); }
   bool warming_up() const { return loop_.now() < warm_at_; }
   // Comes up then: links are taken before that, and get no word.
-  void up_at(Nanos when) { up_at_ = when; }
+  void become_ready_at(Nanos when) { up_at_ = when; }
   // Another life of the server: what ran is gone, notices are numbered anew, and it is cold for a while.
   void restart(Nanos cold_for);
 
@@ -56,7 +56,7 @@
     std::size_t result = 0;  // bytes; 0: the word
     Nanos work = kMs;        // of a core
   };
-  std::size_t came(net::Connection& connection, std::string_view bytes);
+  std::size_t bytes_received(net::Connection& connection, std::string_view bytes);
   void command(const net::EngineLine& line);
   void start(const std::string& id, const std::string& payload);
   void tell(const std::string& line);
@@ -67,7 +67,7 @@
   net::Loop& loop_;
   std::string node_;
   int cores_;
-  std::function<void(const RunSeen&)> seen_;
+  std::function<void(const ObservedRun&)> seen_;
   control::FrameServer door_;
   net::Connection* link_ = nullptr;
   control::FrameServer::Id link_id_{};
@@ -90,7 +90,7 @@
   std::uint16_t port() const { return door_.port(); }
 
  private:
-  std::size_t came(net::Connection& connection, std::string_view bytes);
+  std::size_t bytes_received(net::Connection& connection, std::string_view bytes);
   control::FrameServer door_;
 };
 
--- a/standin/faults.h
+++ b/standin/faults.h
@@ -16,12 +16,12 @@
 namespace myrtlecroft::standin {
 
 struct Faults {
-  std::atomic<std::int64_t> wall_step_ns;  // of the wall clock
-  std::atomic<std::int32_t> sync_error;    // errno of every sync; 0: none
-  std::atomic<std::int32_t> write_error;   // of every write to a file of a store
-  std::atomic<std::int64_t> sync_takes_ns;
-  std::atomic<std::int64_t> syncs;        // so far
-  std::atomic<std::int64_t> die_at_sync;  // killed as it begins that one; 0: never
+  std::atomic<std::int64_t> wall_clock_offset_ns;  // of the wall clock
+  std::atomic<std::int32_t> sync_error;            // errno of every sync; 0: none
+  std::atomic<std::int32_t> write_error;           // of every write to a file of a store
+  std::atomic<std::int64_t> sync_delay_ns;
+  std::atomic<std::int64_t> syncs;          // so far
+  std::atomic<std::int64_t> crash_at_sync;  // killed as it begins that one; 0: never
 };
 
 // One process's faults, as whoever starts it holds them.
@@ -41,7 +41,7 @@
     if (faults_) ::munmap(faults_, sizeof(Faults));
   }
   Faults* operator->() const { return faults_; }
-  void die_at_next(std::int64_t sync) const { faults_->die_at_sync = faults_->syncs + sync; }
+  void crash_after_syncs(std::int64_t sync) const { faults_->crash_at_sync = faults_->syncs + sync; }
   // For the environment of the process.
   std::vector<std::pair<std::string, std::string>> variables(const std::string& library) const {
     return {{"LD_PRELOAD", library}, {"MYRTLECROFT_FAULTS", path_}};
--- a/standin/faulty.cpp
+++ b/standin/faulty.cpp
@@ -34,8 +34,8 @@
 int sync(int file, int (*call)(int)) {
   Faults* now = faults();
   if (!now) return call(file);
-  if (++now->syncs == now->die_at_sync) ::kill(::getpid(), SIGKILL);
-  if (std::int64_t takes = now->sync_takes_ns) {
+  if (++now->syncs == now->crash_at_sync) ::kill(::getpid(), SIGKILL);
+  if (std::int64_t takes = now->sync_delay_ns) {
     timespec wait{.tv_sec = takes / 1'000'000'000, .tv_nsec = takes % 1'000'000'000};
     ::nanosleep(&wait, nullptr);
   }
@@ -78,7 +78,7 @@
   int code = call(clock, out);
   Faults* now = clock == CLOCK_REALTIME ? faults() : nullptr;
   if (code != 0 || !now) return code;
-  std::int64_t at = out->tv_sec * 1'000'000'000 + out->tv_nsec + now->wall_step_ns;
+  std::int64_t at = out->tv_sec * 1'000'000'000 + out->tv_nsec + now->wall_clock_offset_ns;
   out->tv_sec = at / 1'000'000'000;
   out->tv_nsec = at % 1'000'000'000;
   return code;
--- a/standin/no_log.h
+++ b/standin/no_log.h
@@ -5,11 +5,11 @@
 
 namespace myrtlecroft::standin {
 
-class NoLog final : public service::Logger {
+class NullLogger final : public service::Logger {
  public:
   void line(const std::string&) override {}
-  void frequent(const std::string&) override {}
-  void routine(const std::string&) override {}
+  void write_rate_limited(const std::string&) override {}
+  void write_routine(const std::string&) override {}
 };
 
 }  // namespace myrtlecroft::standin
--- a/standin/node_config.h
+++ b/standin/node_config.h
@@ -8,7 +8,7 @@
 
 namespace myrtlecroft::standin {
 
-struct NodeConfig {
+struct ServerConfig {
   std::string name = "n1";
   int port = 0;
   int engine = 0;
@@ -24,7 +24,7 @@
   std::string family;  // JSON fields of the settings' familyInfo, but for the meters
 };
 
-inline void write_node_config(const std::string& path, const NodeConfig& config) {
+inline void write_server_config(const std::string& path, const ServerConfig& config) {
   auto at = [](int port) { return "\"127.0.0.1:" + std::to_string(port) + "\""; };
   std::ofstream(path)
       << R"({"name":")" << config.name << R"(","listen":)" << at(config.port) << R"(,"engine":)"
--- a/standin/proxy.cpp
+++ b/standin/proxy.cpp
@@ -33,8 +33,8 @@
 
 struct Proxy::Going {
   Request request;
-  std::function<void(const Ended&)> ended;
-  Ended so_far;
+  std::function<void(const RequestResult&)> ended;
+  RequestResult so_far;
   std::string cluster;
   const envoy::config::route::v3::RetryPolicy* retry = nullptr;
   std::shared_ptr<const AppliedSet> set;  // that it began with; its routes stay while it goes on
@@ -50,38 +50,39 @@
       : proxy_(proxy),
         going_(std::move(going)),
         connection_(proxy.loop_.base(), to, *this, proxy.log_, "try"),
-        late_(proxy.loop_.base(), [this] { finish(Ended::Kind::kNoAnswer, true); }) {
+        late_(proxy.loop_.base(), [this] { finish(RequestResult::Kind::kNoAnswer, true); }) {
     const Request& request = going_->request;
-    request_ = cgi_request({.path = request.path,
-                            .trace = trace,
-                            .accepted_unix = request.accepted_unix,
-                            .client = proxy.number_,
-                            .tenant = request.tenant,
-                            .wait = wait,
-                            .key = request.key,
-                            .body = request.body,
-                            .expected_ms = request.expected_ms});
+    request_ = encode_fastcgi_request({.path = request.path,
+                                       .trace = trace,
+                                       .accepted_unix = request.accepted_unix,
+                                       .client = proxy.number_,
+                                       .tenant = request.tenant,
+                                       .wait = wait,
+                                       .key = request.key,
+                                       .body = request.body,
+                                       .expected_ms = request.expected_ms});
     late_.set(wait);
   }
   void opened(net::Connection& connection) override {
     sent_ = true;
     connection.write(request_);
   }
-  std::size_t came(net::Connection&, std::string_view bytes) override {
-    return each_cgi_record(bytes, [this](std::uint8_t type, int, std::string_view content) {
-      if (type == kCgiOutput) answer_ += content;
-      if (type == kCgiEnd) answered(static_cast<std::uint8_t>(content[kCgiStatus]));
+  std::size_t bytes_received(net::Connection&, std::string_view bytes) override {
+    return for_each_fastcgi_record(bytes, [this](std::uint8_t type, int, std::string_view content) {
+      if (type == kFastCgiStdout) answer_ += content;
+      if (type == kFastCgiEndRequest)
+        answered(static_cast<std::uint8_t>(content[kFastCgiProtocolStatusOffset]));
     });
   }
-  void ended(net::Connection&, net::Reason) override {
-    if (!over_) finish(Ended::Kind::kNoAnswer, false);
+  void ended(net::Connection&, net::CloseReason) override {
+    if (!over_) finish(RequestResult::Kind::kNoAnswer, false);
     proxy_.tries_.remove_if([this](const auto& one) { return one.get() == this; });
   }
 
  private:
   void answered(std::uint8_t protocol) {
     if (over_) return;
-    if (answer_.starts_with("Status: 200")) return finish(Ended::Kind::kCompleted, false);
+    if (answer_.starts_with("Status: 200")) return finish(RequestResult::Kind::kCompleted, false);
     bool rejected = protocol == 2 || answer_.starts_with("Status: 503") || answer_.starts_with("Status: 429");
     std::size_t advice = answer_.find("Hold-Off-Ms: ");
     if (advice != std::string::npos) {
@@ -89,16 +90,16 @@
       std::from_chars(answer_.data() + advice + 13, answer_.data() + answer_.size(), ms);
       retry_after_ = ms * kMs;
     }
-    finish(rejected ? Ended::Kind::kRejected : Ended::Kind::kTerminated, false);
+    finish(rejected ? RequestResult::Kind::kRejected : RequestResult::Kind::kTerminated, false);
   }
-  void finish(Ended::Kind kind, bool late) {
+  void finish(RequestResult::Kind kind, bool late) {
     over_ = true;
     late_.clear();
-    connection_.leave_no_trace();
-    connection_.end(net::Reason::kDone);
-    if (kind == Ended::Kind::kNoAnswer && sent_ && !late) {
-      going_->so_far.cut = true;
-      going_->so_far.cut_node = going_->so_far.last_node;
+    connection_.set_reset_on_close();
+    connection_.end(net::CloseReason::kDone);
+    if (kind == RequestResult::Kind::kNoAnswer && sent_ && !late) {
+      going_->so_far.connection_lost = true;
+      going_->so_far.connection_lost_server = going_->so_far.last_node;
     }
     proxy_.tried(going_, kind, !sent_, late, retry_after_);
   }
@@ -148,8 +149,8 @@
   return {};
 }
 
-std::string on_ring(const envoy::config::endpoint::v3::ClusterLoadAssignment& endpoints,
-                    const std::string& key, const std::set<std::string>& not_these) {
+std::string pick_ring_endpoint(const envoy::config::endpoint::v3::ClusterLoadAssignment& endpoints,
+                               const std::string& key, const std::set<std::string>& not_these) {
   std::uint32_t heaviest = 1;
   for (const auto& place : endpoints.endpoints())
     heaviest = std::max(heaviest, place.load_balancing_weight().value());
@@ -173,7 +174,7 @@
                         const std::set<std::string>& not_these) {
   const auto& endpoints = *set.endpoints.at(cluster);
   bool ring = set.clusters.at(cluster)->lb_policy() == AppliedSet::Cluster::RING_HASH && !key.empty();
-  if (ring) return on_ring(endpoints, key, not_these);
+  if (ring) return pick_ring_endpoint(endpoints, key, not_these);
   double total = 0;
   auto usable = [&](const auto& place) {
     return place.priority() == 0 && !not_these.contains(address_of(place.lb_endpoints(0)));
@@ -190,7 +191,7 @@
   return "";
 }
 
-void Proxy::send(Request request, std::function<void(const Ended&)> ended) {
+void Proxy::send(Request request, std::function<void(const RequestResult&)> ended) {
   auto going = std::make_shared<Going>();
   going->request = std::move(request);
   going->ended = std::move(ended);
@@ -200,7 +201,7 @@
   if (!chosen.route || chosen.cluster.empty()) {
     // Answered by the proxy itself: a rejection, or for what may have run no promise at all.
     bool rejected = chosen.route && chosen.route->direct_response().status() == 503;
-    going->so_far.kind = rejected ? Ended::Kind::kRejected : Ended::Kind::kTerminated;
+    going->so_far.kind = rejected ? RequestResult::Kind::kRejected : RequestResult::Kind::kTerminated;
     for (int i = 0; chosen.route && i < chosen.route->response_headers_to_add_size(); ++i) {
       going->so_far.retry_after = std::stoll(chosen.route->response_headers_to_add(i).header().value()) * kMs;
     }
@@ -209,14 +210,14 @@
   const auto& endpoints = *going->set->endpoints.at(chosen.cluster);
   for (const auto& drop : endpoints.policy().drop_overloads()) {
     if (static_cast<double>(random_()) / 4294967296.0 * 10'000 < drop.drop_percentage().numerator()) {
-      going->so_far.kind = Ended::Kind::kRejected;
+      going->so_far.kind = RequestResult::Kind::kRejected;
       return going->ended(going->so_far);
     }
   }
   const auto& bounds = going->set->clusters.at(chosen.cluster)->circuit_breakers().thresholds(0);
   if (bounds.has_max_requests() &&
       in_flight_[chosen.cluster] >= static_cast<int>(bounds.max_requests().value())) {
-    going->so_far.kind = Ended::Kind::kRejected;
+    going->so_far.kind = RequestResult::Kind::kRejected;
     return going->ended(going->so_far);
   }
   going->cluster = chosen.cluster;
@@ -256,18 +257,18 @@
   tries_.push_back(std::make_unique<Try>(*this, going, address, wait, trace));
 }
 
-void Proxy::tried(const std::shared_ptr<Going>& going, Ended::Kind kind, bool never_sent, bool late,
+void Proxy::tried(const std::shared_ptr<Going>& going, RequestResult::Kind kind, bool never_sent, bool late,
                   Nanos retry_after) {
   going->so_far.kind = kind;
   going->so_far.retry_after = retry_after;
   if (going->retries > 0) --retries_;
   bool again = false;
-  if (going->retry && kind != Ended::Kind::kCompleted &&
+  if (going->retry && kind != RequestResult::Kind::kCompleted &&
       going->retries < static_cast<int>(going->retry->num_retries().value())) {
     const std::string& on = going->retry->retry_on();
     again = (never_sent && says(on, "connect-failure")) ||
-            (kind == Ended::Kind::kRejected && says(on, "retriable-status-codes")) ||
-            (kind == Ended::Kind::kNoAnswer && !never_sent && !late && says(on, "reset")) ||
+            (kind == RequestResult::Kind::kRejected && says(on, "retriable-status-codes")) ||
+            (kind == RequestResult::Kind::kNoAnswer && !never_sent && !late && says(on, "reset")) ||
             (late && !never_sent && says(on, "gateway-error"));
   }
   const auto& budget =
--- a/standin/proxy.h
+++ b/standin/proxy.h
@@ -26,14 +26,14 @@
   int expected_ms = 20;
 };
 
-struct Ended {
+struct RequestResult {
   enum class Kind { kCompleted, kRejected, kTerminated, kNoAnswer };
   Kind kind = Kind::kNoAnswer;
   Nanos retry_after = 0;
   int tries = 0;
-  std::string last_node;  // address
-  bool cut = false;       // some try was read by a server and its connection ended with no answer
-  std::string cut_node;   // that server's address
+  std::string last_node;         // address
+  bool connection_lost = false;  // some try was read by a server and its connection ended with no answer
+  std::string connection_lost_server;  // that server's address
 };
 
 class Proxy {
@@ -41,7 +41,7 @@
   using Set = std::function<std::shared_ptr<const AppliedSet>()>;
   Proxy(net::Loop& loop, service::Logger& log, Set set, int number, std::uint32_t seed);
   ~Proxy();
-  void send(Request request, std::function<void(const Ended&)> ended);
+  void send(Request request, std::function<void(const RequestResult&)> ended);
   std::size_t in_flight() const { return tries_.size(); }
 
  private:
@@ -56,7 +56,7 @@
   std::string pick(const AppliedSet& set, const std::string& cluster, const std::string& key,
                    const std::set<std::string>& not_these);
   void next_try(const std::shared_ptr<Going>& going);
-  void tried(const std::shared_ptr<Going>& going, Ended::Kind kind, bool never_sent, bool late,
+  void tried(const std::shared_ptr<Going>& going, RequestResult::Kind kind, bool never_sent, bool late,
              Nanos retry_after);
   bool matches(const std::string& pattern, const std::string& key);
 
@@ -72,7 +72,7 @@
 };
 
 // The endpoint that a key's place on the ring belongs to. Weights are shares of the points.
-std::string on_ring(const envoy::config::endpoint::v3::ClusterLoadAssignment& endpoints,
-                    const std::string& key, const std::set<std::string>& not_these);
+std::string pick_ring_endpoint(const envoy::config::endpoint::v3::ClusterLoadAssignment& endpoints,
+                               const std::string& key, const std::set<std::string>& not_these);
 
 }  // namespace myrtlecroft::standin
--- a/standin/relay.cpp
+++ b/standin/relay.cpp
@@ -134,7 +134,7 @@
   for (auto& pair : pairs_) pair->follow_stalls();
 }
 
-void Relay::late(Nanos by) { late_ = by; }
+void Relay::set_delay(Nanos by) { late_ = by; }
 
 void Relay::close(bool closed) {
   closed_ = closed;
@@ -143,9 +143,9 @@
 
 void Relay::reset() { pairs_.clear(); }
 
-void Relay::cut_after(std::size_t bytes) { left_ = static_cast<std::ptrdiff_t>(bytes); }
+void Relay::reset_after(std::size_t bytes) { left_ = static_cast<std::ptrdiff_t>(bytes); }
 
-void Relay::heal() {
+void Relay::clear_faults() {
   closed_ = false;
   late_ = 0;
   left_ = -1;
--- a/standin/relay.h
+++ b/standin/relay.h
@@ -22,11 +22,11 @@
 
   // Bytes wait where they are, as on a link that is dead and not yet known to be.
   void stall(bool there, bool back);
-  void late(Nanos by);      // each byte, both ways
-  void close(bool closed);  // nobody gets through; who was through is reset
+  void set_delay(Nanos by);  // each byte, both ways
+  void close(bool closed);   // nobody gets through; who was through is reset
   void reset();
-  void cut_after(std::size_t bytes);  // that go there: then a reset
-  void heal();
+  void reset_after(std::size_t bytes);  // that go there: then a reset
+  void clear_faults();
   std::size_t pairs() const { return pairs_.size(); }
 
  private:
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -32,7 +32,7 @@
   for (const fleet::RequestClass& request_class : fleet.request_classes) {
     RetryPolicy rule = retry_policy_for(request_class, fleet.bounds);
     bool risky = false;
-    for (RetryOn on : rule.on) risky = risky || on == RetryOn::kReset || on == RetryOn::kLate;
+    for (RetryOn on : rule.on) risky = risky || on == RetryOn::kReset || on == RetryOn::kAttemptTimeout;
     EXPECT_EQ(risky, request_class.idempotency == Idempotency::kIdempotent);
     EXPECT_EQ(rule.same_node, request_class.idempotency == Idempotency::kKeyed);
     EXPECT_LE(rule.per_attempt_timeout, request_class.client_timeout);
@@ -48,7 +48,7 @@
   world.run(6 * kSecond);
   ASSERT_LT(world.router.published()->snapshot.request_classes[0].admitted, 9000u);
   std::reverse(world.fleet.request_classes.begin(), world.fleet.request_classes.end());
-  world.router.fleet_changed(world.fleet, world.now);
+  world.router.update_fleet(world.fleet, world.now);
   world.run(kSecond);
   const std::vector<RequestClassRoute>& request_classes = world.router.published()->snapshot.request_classes;
   EXPECT_EQ(request_classes[3].name, "cheap");
--- a/tests/agreement_processes_test.cpp
+++ b/tests/agreement_processes_test.cpp
@@ -54,7 +54,7 @@
   rehearsal::RigResult result = rehearsal::play(options);
   EXPECT_EQ(result.violations.total(), 0) << result.first_violation << ", logs in " << result.folder;
   ASSERT_EQ(result.releases.size(), 1u);
-  EXPECT_GT(result.releases[0].reached, 0.3) << result.releases[0].reason;
+  EXPECT_GT(result.releases[0].max_updated_share, 0.3) << result.releases[0].reason;
   EXPECT_LE(result.unavailable.max, 2);
   EXPECT_GT(result.load.completed, result.load.offered * 9 / 10);
 }
--- a/tests/capacity_real_test.cpp
+++ b/tests/capacity_real_test.cpp
@@ -57,7 +57,7 @@
 
 TEST(ReportOfAHollowServer, IsWhatControlReads) {
   std::vector<report::LoadReport> read;
-  report::Malformed malformed{};
+  report::FrameError malformed{};
   std::string frame = report::encode(report_of(3, 4));
   EXPECT_EQ(report::decode(
                 frame, [&](report::LoadReport one) { read.push_back(one); }, malformed),
@@ -66,8 +66,8 @@
   EXPECT_EQ(read[0], report_of(3, 4));
 }
 
-TEST(ChangeWatch, TouchesWhoHasTheServerAndIsInForceOnceItIsGone) {
-  ChangeWatch watch;
+TEST(ChangeTracker, TouchesWhoHasTheServerAndIsInForceOnceItIsGone) {
+  ChangeTracker watch;
   watch.applied(1, set_of({1, 2, 3}), 10);
   watch.applied(2, set_of({2, 3}), 10);
   watch.expect({1}, false);
@@ -81,8 +81,8 @@
   EXPECT_EQ(watch.stale(), 0u);
 }
 
-TEST(ChangeWatch, ServerThatIsTakenInAgainAfterItLeftIsStale) {
-  ChangeWatch watch;
+TEST(ChangeTracker, ServerThatIsTakenInAgainAfterItLeftIsStale) {
+  ChangeTracker watch;
   watch.applied(1, set_of({1, 2}), 10);
   watch.expect({1}, false);
   watch.applied(1, set_of({2}), 20);
@@ -91,8 +91,8 @@
   EXPECT_EQ(watch.stale(), 1u);
 }
 
-TEST(ChangeWatch, ReturnIsInForceOnceAllThatWereLostAreThereAgain) {
-  ChangeWatch watch;
+TEST(ChangeTracker, ReturnIsInForceOnceAllThatWereLostAreThereAgain) {
+  ChangeTracker watch;
   watch.applied(1, set_of({1, 2, 3}), 10);
   watch.applied(2, set_of({3}), 10);
   watch.expect({1, 2, 4}, false);
@@ -105,8 +105,8 @@
   EXPECT_EQ(watch.in_force_at_ns(), std::vector<std::int64_t>{40});
 }
 
-TEST(ChangeWatch, OwnClusterOfAServerThatLeftIsNoSign) {
-  ChangeWatch watch;
+TEST(ChangeTracker, OwnClusterOfAServerThatLeftIsNoSign) {
+  ChangeTracker watch;
   AppliedSet set = set_of({1, 2});
   set.endpoints["node/n1"] = set_of({1}).endpoints.begin()->second;
   watch.applied(1, set, 10);
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -44,46 +44,46 @@
 }
 
 TEST(Slope, SpreadIsLeastMiddleAndMost) {
-  Spread odd = spread_of({5, 1, 3});
+  Spread odd = compute_spread({5, 1, 3});
   EXPECT_EQ(odd.min, 1);
   EXPECT_EQ(odd.median, 3);
   EXPECT_EQ(odd.max, 5);
-  EXPECT_EQ(spread_of({4, 1, 3, 2}).median, 2.5);
-  EXPECT_THROW(spread_of({}), std::invalid_argument);
+  EXPECT_EQ(compute_spread({4, 1, 3, 2}).median, 2.5);
+  EXPECT_THROW(compute_spread({}), std::invalid_argument);
 }
 
 TEST(Slope, LineTellsTheSpreadAtEachSizeAndWhatWasNotRun) {
   Slope slope{.name = "step", .by = "servers", .unit = "ms", .planned = 6100, .points = points_of(2, 1)};
-  EXPECT_EQ(line_of(slope),
+  EXPECT_EQ(format_slope(slope),
             "slope step by=servers sizes=100,250,900,6100 median=200,500,1800,1.22e+04 "
             "min=100,250,900,6100 max=600,1500,5400,3.66e+04 exponent=1.00 unit=ms");
   slope.planned = 10'000;
-  EXPECT_NE(line_of(slope).find("unit=ms extrapolated=10000:2e+04"), std::string::npos);
+  EXPECT_NE(format_slope(slope).find("unit=ms extrapolated=10000:2e+04"), std::string::npos);
   slope.points.pop_back();
-  EXPECT_THROW(line_of(slope), std::invalid_argument);
+  EXPECT_THROW(format_slope(slope), std::invalid_argument);
 }
 
 TEST(Slope, LineOfACostOfNothingHasNoExponent) {
   Slope slope{.name = "bytes", .by = "services", .unit = "B", .planned = 0, .points = points_of(1, 1)};
   slope.points[1].cost = {};
-  EXPECT_NE(line_of(slope).find("exponent=none"), std::string::npos);
+  EXPECT_NE(format_slope(slope).find("exponent=none"), std::string::npos);
 }
 
 TEST(Slope, ASinglePointIsNamedAFigure) {
-  EXPECT_EQ(figure_of("step", "servers=500", "ms", {1, 2, 3}),
+  EXPECT_EQ(format_figure("step", "servers=500", "ms", {1, 2, 3}),
             "figure step servers=500 median=2 min=1 max=3 unit=ms");
 }
 
-TEST(Sheet, PointsOfOneNameAndVariableAreOneSlope) {
-  Sheet sheet;
+TEST(SlopeReport, PointsOfOneNameAndVariableAreOneSlope) {
+  SlopeReport slope_report;
   for (double size : {1.0, 2.0, 4.0, 8.0}) {
-    sheet.add({"step", "servers", "ms", 16}, size, {size});
-    sheet.add({"step", "shards", "ms", 0}, size, {1});
+    slope_report.add({"step", "servers", "ms", 16}, size, {size});
+    slope_report.add({"step", "shards", "ms", 0}, size, {1});
   }
-  ASSERT_EQ(sheet.slopes().size(), 2u);
-  EXPECT_EQ(sheet.slopes()[0].points.size(), 4u);
-  EXPECT_NEAR(fit(sheet.slopes()[0].points).exponent, 1, 1e-9);
-  EXPECT_EQ(short_form_of(sheet.slopes()[0]), "step/servers@8=8ms");
+  ASSERT_EQ(slope_report.slopes().size(), 2u);
+  EXPECT_EQ(slope_report.slopes()[0].points.size(), 4u);
+  EXPECT_NEAR(fit(slope_report.slopes()[0].points).exponent, 1, 1e-9);
+  EXPECT_EQ(format_summary(slope_report.slopes()[0]), "step/servers@8=8ms");
 }
 
 }  // namespace
--- a/tests/connectivity_test.cpp
+++ b/tests/connectivity_test.cpp
@@ -12,11 +12,11 @@
   Snapshot before = world.router.published()->snapshot;
   world.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
   world.run(60 * kSecond);
-  EXPECT_EQ(world.router.registry().view(), View::kPartitioned);
+  EXPECT_EQ(world.router.registry().view(), ConnectivityState::kPartitioned);
   EXPECT_EQ(world.router.published()->snapshot, before);
   world.without_reports.clear();
   world.run(5 * kSecond);
-  EXPECT_EQ(world.router.registry().view(), View::kConnected);
+  EXPECT_EQ(world.router.registry().view(), ConnectivityState::kConnected);
   EXPECT_EQ(world.router.published()->snapshot, before);
 }
 
@@ -24,10 +24,10 @@
 TEST(Connectivity, PauseOfThisProcessCountsAsNoServersSilence) {
   FleetWorld world;
   world.run(5 * kSecond);
-  ASSERT_EQ(world.router.registry().view(), View::kConnected);
+  ASSERT_EQ(world.router.registry().view(), ConnectivityState::kConnected);
   world.now += 3 * kSecond;
   world.router.step(world.now);
-  EXPECT_EQ(world.router.registry().view(), View::kConnected);
+  EXPECT_EQ(world.router.registry().view(), ConnectivityState::kConnected);
   for (const ServerStatus& server : world.router.registry().all())
     EXPECT_EQ(server.state, ServerState::kServing);
   world.without_reports["n1"] = true;
@@ -40,7 +40,7 @@
   world.run(3 * kSecond);
   world.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
   world.run(2 * kSecond);
-  ASSERT_EQ(world.router.registry().view(), View::kPartitioned);
+  ASSERT_EQ(world.router.registry().view(), ConnectivityState::kPartitioned);
   world.reports["n5"].draining = true;
   world.run(500 * kMs);
   EXPECT_EQ(world.route("n5").health, Health::kDraining);
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -33,8 +33,8 @@
     std::lock_guard lock(mutex_);
     lines_.push_back(text);
   }
-  void frequent(const std::string& text) override { line(text); }
-  void routine(const std::string&) override {}
+  void write_rate_limited(const std::string& text) override { line(text); }
+  void write_routine(const std::string&) override {}
   bool has(const std::string& part) const {
     std::lock_guard lock(mutex_);
     for (const std::string& text : lines_) {
@@ -88,7 +88,7 @@
   // Runs `task` in the loop's thread and waits for its result.
   template <class Task>
   auto run_in_loop(Task task) {
-    std::promise<decltype(task(std::declval<Control&>()))> result;
+    std::promise<decltype(task(std::declval<ControlService&>()))> result;
     {
       std::lock_guard lock(mutex_);
       tasks_.push_back([&] { result.set_value(task(*control_)); });
@@ -96,7 +96,7 @@
     return result.get_future().get();
   }
   std::string state_of(const std::string& node) {
-    return run_in_loop([&](Control& control) -> std::string {
+    return run_in_loop([&](ControlService& control) -> std::string {
       for (const routing::ServerStatus& server : control.router().registry().all()) {
         if (server.node.name == node) return routing_state::stored_name(server.state);
       }
@@ -111,7 +111,7 @@
  private:
   void run(const ControlOptions& options) {
     net::Loop loop;
-    control_ = std::make_unique<Control>(loop, log_, options);
+    control_ = std::make_unique<ControlService>(loop, log_, options);
     discovery_port_ = control_->discovery_port();
     reports_port_ = control_->reports_port();
     admin_port_ = control_->admin_port();
@@ -135,7 +135,7 @@
   }
 
   RecordingLogger log_;
-  std::unique_ptr<Control> control_;
+  std::unique_ptr<ControlService> control_;
   std::promise<void> ready_;
   std::atomic<bool> stop_ = false;
   std::mutex mutex_;
--- a/tests/control_program_test.cpp
+++ b/tests/control_program_test.cpp
@@ -10,14 +10,14 @@
 namespace myrtlecroft::control {
 namespace {
 
-using standin::Child;
+using standin::ChildProcess;
 
 TEST(ControlProgramTest, UsageErrorsAreNamedAndExitWithTwo) {
   TemporaryFolder folder;
   std::ofstream(folder.file("bad.conf")) << "version = 1;\nnodes = 3;\n";
   auto run = [&](std::vector<std::string> words) {
     words.insert(words.begin(), MYRTLECROFT_CONTROL);
-    return Child(words, folder.file("log")).wait();
+    return ChildProcess(words, folder.file("log")).wait();
   };
   EXPECT_EQ(run({"check", folder.file("bad.conf")}), 2);
   EXPECT_EQ(run({"serve"}), 2);
@@ -38,7 +38,7 @@
     words.insert(words.end(), {"--admin", "127.0.0.1:" + std::to_string(large.control->admin_port())});
     std::string log = large.folder.file("shown");
     std::filesystem::remove(log);
-    EXPECT_EQ(Child(words, log).wait(), 0);
+    EXPECT_EQ(ChildProcess(words, log).wait(), 0);
     std::ifstream in(log);
     return std::string((std::istreambuf_iterator<char>(in)), {});
   };
--- a/tests/control_restart_test.cpp
+++ b/tests/control_restart_test.cpp
@@ -9,7 +9,7 @@
 namespace myrtlecroft::control {
 namespace {
 
-using standin::Child;
+using standin::ChildProcess;
 
 TEST(ControlRestartTest, ProxiesRetainTheLastSetWhenControlIsKilledDuringPublication) {
   Site site(40);
@@ -28,7 +28,7 @@
                                       "127.0.0.1:" + port(2)};
   std::vector<std::string> first = command;
   first.push_back("--first-start");
-  Child control(first, site.folder.file("log"));
+  ChildProcess control(first, site.folder.file("log"));
   Reporters reporters(static_cast<std::uint16_t>(std::stoi(port(1))));
   for (int i = 1; i <= 40; ++i)
     reporters.add("n" + std::to_string(i), "127.0.0.1:" + std::to_string(20'000 + i));
@@ -60,7 +60,7 @@
       for (int i = 1; i <= 40; ++i) reporters.pause("n" + std::to_string(i), true);
       site.write(fleet_text(38));
     }
-    control = Child(command, site.folder.file("log"));
+    control = ChildProcess(command, site.folder.file("log"));
     if (round < 3) ASSERT_TRUE(await([&] { return all_have(round % 2 == 0 ? 30 : 40); }));
   }
   ASSERT_TRUE(await([&] { return all_have(38); }));
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -48,12 +48,12 @@
   AdsLink link(target(control.discovery_port()), false, "p1");
   ASSERT_TRUE(await([&] { return has_servers(link, 3); }));
   site.write("version = 1; nodes = ( { name = \"n1\" } );");
-  control.run_in_loop([](Control& one) { return one.reload(), 0; });
+  control.run_in_loop([](ControlService& one) { return one.reload(), 0; });
   EXPECT_TRUE(control.log().has("the previous fleet file stays in use"));
   EXPECT_TRUE(control.log().has("nodes[0].address: is missing"));
   EXPECT_TRUE(has_servers(link, 3));
   site.write(fleet_text(2));
-  control.run_in_loop([](Control& one) { return one.reload(), 0; });
+  control.run_in_loop([](ControlService& one) { return one.reload(), 0; });
   EXPECT_TRUE(await([&] { return has_servers(link, 2); }));
   EXPECT_EQ(link.half_applied(), 0);
 }
@@ -105,7 +105,7 @@
         &once);
     // Nothing in it, but of a type that is served: it names no server.
     envoy::service::discovery::v3::DiscoveryRequest nameless;
-    nameless.set_type_url(xds::url_of(xds::Type::kClusters));
+    nameless.set_type_url(xds::type_url_of(xds::ResourceType::kClusters));
     std::string body = bytes.empty() ? nameless.SerializeAsString() : bytes;
     grpc::Slice slice(body);
     grpc::ByteBuffer out(&slice, 1);
@@ -132,7 +132,7 @@
     links.push_back(
         std::make_unique<AdsLink>(target(control.discovery_port()), i % 2 == 0, "p" + std::to_string(i)));
   }
-  links[0]->refuse("");
+  links[0]->nack_matching("");
   links[1]->stop_reading();
   auto others_have = [&](int count) {
     return std::all_of(links.begin() + 2, links.end(),
@@ -141,7 +141,7 @@
   ASSERT_TRUE(await([&] { return others_have(20); }));
   reporters.set("n7", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(await([&] { return others_have(19); }));
-  for (auto& link : links) link->cut();  // all at once, and all come back
+  for (auto& link : links) link->reset_stream();  // all at once, and all come back
   reporters.set("n8", [](auto& report) { report.draining = true; });
   ASSERT_TRUE(await([&] { return others_have(18); }));
   for (auto& link : links) EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
--- a/tests/controller_harness.h
+++ b/tests/controller_harness.h
@@ -33,7 +33,7 @@
   config.running_memory_factor = 4;
   config.key_kb = 10;
   config.over_quota_weight = 0.05;
-  config.weight_by_work = true;
+  config.weight_is_per_core_second = true;
   config.max_running_per_core = 8;
   config.contention_window = 2 * kSecond;
   config.has_dependency = true;
@@ -94,11 +94,11 @@
     controller.run_completed(request, outcome, now);
   }
   // Lets time pass, with a timer each 25 ms and the gauges given.
-  void advance(Nanos time, double on_cores = 2, double connections = 2) {
+  void advance(Nanos time, double runnable_threads = 2, double connections = 2) {
     for (Nanos end = now + time; now < end;) {
       now += 25 * kMs;
       Gauges gauges;
-      gauges.on_cores = on_cores;
+      gauges.runnable_threads = runnable_threads;
       gauges.connections = connections;
       controller.timer_expired(0, gauges, now);
     }
--- a/tests/dependency_calls_test.cpp
+++ b/tests/dependency_calls_test.cpp
@@ -14,7 +14,7 @@
   Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
   EXPECT_EQ(world.count("call a"), 1);
-  world.service.call_completed(*caller.request, CallResult::kRows, "rows");
+  world.service.call_completed(*caller.request, CallResult::kSucceeded, "rows");
   EXPECT_EQ(world.count("feed a rows"), 1);
   world.done("a");
   EXPECT_EQ(caller.only(), "completed result");
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -263,13 +263,15 @@
   turn(5 * kMs);
   const std::string large(4'000, 'r');
   int sent = 0;
-  while (front.pacing().count(peers::State::kPaused) + front.pacing().count(peers::State::kWriteStalled) ==
+  while (front.slow_client_policy().count(peers::State::kPaused) +
+                 front.slow_client_policy().count(peers::State::kWriteStalled) ==
              0 &&
          sent < 200) {
     std::string id = "00000000000" + std::to_string(10'000 + sent++);
     peer.write(request(sent % 32 + 1, "/api/v2/read", id));
-    ASSERT_TRUE(until(
-        [&] { return world.count("run " + id) == 1 || front.pacing().count(peers::State::kPaused) > 0; }));
+    ASSERT_TRUE(until([&] {
+      return world.count("run " + id) == 1 || front.slow_client_policy().count(peers::State::kPaused) > 0;
+    }));
     world.done(id, Outcome::kOk, large);
     turn(kMs);
   }
@@ -461,7 +463,7 @@
     peer.write(reply.substr(0, cut));
     turn(kMs);
     cut % 2 ? peer.reset() : peer.close();
-    EXPECT_TRUE(until([&] { return request.calls_lost == 1; })) << cut;
+    EXPECT_TRUE(until([&] { return request.lost_call_count == 1; })) << cut;
     EXPECT_EQ(world.count("feed " + id + " new"), 0);
     world.done(id);
   }
@@ -492,8 +494,8 @@
   shared.reset();
   Plain next = accepted_by(listener);
   EXPECT_TRUE(comes(next, "again"));
-  EXPECT_EQ(calling[0]->calls_lost, 1);
-  EXPECT_EQ(calling[1]->calls_lost, 0);
+  EXPECT_EQ(calling[0]->lost_call_count, 1);
+  EXPECT_EQ(calling[1]->lost_call_count, 0);
 }
 
 // ---- Membership
--- a/tests/engine_link_test.cpp
+++ b/tests/engine_link_test.cpp
@@ -11,10 +11,10 @@
 TEST(EngineLinkTest, UnsentCommandsAreSentOnceTheBacklogIsRead) {
   FakeWorld world;
   world.engine_up();
-  world.service.engine().lost();
+  world.service.engine().link_lost();
   world.read("a");
   EXPECT_EQ(world.count("run a"), 0);
-  world.service.engine().linked();
+  world.service.engine().link_established();
   world.service.engine().hello(false, 0);
   EXPECT_EQ(world.count("run a"), 0);
   world.answer_gauges();
@@ -78,8 +78,8 @@
   FakeWorld world;
   world.engine_up();
   Caller& caller = world.read("a", kWriteClass, "key");
-  world.service.engine().lost();
-  world.service.engine().linked();
+  world.service.engine().link_lost();
+  world.service.engine().link_established();
   world.service.engine().hello(false, 0);
   world.done("a", Outcome::kOk, "first");
   --world.notices;
@@ -94,7 +94,7 @@
   world.engine_up();
   Caller& caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.call_completed(*caller.request, CallResult::kRows, "rows");
+  world.service.call_completed(*caller.request, CallResult::kSucceeded, "rows");
   EXPECT_EQ(world.count("feed a rows"), 1);
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 1);
@@ -111,13 +111,13 @@
     Caller& caller = world.read(id, kCallerClass, id);
     world.need(id);
     world.pass(100 * kMs);
-    world.service.call_completed(*caller.request, CallResult::kRows, "rows");
+    world.service.call_completed(*caller.request, CallResult::kSucceeded, "rows");
     world.done(id);
   }
   world.pass(kSecond);
   Caller& called = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.call_completed(*called.request, CallResult::kRows, "rows");
+  world.service.call_completed(*called.request, CallResult::kSucceeded, "rows");
   world.read("b", kCallerClass, "other");
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 2);
@@ -129,7 +129,7 @@
   world.engine_up();
   Caller& caller = world.read("a", kSkipperClass);
   world.need("a");
-  world.service.call_completed(*caller.request, CallResult::kRows, "rows");
+  world.service.call_completed(*caller.request, CallResult::kSucceeded, "rows");
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 1);
   EXPECT_EQ(world.count("skip a"), 1);
@@ -138,7 +138,7 @@
 TEST(EngineLinkTest, RunAnsweredBeforeItWasSentNeverRuns) {
   FakeWorld world;
   world.engine_up();
-  world.service.engine().lost();
+  world.service.engine().link_lost();
   Caller& caller = world.read("a", kWriteClass, "key", 300 * kMs);
   world.pass(300 * kMs);
   EXPECT_EQ(caller.only(), "terminated");
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -37,25 +37,25 @@
                   public service::HealthReporter,
                   public service::Logger {
  public:
-  explicit FakeWorld(ServiceConfig config = two_core_config(), std::size_t result_bytes = 1000,
+  explicit FakeWorld(ServiceConfig config = two_core_config(), std::size_t max_result_bytes = 1000,
                      service::IdempotencyLog* records = nullptr,
                      const service::ShardOwnership* gate = nullptr)
       : service({.config = std::move(config),
                  .gauge_names = {"core_use", "on_cores", "heap_share", "links"},
                  .seed = 7,
                  .stop_after = 3 * kSecond,
-                 .result_bytes = result_bytes},
+                 .max_result_bytes = max_result_bytes},
                 {*this, *this, *this, *this, *this, *this, records, gate}) {}
 
   void engine_up() {
-    service.engine().linked();
+    service.engine().link_established();
     service.engine().hello(false, 0);
     answer_gauges();
   }
   // The engine has seen all that was sent.
   void answer_gauges() { service.engine().stats(last_token, {0.5, 1, 0.1, 3}); }
   void relink() {
-    service.engine().lost();
+    service.engine().link_lost();
     engine_up();
   }
 
@@ -71,7 +71,7 @@
     request->queued_kb = 10;
     request->arrived = time;
     request->client_deadline = time + longest;
-    request->has_subject = true;
+    request->has_lookup_key = true;
     request->sink = &caller;
     service.request_received(std::move(request));
     return caller;
@@ -99,11 +99,11 @@
   void finish() override { did.push_back("finish"); }
   void attach(std::uint64_t last) override { did.push_back("attach " + std::to_string(last)); }
   void run(std::string_view id, std::string_view, std::string_view) override { note("run ", id); }
-  void feed(std::string_view id, std::string_view reply) override {
+  void deliver_reply(std::string_view id, std::string_view reply) override {
     note("feed ", std::string(id) + " " + std::string(reply));
   }
   void skip(std::string_view id, std::uint64_t) override { note("skip ", id); }
-  void stat(std::uint64_t token) override { last_token = token; }
+  void query_gauges(std::uint64_t token) override { last_token = token; }
   void test(std::uint64_t token) override { did.push_back("test"), test_token = token; }
   void call(service::ServerRequest& request, std::string_view, Nanos) override {
     note("call ", request.id);
@@ -112,8 +112,8 @@
   void abandon_call(service::ServerRequest& request) override { note("give up ", request.id); }
   void report(bool good) override { healthy = good; }
   void line(const std::string&) override {}
-  void frequent(const std::string&) override {}
-  void routine(const std::string&) override {}
+  void write_rate_limited(const std::string&) override {}
+  void write_routine(const std::string&) override {}
 
   Nanos time = 100 * kSecond;
   Nanos timer = 0;
--- a/tests/fencing_guard_test.cpp
+++ b/tests/fencing_guard_test.cpp
@@ -28,7 +28,7 @@
 
 TEST(FencingGuardTest, AssignmentForAnEarlierIncarnationOpensNothing) {
   FencingGuard fence;
-  EXPECT_EQ(fence.accept({{2, 10}, 8, 1, {3}}, 9), FencingGuard::Verdict::kOtherIncarnation);
+  EXPECT_EQ(fence.accept({{2, 10}, 8, 1, {3}}, 9), FencingGuard::Verdict::kIncarnationMismatch);
   EXPECT_FALSE(fence.admits("3"));
 }
 
--- a/tests/fleet_file_test.cpp
+++ b/tests/fleet_file_test.cpp
@@ -58,7 +58,7 @@
   EXPECT_EQ(fleet.nodes[0].address(), "127.0.0.1:4101");
   EXPECT_EQ(fleet.request_classes[1].key_header, "Replay-Key");
   EXPECT_EQ(fleet.request_classes[1].path, "/api/v2/book");
-  EXPECT_EQ(fleet.longest_window(), 18 * kSecond);
+  EXPECT_EQ(fleet.longest_deduplication_window(), 18 * kSecond);
   EXPECT_EQ(fleet.shards(), 256u);
 }
 
@@ -97,7 +97,7 @@
   EXPECT_TRUE(fleet.service_listeners);
   EXPECT_TRUE(fleet.request_classes[0].servers.all());
   EXPECT_EQ(fleet.request_classes[0].subset_size, 2u);
-  EXPECT_EQ(*fleet.request_classes[1].servers.places, (fleet::ServerList::Places{0, 2}));
+  EXPECT_EQ(*fleet.request_classes[1].servers.places, (fleet::ServerList::ServerIndices{0, 2}));
   EXPECT_EQ(fleet.request_classes[1].subset_size, 1u);
   EXPECT_EQ(fleet.request_classes[2].subset_size, 0u) << "each of its keys has one owner";
   TemporaryFile plain(kGood);
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -80,7 +80,7 @@
     ASSERT_TRUE(record) << key;
     EXPECT_EQ(record->window, 60 * kSecond);
     EXPECT_EQ(runs.restore(key, record->value, record->window),
-              recovery::IdempotencyRecords::Restored::kUnderstood)
+              recovery::IdempotencyRecords::RestoreResult::kRestored)
         << key;
   }
   EXPECT_EQ(runs.state("book\nkey-intended"), recovery::State::kOutcomeUnknown);
@@ -117,14 +117,15 @@
   ASSERT_EQ(snapshot.nodes.size(), 3u);
   EXPECT_EQ(snapshot.nodes[0].health, routing::Health::kHealthy);
   EXPECT_EQ(snapshot.nodes[1].health, routing::Health::kDraining);
-  EXPECT_EQ(snapshot.nodes[2].health, routing::Health::kOut);
+  EXPECT_EQ(snapshot.nodes[2].health, routing::Health::kOutOfRotation);
   ASSERT_EQ(snapshot.request_classes.size(), 3u);
   EXPECT_EQ(snapshot.request_classes[0].idempotency, Idempotency::kIdempotent);
   EXPECT_EQ(snapshot.request_classes[1].idempotency, Idempotency::kKeyed);
   EXPECT_EQ(snapshot.request_classes[2].idempotency, Idempotency::kNone);
   using routing::RetryOn;
-  EXPECT_EQ(snapshot.request_classes[0].retry_policy.on,
-            (std::vector{RetryOn::kNeverSent, RetryOn::kRejected, RetryOn::kReset, RetryOn::kLate}));
+  EXPECT_EQ(
+      snapshot.request_classes[0].retry_policy.on,
+      (std::vector{RetryOn::kNeverSent, RetryOn::kRejected, RetryOn::kReset, RetryOn::kAttemptTimeout}));
   EXPECT_EQ(snapshot.tenants[0].quota, 2500u);
   EXPECT_EQ(state->routing.shards[5].node, "");
 }
@@ -211,8 +212,8 @@
                                  .incarnation = 77,
                                  .shard_digits = 1,
                                  .shards = {1, 4, 15},
-                                 .answers = 5,
-                                 .restart_as = 2};
+                                 .report_sequence = 5,
+                                 .restart_version = 2};
   report::LoadReport report{.node = "n3",
                             .address = "127.0.0.3:4103",
                             .incarnation = 0x1122334455667788,
@@ -222,12 +223,12 @@
                             .warming_up = true,
                             .draining = true,
                             .engine_up = true,
-                            .obeys = true,
+                            .accepts_assignments = true,
                             .epoch = {3, 8},
                             .version = 4,
                             .window = 123,
                             .limit = 4.75,
-                            .held = 17,
+                            .queued_requests = 17,
                             .running = 5,
                             .core_time = 987'654'321,
                             .request_classes = {{"read", 10, 2, 7, 6, 1}, {"book", 5, 4, 3, 2, 0}}};
--- a/tests/group_committer_test.cpp
+++ b/tests/group_committer_test.cpp
@@ -16,7 +16,7 @@
 struct GroupCommitterTest : testing::Test {
   GroupCommitterTest() : store(disk, {}, steady_now, 1) { store.open(); }
   void begin(CommitterOptions options = {
-                 .slow_after = 30 * kMs, .initial_backoff = 5 * kMs, .max_backoff = 20 * kMs}) {
+                 .slow_commit_threshold = 30 * kMs, .initial_backoff = 5 * kMs, .max_backoff = 20 * kMs}) {
     committer = std::make_unique<GroupCommitter>(store, options, steady_now, [this] { ++wakes; });
   }
   // Turns the loop until it holds, for five seconds at most.
--- a/tests/grpc_client_test.cpp
+++ b/tests/grpc_client_test.cpp
@@ -224,8 +224,9 @@
   world.connect();
   ASSERT_TRUE(world.ready());
   ASSERT_TRUE(await([&] {
-    return world.control->run_in_loop(
-        [](Control& control) { return control.router().published()->snapshot.nodes[0].in_flight == 5; });
+    return world.control->run_in_loop([](ControlService& control) {
+      return control.router().published()->snapshot.nodes[0].in_flight == 5;
+    });
   }));
   // What is in flight at once never goes beyond the bound, and more is refused at once. The client may hear
   // of the bound a moment after control has set it: what it does with twelve at once is asked until it has.
--- a/tests/idempotency_records_test.cpp
+++ b/tests/idempotency_records_test.cpp
@@ -32,7 +32,7 @@
 
 TEST(IdempotencyRecordsTest, RetryOfAnIntentWithoutOutcomeFails) {
   IdempotencyRecords records;
-  EXPECT_EQ(records.restore("a", "I", kWindow), IdempotencyRecords::Restored::kUnderstood);
+  EXPECT_EQ(records.restore("a", "I", kWindow), IdempotencyRecords::RestoreResult::kRestored);
   EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kFail);
   EXPECT_EQ(records.handle("a", Event::kRequestedDiskFailed, {.window = kWindow}), Action::kFail);
   EXPECT_EQ(records.handle("a", Event::kWindowExpired), Action::kForget);
@@ -41,8 +41,8 @@
 
 TEST(IdempotencyRecordsTest, OutcomesSurviveACrash) {
   IdempotencyRecords records;
-  EXPECT_EQ(records.restore("good", "Gwhat it made", kWindow), IdempotencyRecords::Restored::kUnderstood);
-  EXPECT_EQ(records.restore("bad", "B", kWindow), IdempotencyRecords::Restored::kUnderstood);
+  EXPECT_EQ(records.restore("good", "Gwhat it made", kWindow), IdempotencyRecords::RestoreResult::kRestored);
+  EXPECT_EQ(records.restore("bad", "B", kWindow), IdempotencyRecords::RestoreResult::kRestored);
   EXPECT_EQ(records.handle("good", Event::kRequested, {.window = kWindow}), Action::kAnswer);
   EXPECT_EQ(records.find("good")->result, "what it made");
   EXPECT_EQ(records.handle("bad", Event::kRequested, {.window = kWindow}), Action::kFail);
@@ -50,8 +50,9 @@
 
 TEST(IdempotencyRecordsTest, RecordOfUnknownFormatCountsAsOutcomeUnknown) {
   IdempotencyRecords records;
-  EXPECT_EQ(records.restore("a", "Zsomething newer", kWindow), IdempotencyRecords::Restored::kUnknownFormat);
-  EXPECT_EQ(records.restore("b", "", kWindow), IdempotencyRecords::Restored::kUnknownFormat);
+  EXPECT_EQ(records.restore("a", "Zsomething newer", kWindow),
+            IdempotencyRecords::RestoreResult::kUnknownFormat);
+  EXPECT_EQ(records.restore("b", "", kWindow), IdempotencyRecords::RestoreResult::kUnknownFormat);
   EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kFail);
   EXPECT_EQ(records.handle("b", Event::kRequested, {.window = kWindow}), Action::kFail);
 }
@@ -80,7 +81,8 @@
   SmallServer(std::unique_ptr<store::FakeDisk> on, std::map<std::string, int>& engine)
       : disk(std::move(on)),
         store(
-            *disk, {.segment_bytes = 600, .slice_bytes = 300, .max_small = 3}, [this] { return time; }, 5),
+            *disk, {.segment_bytes = 600, .slice_bytes = 300, .max_small_segments = 3},
+            [this] { return time; }, 5),
         ran(engine) {}
   void start() {
     store.open();
--- a/tests/incremental_routing_test.cpp
+++ b/tests/incremental_routing_test.cpp
@@ -14,7 +14,7 @@
 
 // As places among the servers.
 std::vector<int> winners_from_nothing(const std::vector<ServerStatus>& servers, std::size_t shards) {
-  std::vector<int> out(shards, kNobody);
+  std::vector<int> out(shards, kNoServer);
   for (std::size_t shard = 0; shard < shards; ++shard) {
     double best = 0;
     for (std::size_t place = 0; place < servers.size(); ++place) {
@@ -23,8 +23,9 @@
       std::uint64_t hash = XXH3_64bits_withSeed(one.node.name.data(), one.node.name.size(), shard);
       double score =
           one.node.capacity / -std::log((static_cast<double>(hash >> 11) + 0.5) / 9007199254740992.0);
-      int priority = out[shard] == kNobody ? 0 : servers[static_cast<std::size_t>(out[shard])].node.priority;
-      bool wins = out[shard] == kNobody || one.node.priority < priority ||
+      int priority =
+          out[shard] == kNoServer ? 0 : servers[static_cast<std::size_t>(out[shard])].node.priority;
+      bool wins = out[shard] == kNoServer || one.node.priority < priority ||
                   (one.node.priority == priority && score > best);
       if (!wins) continue;
       out[shard] = static_cast<int>(place);
@@ -48,7 +49,7 @@
   out.in_flight = was ? was->in_flight : 0;
   if (!server.in_service()) {
     bool draining = server.out_for_maintenance || server.state == ServerState::kDraining;
-    out.health = draining ? Health::kDraining : Health::kOut;
+    out.health = draining ? Health::kDraining : Health::kOutOfRotation;
     return out;
   }
   out.health = Health::kHealthy;
@@ -66,7 +67,7 @@
                .shard_digits = fleet.bounds.shard_digits,
                .retry_budget = fleet.bounds.retry_budget,
                .expected_proxies = fleet.proxies,
-               .closed_retry_after = fleet.longest_window(),
+               .closed_retry_after = fleet.longest_deduplication_window(),
                .nodes = {},
                .request_classes = {},
                .tenants = {},
@@ -100,7 +101,7 @@
     fleet::Fleet out = small_fleet(12);
     out.bounds.publish_interval = 0;
     out.bounds.shard_digits = 1;
-    out.bounds.dwell = 200 * kMs;
+    out.bounds.min_time_out_of_rotation = 200 * kMs;
     out.bounds.slow_start = 300 * kMs;
     out.bounds.max_migrating = 0.3;
     out.request_classes[2].deduplication_window = 500 * kMs;
@@ -194,7 +195,7 @@
       default:
         reorder();
     }
-    world.router.fleet_changed(world.fleet, world.now);
+    world.router.update_fleet(world.fleet, world.now);
   }
 
   FleetWorld world{first()};
--- a/tests/keyed_requests_test.cpp
+++ b/tests/keyed_requests_test.cpp
@@ -92,7 +92,7 @@
   world.engine_up();
   Caller& fake = world.read("a", kWriteClass, "key", 2 * kSecond, "another body");
   Caller& real = world.read("b", kWriteClass, "key");
-  world.service.engine().not_carried_out("RUN", "a");
+  world.service.engine().command_ignored("RUN", "a");
   EXPECT_TRUE(fake.unrecognized);
   world.done("b", Outcome::kOk, "once");
   EXPECT_EQ(real.only(), "completed once");
--- a/tests/leader_lease_test.cpp
+++ b/tests/leader_lease_test.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 struct LeaderLeaseTest : testing::Test {
-  consensus::Heartbeat word_of(const LeaderLease& from, consensus::InstanceId to,
-                               consensus::InstanceId leader, Nanos now, bool confirmed = false) {
+  consensus::Heartbeat word_of(const LeaderLease& from, consensus::ReplicaId to, consensus::ReplicaId leader,
+                               Nanos now, bool confirmed = false) {
     consensus::Heartbeat out;
-    from.fill_stamps(to, 3, leader, now, out);
+    from.fill_heartbeat(to, 3, leader, now, out);
     out.set_confirmed(confirmed);
     return out;
   }
--- a/tests/load_report_test.cpp
+++ b/tests/load_report_test.cpp
@@ -26,9 +26,9 @@
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     std::vector<report::LoadReport> received;
     auto append = [&](report::LoadReport report) { received.push_back(std::move(report)); };
-    report::Malformed malformed{};
+    report::FrameError malformed{};
     std::size_t accepted = report::decode(bytes.substr(0, cut), append, malformed);
-    ASSERT_EQ(malformed, report::Malformed::kNo);
+    ASSERT_EQ(malformed, report::FrameError::kNone);
     accepted += report::decode(bytes.substr(accepted), append, malformed);
     ASSERT_EQ(accepted, bytes.size());
     ASSERT_EQ(received.size(), 2u);
@@ -47,18 +47,18 @@
   for (int i = *rc::gen::inRange(0, 20); i > 0; --i) {
     in.request_classes.push_back({"g" + std::to_string(i), *rc::gen::arbitrary<std::uint64_t>(), 0, 1, 2, 3});
   }
-  report::Malformed malformed{};
+  report::FrameError malformed{};
   std::vector<report::LoadReport> out;
   report::decode(
       report::encode(in), [&](report::LoadReport one) { out.push_back(std::move(one)); }, malformed);
-  RC_ASSERT(malformed == report::Malformed::kNo);
+  RC_ASSERT(malformed == report::FrameError::kNone);
   RC_ASSERT(out.size() == 1u);
   RC_ASSERT(out[0] == in);
 }
 
 RC_GTEST_PROP(LoadReportFrames, AnyBytesAreAcceptedOrRejectedWithinBounds, ()) {
   auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
-  report::Malformed malformed{};
+  report::FrameError malformed{};
   std::size_t accepted = report::decode(
       bytes, [](report::LoadReport) {}, malformed);
   RC_ASSERT(accepted <= bytes.size());
@@ -70,7 +70,7 @@
     for (int flip : {0x01, 0x80, 0xff}) {
       std::string bad = good;
       bad[at] = static_cast<char>(bad[at] ^ flip);
-      report::Malformed malformed{};
+      report::FrameError malformed{};
       std::size_t accepted = report::decode(
           bad, [](report::LoadReport) {}, malformed);
       EXPECT_LE(accepted, bad.size());
@@ -80,7 +80,7 @@
 
 TEST(LoadReportFrames, NewerFramesAreSkippedAndTooLargeOnesRejected) {
   int received = 0;
-  report::Malformed malformed{};
+  report::FrameError malformed{};
   std::string unknown_kind = std::string("\0\0\0\x04\x01\x7f??", 8);
   report::decode(
       unknown_kind + report::encode(some_report()), [&](report::LoadReport) { ++received; }, malformed);
@@ -92,10 +92,10 @@
   EXPECT_EQ(received, 2);
   report::decode(
       std::string("\x7f\0\0\0", 4), [&](report::LoadReport) { ++received; }, malformed);
-  EXPECT_EQ(malformed, report::Malformed::kTooLarge);
+  EXPECT_EQ(malformed, report::FrameError::kTooLarge);
   report::decode(
       std::string("\0\0\0\x02\x09\x01", 6), [&](report::LoadReport) { ++received; }, malformed);
-  EXPECT_EQ(malformed, report::Malformed::kVersion);
+  EXPECT_EQ(malformed, report::FrameError::kUnsupportedVersion);
 }
 
 }  // namespace
--- a/tests/maintenance_rules_test.cpp
+++ b/tests/maintenance_rules_test.cpp
@@ -33,7 +33,7 @@
   }
   Decision next(Nanos elapsed = 0) const {
     Decision out;
-    out.set_format(agreement::kFormat);
+    out.set_format(agreement::kEntryFormat);
     out.set_term(1);
     out.set_basis(state.epoch().number);
     out.set_elapsed_ns(elapsed);
@@ -157,11 +157,11 @@
 TEST_F(MaintenanceRulesTest, HaltCancelsOrderedAndDrainingServersAtOnce) {
   grant_drain_and_order("n1");
   ASSERT_EQ(grant("n2"), ApplyResult::kApplied);
-  fencing::Epoch before = state.owners_epoch();
+  fencing::Epoch before = state.assignments_epoch();
   ASSERT_EQ(apply_release(agreement::RELEASE_HALT), ApplyResult::kApplied);
   EXPECT_EQ(lease("n1")->phase, MaintenancePhase::kCancelling);
   EXPECT_EQ(lease("n2")->phase, MaintenancePhase::kCancelling);
-  EXPECT_GT(state.owners_epoch(), before) << "servers need a newer order that cancels the restart";
+  EXPECT_GT(state.assignments_epoch(), before) << "servers need a newer order that cancels the restart";
   EXPECT_EQ(grant("n3"), ApplyResult::kInvalidMaintenance);
   // It restarted before the cancellation reached it.
   restart("n1", 2);
--- a/tests/memory_budget_test.cpp
+++ b/tests/memory_budget_test.cpp
@@ -29,7 +29,7 @@
   config.key_kb = 30'000;
   ControllerHarness server(config);
   for (int i = 0; i < 4; ++i)
-    server.receive(kReadClass, [](Request& request) { request.has_subject = true; });
+    server.receive(kReadClass, [](Request& request) { request.has_lookup_key = true; });
   EXPECT_EQ(server.count("retain key"), 2);
   EXPECT_EQ(server.count("reject"), 0);
 }
--- a/tests/net_story.h
+++ b/tests/net_story.h
@@ -120,8 +120,8 @@
 
 struct NetTest : testing::Test, service::Logger {
   void line(const std::string& text) override { lines.push_back(text); }
-  void frequent(const std::string& text) override { lines.push_back(text); }
-  void routine(const std::string& text) override { lines.push_back(text); }
+  void write_rate_limited(const std::string& text) override { lines.push_back(text); }
+  void write_routine(const std::string& text) override { lines.push_back(text); }
   bool logged(const std::string& part) const {
     for (const std::string& each : lines) {
       if (each.find(part) != std::string::npos) return true;
@@ -150,7 +150,7 @@
     until([&, end = loop.now() + how_long] { return loop.now() >= end; });
   }
 
-  explicit NetTest(std::size_t result_bytes = 1'000) : world(calling_much(), result_bytes) {
+  explicit NetTest(std::size_t max_result_bytes = 1'000) : world(calling_much(), max_result_bytes) {
     world.time = loop.now();
   }
 
@@ -162,8 +162,8 @@
 struct FastCgiServerTest : NetTest {
   FastCgiServerTest() : FastCgiServerTest(12, 300'000, {}, 1'000) {}
   FastCgiServerTest(std::size_t connections, std::size_t bytes, const peers::SlowClientOptions& config,
-                    std::size_t result_bytes)
-      : NetTest(result_bytes),
+                    std::size_t max_result_bytes)
+      : NetTest(max_result_bytes),
         port(free_port()),
         front(loop, *this, at_port(port), connections, bytes, config) {
     world.engine_up();
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -32,7 +32,7 @@
   Plain prober = connected();
   prober.write(request(1, "/-/healthy", "a=1&probe=1"));
   ASSERT_TRUE(until([&] { return world.test_token != 0; }));
-  world.service.engine().tested(world.test_token, false);
+  world.service.engine().test_completed(world.test_token, false);
   EXPECT_TRUE(comes(prober, "Status: 503"));
 }
 
@@ -69,7 +69,7 @@
   for (int i = 1; i <= 3; ++i) peer.write(request(i, "/api/v2/read", "00000000000000a" + std::to_string(i)));
   ASSERT_TRUE(until([&] { return world.count("run 00000000000000a2") == 1; }));
   for (int i = 1; i <= 3; ++i)
-    world.service.engine().not_carried_out("RUN", "00000000000000a" + std::to_string(i));
+    world.service.engine().command_ignored("RUN", "00000000000000a" + std::to_string(i));
   EXPECT_TRUE(comes(peer, "(end)"));
   EXPECT_TRUE(until([&] { return logged("ended: malformed"); }));
 }
@@ -86,7 +86,7 @@
       world.done(id(i), Outcome::kIgnored, "");
       EXPECT_TRUE(comes(peer, "Status: 500"));
     } else if (i % 2) {
-      world.service.engine().not_carried_out("RUN", id(i));
+      world.service.engine().command_ignored("RUN", id(i));
       EXPECT_TRUE(comes(peer, "Status: 500"));
     } else {
       world.done(id(i));
@@ -354,10 +354,10 @@
   testing::internal::CaptureStdout();
   {
     Log log(world);
-    for (int i = 0; i < 1000; ++i) log.frequent("storm");
+    for (int i = 0; i < 1000; ++i) log.write_rate_limited("storm");
     log.line("serving -> stalled");
     world.time += kSecond;
-    log.frequent("storm");
+    log.write_rate_limited("storm");
   }
   std::string out = testing::internal::GetCapturedStdout();
   EXPECT_LT(std::count(out.begin(), out.end(), '\n'), 300);
@@ -394,7 +394,7 @@
   EXPECT_TRUE(comes(first, "Q a 250 1\r\nx\r\n"));
   EXPECT_TRUE(comes(second, "Q b 250 2\r\nyz\r\n"));
   first.write("a ROWS 3000000000\r\nxx");
-  EXPECT_TRUE(until([&] { return one.calls_lost > 0; }));
+  EXPECT_TRUE(until([&] { return one.lost_call_count > 0; }));
   second.write("b ROWS 2\r\nbb\r\n");
   EXPECT_TRUE(until([&] { return world.count("feed b bb") == 1; }));
 }
@@ -412,7 +412,7 @@
   database.call(request, "x", 60 * kSecond);
   Plain peer = accept();
   peer.write("a ROWS 20\r\nshort");
-  EXPECT_TRUE(until([&] { return request.calls_lost > 0; }));
+  EXPECT_TRUE(until([&] { return request.lost_call_count > 0; }));
 }
 
 // The request calls again: a copy of its first reply must not be taken for the second call's.
@@ -472,7 +472,7 @@
   service::ServerRequest& request = calling("a");
   database.call(request, "x", 250 * kMs);
   accept().close();
-  EXPECT_TRUE(until([&] { return request.calls_lost > 0; }));
+  EXPECT_TRUE(until([&] { return request.lost_call_count > 0; }));
   listener.close();
   service::ServerRequest& other = calling("b");
   database.call(other, "x", 250 * kMs);
--- a/tests/node_settings_test.cpp
+++ b/tests/node_settings_test.cpp
@@ -14,23 +14,23 @@
 TEST(NodeSettingsTest, ReportsAreOffWithoutAFileAndReadFromOne) {
   EXPECT_TRUE(settings::read_node_settings(nullptr).reports.to.empty());
   TemporaryFile file("version = 1; reports = { to = (\"127.0.0.1:7300\"); every_ms = 100; };");
-  EXPECT_EQ(settings::read_node_settings(file.path().c_str()).reports.every, 100 * kMs);
+  EXPECT_EQ(settings::read_node_settings(file.path().c_str()).reports.report_interval, 100 * kMs);
   TemporaryFile wrong("version = 1; reports = { to = (\"7300\"); };");
   EXPECT_THROW(settings::read_node_settings(wrong.path().c_str()), settings::DocumentError);
 }
 
 TEST(NodeSettingsTest, FaultyFieldsAreRejectedWithTheirLine) {
   auto plain = settings::read_node_settings(nullptr);
-  EXPECT_EQ(plain.slow_peers.min_rate, 500);
+  EXPECT_EQ(plain.slow_clients.min_rate, 500);
   EXPECT_TRUE(plain.store.folder.empty());
   TemporaryFile file(
       "version = 1; slow_peers = { least_bytes_per_s = 900.0; grace_ms = 200; unread_kb = 32.0; };\n"
       "store = { folder = \"/tmp/s\"; };");
   auto read = settings::read_node_settings(file.path().c_str());
-  EXPECT_EQ(read.slow_peers.min_rate, 900);
-  EXPECT_EQ(read.slow_peers.grace, 200 * kMs);
-  EXPECT_EQ(read.slow_peers.unread_share, 32'768u);
-  EXPECT_EQ(read.slow_peers.hurry, plain.slow_peers.hurry);
+  EXPECT_EQ(read.slow_clients.min_rate, 900);
+  EXPECT_EQ(read.slow_clients.grace, 200 * kMs);
+  EXPECT_EQ(read.slow_clients.max_unread_bytes, 32'768u);
+  EXPECT_EQ(read.slow_clients.final_warning_time, plain.slow_clients.final_warning_time);
   EXPECT_EQ(read.store.folder, "/tmp/s");
   for (const char* bad : {"slow_peers = { grace_ms = 1; };", "slow_peers = { grace = 200; };",
                           "slow_peers = { unread_kb = 500.0; };", "store = { folder = 7; };"}) {
--- a/tests/pager_test.cpp
+++ b/tests/pager_test.cpp
@@ -8,9 +8,9 @@
 
 TEST(PagerTest, RowLargerThanAPageHasAPageOfItsOwn) {
   Pager pager(2);
-  EXPECT_FALSE(pager.next(10));
-  EXPECT_TRUE(pager.next(Pager::kMaxBytes + 1));
-  EXPECT_FALSE(pager.next(10));
+  EXPECT_FALSE(pager.add_row(10));
+  EXPECT_TRUE(pager.add_row(Pager::kMaxBytes + 1));
+  EXPECT_FALSE(pager.add_row(10));
   EXPECT_EQ(pager.pages(), 3u);
   EXPECT_EQ(pager.first_row(), 2u);
 }
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -11,14 +11,14 @@
 namespace myrtlecroft::net {
 namespace {
 
-struct Seen : CgiEvents {
-  void requested(CgiRequest request) override {
+struct Seen : CgiRequestHandler {
+  void handle_request(CgiRequest request) override {
     open.insert(request.id);
     requests.push_back(std::move(request));
   }
-  void aborted(std::uint16_t id) override { aborts.push_back(id); }
-  bool in_hand(std::uint16_t id) const override { return open.contains(id); }
-  std::size_t count_in_hand() const override { return open.size(); }
+  void handle_abort(std::uint16_t id) override { aborts.push_back(id); }
+  bool is_unanswered(std::uint16_t id) const override { return open.contains(id); }
+  std::size_t unanswered_count() const override { return open.size(); }
   void reply(std::string_view bytes) override { replies += bytes; }
 
   std::vector<CgiRequest> requests;
@@ -117,18 +117,18 @@
   };
   EXPECT_NE(reply_to(record(9, 0, pair("FCGI_MPXS_CONNS", ""))).find("FCGI_MPXS_CONNS1"), std::string::npos);
   EXPECT_EQ(reply_to(record(77, 0, "")).substr(0, 9), std::string("\x01\x0b\0\0\0\x08\0\0M", 9));
-  EXPECT_EQ(reply_to(begin(5, 2)), answer_records(5, "", ProtocolStatus::kUnknownRole));
-  EXPECT_EQ(reply_to(begin(6) + record(2, 6, "")), answer_records(6, "", ProtocolStatus::kComplete));
+  EXPECT_EQ(reply_to(begin(5, 2)), encode_answer(5, "", ProtocolStatus::kUnknownRole));
+  EXPECT_EQ(reply_to(begin(6) + record(2, 6, "")), encode_answer(6, "", ProtocolStatus::kComplete));
   reply_to(request(7, "") + record(2, 7, "") + record(99, 7, "") + record(5, 1234, "x"));
   EXPECT_EQ(seen.aborts, std::vector<std::uint16_t>{7});
   for (int id = 100; id < 131; ++id) EXPECT_EQ(reply_to(begin(id)), "");
-  EXPECT_EQ(reply_to(begin(131)), answer_records(131, "", ProtocolStatus::kOverloaded));
+  EXPECT_EQ(reply_to(begin(131)), encode_answer(131, "", ProtocolStatus::kOverloaded));
   EXPECT_FALSE(bad);
 }
 
 TEST(Cgi, ALongAnswerTakesSeveralRecords) {
   std::string output(70'000, 'r');
-  std::string bytes = answer_records(3, output, ProtocolStatus::kComplete);
+  std::string bytes = encode_answer(3, output, ProtocolStatus::kComplete);
   EXPECT_EQ(bytes.substr(0, 8), std::string("\x01\x06\0\x03\xff\xf8\0\0", 8));
   EXPECT_EQ(std::count(bytes.begin(), bytes.end(), 'r'), 70'000);
 }
--- a/tests/proxy_registry_test.cpp
+++ b/tests/proxy_registry_test.cpp
@@ -10,13 +10,13 @@
 struct ProxyRegistryTest : testing::Test {
   ProxyRegistryTest() {
     Decision come;
-    come.set_format(kFormat);
+    come.set_format(kEntryFormat);
     come.set_term(1);
     come.add_proxies_here("p");
     come.mutable_picture()->set_number(1);
     EXPECT_EQ(state.apply(come), ApplyResult::kApplied);
   }
-  void update(consensus::InstanceId by, std::uint64_t applied, Nanos at) {
+  void update(consensus::ReplicaId by, std::uint64_t applied, Nanos at) {
     google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
     words.Add()->set_id("p");
     words.rbegin()->set_applied(applied);
@@ -56,7 +56,7 @@
   EXPECT_EQ(book.applied_by_all(state, 1400 * kMs), 0u) << "the last that it had where it was last";
   EXPECT_TRUE(book.here().empty());
   Decision gone;
-  gone.set_format(kFormat);
+  gone.set_format(kEntryFormat);
   gone.set_term(state.epoch().term);
   gone.set_basis(state.epoch().number);
   gone.set_forget_proxies_ns(1);
@@ -71,7 +71,7 @@
 
 TEST_F(ProxyRegistryTest, ProposalNamesOnlyTheProxiesThatConnectedOrDisconnected) {
   Decision more;
-  more.set_format(kFormat);
+  more.set_format(kEntryFormat);
   more.set_term(state.epoch().term);
   more.set_basis(state.epoch().number);
   for (const char* id : {"a", "q", "z"}) more.add_proxies_here(id);
--- a/tests/releases_fakes.h
+++ b/tests/releases_fakes.h
@@ -23,7 +23,7 @@
       {.name = "read", .path = "/read", .latency_objective = 500 * kMs, .client_timeout = 500 * kMs});
   out.maintenance.max_unavailable = max_unavailable;
   out.maintenance.lease_duration = 20 * kSecond;
-  out.bounds.dwell = out.bounds.slow_start = 0;
+  out.bounds.min_time_out_of_rotation = out.bounds.slow_start = 0;
   return out;
 }
 
@@ -60,7 +60,7 @@
   out.report.node = node.name;
   out.report.incarnation = 1;
   out.report.limit = limit;
-  out.report.obeys = true;
+  out.report.accepts_assignments = true;
   out.reported.occupancy.add(requests, kSecond);
   out.reported.reports.add(1, kSecond);
   return out;
--- a/tests/replica_processes_test.cpp
+++ b/tests/replica_processes_test.cpp
@@ -28,7 +28,7 @@
     storage.set_owner(1);
   }
   std::string log = folder + ".out";
-  standin::Child child(
+  standin::ChildProcess child(
       {MYRTLECROFT_CONTROL, "serve", "--fleet", MYRTLECROFT_FLEET, "--xds", "127.0.0.1:9", "--reports",
        "127.0.0.1:9", "--admin", "127.0.0.1:9", "--instance", "2", "--peer", "127.0.0.1:9", "--log", folder},
       log);
@@ -48,9 +48,12 @@
            "groups = ({ name = \"book\"; repeats = \"deduplicated\"; window_ms = 500; timeout_ms = 500; });\n"
            "bounds = { silent_ms = 600; dwell_ms = 100; ramp_ms = 100; settle_ms = 20; shard_digits = 1; "
            "};\n";
-    fleet = std::make_unique<standin::ControlFleet>(
-        standin::ControlFleetOptions{
-            .folder = folder, .fleet = folder + "/fleet.conf", .instances = 3, .agreed = true, .more = more},
+    fleet = std::make_unique<standin::ControlCluster>(
+        standin::ControlClusterOptions{.folder = folder,
+                                       .fleet = folder + "/fleet.conf",
+                                       .instances = 3,
+                                       .replicated = true,
+                                       .more = more},
         taken);
     fleet->start_all();
     for (const auto& place : fleet->all()) {
@@ -102,7 +105,7 @@
     for (auto& one : reporters) one->set("n1", [&](auto& report) { report.draining = draining; });
   }
   std::set<int> taken;
-  std::unique_ptr<standin::ControlFleet> fleet;
+  std::unique_ptr<standin::ControlCluster> fleet;
   std::vector<std::unique_ptr<control::Reporters>> reporters;
 };
 
@@ -112,16 +115,18 @@
   int killed = 0;
   for (int sync = 1; sync <= 6; ++sync) {
     int at = fleet->add();
-    standin::ControlFleet::Place& place = (*fleet)[at];
-    place.faults->die_at_next(sync);
-    fleet->start(at, standin::ControlFleet::Start::kJoin);
+    standin::ControlCluster::ReplicaProcess& place = (*fleet)[at];
+    place.faults->crash_after_syncs(sync);
+    fleet->start(at, standin::ControlCluster::Start::kJoin);
     ASSERT_TRUE(control::await([&] { return leader() >= 0; }));
-    auto let_in = [&] { return "let-in " + std::to_string(at + 1) + " " + standin::on_loopback(place.peer); };
+    auto let_in = [&] {
+      return "let-in " + std::to_string(at + 1) + " " + standin::loopback_address(place.peer);
+    };
     ASSERT_TRUE(control::await([&] {
-      if (!place.process.is_over()) return votes(at) || (ask(leader(), let_in()), false);
+      if (!place.process.has_exited()) return votes(at) || (ask(leader(), let_in()), false);
       ++killed;
-      (*place.faults)->die_at_sync = 0;
-      fleet->start(at, standin::ControlFleet::Start::kJoin);
+      (*place.faults)->crash_at_sync = 0;
+      fleet->start(at, standin::ControlCluster::Start::kJoin);
       return false;
     })) << "killed at sync "
         << sync;
@@ -145,15 +150,15 @@
   for (int sync = 1; sync <= 8; ++sync) {
     int led = leader();
     int at = (std::max(0, led) + 1) % 3;
-    standin::ControlFleet::Place& place = (*fleet)[at];
+    standin::ControlCluster::ReplicaProcess& place = (*fleet)[at];
     std::uint64_t before = ask(at).epoch();
-    place.faults->die_at_next(sync);
+    place.faults->crash_after_syncs(sync);
     ASSERT_TRUE(control::await([&] {
       flap(draining = !draining);
-      return place.process.is_over();
+      return place.process.has_exited();
     })) << "sync "
         << sync;
-    (*place.faults)->die_at_sync = 0;
+    (*place.faults)->crash_at_sync = 0;
     fleet->start(at);
     ASSERT_TRUE(control::await([&] { return has_quorum(at); })) << "sync " << sync;
     EXPECT_GE(ask(at).epoch(), before);
@@ -185,13 +190,13 @@
   int led = leader();
   // An hour ahead: reports look old, which is nothing. Then behind: they look as if from the future.
   for (std::int64_t hours : {1, -1}) {
-    (*(*fleet)[led].faults)->wall_step_ns = hours * 3600 * kSecond;
+    (*(*fleet)[led].faults)->wall_clock_offset_ns = hours * 3600 * kSecond;
     std::uint64_t before = ask(led).epoch();
     ASSERT_TRUE(control::await([&] { return ask(led).epoch() > before + 3; }));
     EXPECT_EQ(leader(), led);
     EXPECT_EQ(ask(led).shards_closed(), 0u);
   }
-  (*(*fleet)[led].faults)->wall_step_ns = 0;
+  (*(*fleet)[led].faults)->wall_clock_offset_ns = 0;
   EXPECT_TRUE(agree({0, 1, 2}));
 }
 
@@ -205,7 +210,7 @@
 
 TEST_F(ReplicaFormatTest, NewerFormatIsWrittenOnceAllInstancesKnowIt) {
   ASSERT_TRUE(control::await([&] { return leader() >= 0; }));
-  fleet->set_more({});
+  fleet->set_extra_options({});
   for (int at = 0; at < 3; ++at) {
     ASSERT_TRUE(control::await([&] { return drain(at).find("knows no releases yet") != std::string::npos; }))
         << drain(at);
@@ -217,7 +222,7 @@
       << drain(0);
   EXPECT_TRUE(agree({0, 1, 2}));
   // What was agreed in the newer form, an older version must not go on from.
-  fleet->set_more({"--hold-format", "1"});
+  fleet->set_extra_options({"--hold-format", "1"});
   (*fleet)[2].process.end(SIGTERM);
   fleet->start(2);
   ASSERT_TRUE(control::await([&] { return leader() >= 0 && leader() != 2; }));
--- a/tests/replicated_state_test.cpp
+++ b/tests/replicated_state_test.cpp
@@ -23,7 +23,7 @@
   }
   Decision next(Nanos elapsed = 0) const {
     Decision out;
-    out.set_format(kFormat);
+    out.set_format(kEntryFormat);
     out.set_term(std::max<std::uint64_t>(1, state.epoch().term));
     out.set_basis(state.epoch().number);
     out.set_elapsed_ns(elapsed);
@@ -160,19 +160,19 @@
   ReplicatedState other;
   ASSERT_TRUE(other.restore(state.image()));
   EXPECT_EQ(other.digest(), state.digest());
-  EXPECT_EQ(other.owners_epoch(), state.owners_epoch());
+  EXPECT_EQ(other.assignments_epoch(), state.assignments_epoch());
   EXPECT_EQ(other.shards()[1].closed_in, state.published());
 }
 
 TEST_F(ReplicatedStateTest, DecisionAndImageOfANewerFormatAreRefused) {
   Decision newer = next();
-  newer.set_format(kFormat + 1);
+  newer.set_format(kEntryFormat + 1);
   EXPECT_EQ(state.apply(newer), ApplyResult::kUnknownFormat);
   StateImage image;
   image.ParseFromString(state.image());
-  image.set_format(kFormat + 1);
+  image.set_format(kEntryFormat + 1);
   EXPECT_FALSE(ReplicatedState().restore(image.SerializeAsString()));
-  EXPECT_EQ(state.apply("\xff\xff"), ApplyResult::kUnreadable);
+  EXPECT_EQ(state.apply("\xff\xff"), ApplyResult::kMalformed);
 }
 
 }  // namespace
--- a/tests/reporter_test.cpp
+++ b/tests/reporter_test.cpp
@@ -51,10 +51,10 @@
     for (ssize_t got; (got = ::recv(peer_, buffer, sizeof buffer, 0)) > 0;)
       in_.append(buffer, std::size_t(got));
     std::vector<report::LoadReport> out;
-    report::Malformed malformed{};
+    report::FrameError malformed{};
     in_.erase(0, report::decode(
                      in_, [&](report::LoadReport one) { out.push_back(std::move(one)); }, malformed));
-    EXPECT_EQ(malformed, report::Malformed::kNo);
+    EXPECT_EQ(malformed, report::FrameError::kNone);
     return out;
   }
 
@@ -88,12 +88,12 @@
     out.sin_port = htons(4101);
     return out;
   }();
-  Reporter reporter{loop, world, world.service, "n1", listen};
+  LoadReporter reporter{loop, world, world.service, "n1", listen};
 };
 
-TEST(Reporter, TellsHowTheNodeFares) {
+TEST(LoadReporter, TellsHowTheNodeFares) {
   Node node;
-  node.reporter.report_to({.to = {node.control.address()}, .every = 5 * kMs});
+  node.reporter.set_report_settings({.to = {node.control.address()}, .report_interval = 5 * kMs});
   std::vector<report::LoadReport> came;
   auto next = [&](const std::function<bool(const report::LoadReport&)>& fits) {
     return node.run_until([&] {
@@ -119,26 +119,27 @@
   for (std::size_t i = 1; i < came.size(); ++i) EXPECT_EQ(came[i].sequence, came[i - 1].sequence + 1);
 }
 
-TEST(Reporter, ConnectsAgainToOneThatWasGone) {
+TEST(LoadReporter, ConnectsAgainToOneThatWasGone) {
   Node node;
-  node.reporter.report_to({.to = {node.control.address()}, .every = 5 * kMs});
+  node.reporter.set_report_settings({.to = {node.control.address()}, .report_interval = 5 * kMs});
   ASSERT_TRUE(node.run_until([&] { return node.control.accept() && !node.control.read().empty(); }));
   node.control.drop();
   ASSERT_TRUE(node.run_until([&] { return node.control.accept() && !node.control.read().empty(); }));
 }
 
-TEST(Reporter, SettingsReadAgainKeepTheConnectionAndAnAddressThatComesTwiceHarmsNothing) {
+TEST(LoadReporter, SettingsReadAgainKeepTheConnectionAndAnAddressThatComesTwiceHarmsNothing) {
   Node node;
-  node.reporter.report_to({.to = {node.control.address()}, .every = 5 * kMs});
+  node.reporter.set_report_settings({.to = {node.control.address()}, .report_interval = 5 * kMs});
   ASSERT_TRUE(node.run_until([&] { return node.control.accept() && !node.control.read().empty(); }));
-  node.reporter.report_to({.to = {node.control.address(), node.control.address()}, .every = 5 * kMs});
+  node.reporter.set_report_settings(
+      {.to = {node.control.address(), node.control.address()}, .report_interval = 5 * kMs});
   EXPECT_TRUE(node.run_until([&] { return !node.control.read().empty(); }));
   EXPECT_FALSE(node.control.closed());
 }
 
-TEST(Reporter, OneThatReadsNothingCostsBoundedMemory) {
+TEST(LoadReporter, OneThatReadsNothingCostsBoundedMemory) {
   Node node;
-  node.reporter.report_to({.to = {node.control.address()}, .every = kMs});
+  node.reporter.set_report_settings({.to = {node.control.address()}, .report_interval = kMs});
   ASSERT_TRUE(node.run_until([&] { return node.control.accept(); }));
   // Far more reports than socket buffers and our own bound hold.
   std::size_t max = 0;
@@ -151,9 +152,9 @@
   EXPECT_FALSE(node.control.closed()) << "it is slow, no more";
 }
 
-TEST(Reporter, OneThatSaysAnythingIsLetGo) {
+TEST(LoadReporter, OneThatSaysAnythingIsLetGo) {
   Node node;
-  node.reporter.report_to({.to = {node.control.address()}, .every = 5 * kMs});
+  node.reporter.set_report_settings({.to = {node.control.address()}, .report_interval = 5 * kMs});
   ASSERT_TRUE(node.run_until([&] { return node.control.accept() && !node.control.read().empty(); }));
   node.control.say("do this");
   EXPECT_TRUE(node.run_until([&] { return node.control.closed(); }));
--- a/tests/retry_advice_test.cpp
+++ b/tests/retry_advice_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(RetryAdviceTest, AllowanceFollowsTheThroughputOfASlowServer) {
   ServiceConfig config = two_core_config();
-  config.advertised_capacity = AdvertisedCapacity::kAllowance;
+  config.advertised_capacity = AdvertisedCapacity::kMaxInFlight;
   ControllerHarness server(config);
   server.serve(20, 100 * kMs);
   double quick = server.advertised;
@@ -28,7 +28,7 @@
 
 TEST(RetryAdviceTest, AllowanceOfMoreCallersThanPositionsFallsBelowOneWithRejections) {
   ServiceConfig config = two_core_config();
-  config.advertised_capacity = AdvertisedCapacity::kAllowance;
+  config.advertised_capacity = AdvertisedCapacity::kMaxInFlight;
   config.callers = 1000;
   ControllerHarness server(config);
   server.advance(kSecond);
@@ -40,7 +40,7 @@
 
 TEST(RetryAdviceTest, FloorRisesWithRejectionsAndFallsWithoutThem) {
   ServiceConfig config = two_core_config();
-  config.advertised_capacity = AdvertisedCapacity::kFloor;
+  config.advertised_capacity = AdvertisedCapacity::kMinPriority;
   ControllerHarness server(config);
   server.receive_many(100);
   server.advance(2 * kSecond);
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -47,7 +47,7 @@
     Decision decision = routing_decision();
     std::uint64_t applied = state.published();
     decision.set_applied(applied);
-    agreement::DecisionSection::View view{
+    agreement::DecisionContributor::View view{
         state, router, commands, applied, state.time() + decision.elapsed_ns(), now};
     rollout_controller.observe(view);
     if (!reports_are_lost) rollout_controller.append_steps(view, decision);
@@ -63,7 +63,7 @@
   Decision routing_decision() {
     auto next = router.step(now);
     Decision decision;
-    decision.set_format(agreement::kFormat);
+    decision.set_format(agreement::kEntryFormat);
     decision.set_term(1);
     decision.set_basis(state.epoch().number);
     decision.set_elapsed_ns(state.epoch().number > 0 ? 100 * kMs : 0);
@@ -86,7 +86,7 @@
     SimulatedServer& node = nodes[index];
     std::string name = "n" + std::to_string(index + 1);
     const agreement::MaintenanceLease* lease = state.maintenance().lease(name);
-    if (!orders_are_lost) node.epoch = state.owners_epoch();
+    if (!orders_are_lost) node.epoch = state.assignments_epoch();
     if (!orders_are_lost && node.alive && lease && lease->phase == MaintenancePhase::kRestarting &&
         lease->incarnation == node.incarnation) {
       node.alive = false;
@@ -106,7 +106,7 @@
     report.address = "127.0.0.1:" + std::to_string(4101 + index);
     report.incarnation = node.incarnation;
     report.sequence = ++node.sequence;
-    report.engine_up = report.obeys = true;
+    report.engine_up = report.accepts_assignments = true;
     report.epoch = node.epoch;
     report.version = static_cast<std::uint8_t>(node.version);
     report.window = 20;
@@ -199,7 +199,7 @@
   for (const fleet::Node& node : fleet.nodes) fleet.services[0].used_by.push_back(node.name);
   fleet.services[0].name = "ledger";
   fleet.services[0].max_unavailable = {.by_count = true, .max = 2};
-  router.fleet_changed(fleet, now);
+  router.update_fleet(fleet, now);
   run(5 * kSecond);
   start(2);
   run(kSecond);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -29,7 +29,7 @@
   second.without_reports = {{"n1", true}, {"n3", true}};
   second.run(kSecond);
   EXPECT_EQ(second.route("n1").health, Health::kHealthy);
-  EXPECT_EQ(second.route("n2").health, Health::kOut);
+  EXPECT_EQ(second.route("n2").health, Health::kOutOfRotation);
   for (std::size_t shard = 0; shard < 256; ++shard) EXPECT_NE(second.owner(shard), "n2");
 }
 
--- a/tests/routing_fakes.h
+++ b/tests/routing_fakes.h
@@ -86,7 +86,8 @@
         }
         report(name);
       }
-      if (proxies_apply) router.all_proxies_applied(router.published() ? router.published()->number : 0);
+      if (proxies_apply)
+        router.set_applied_by_all_proxies(router.published() ? router.published()->number : 0);
       if (auto next = router.step(now)) published.push_back(next);
     }
   }
--- a/tests/saved_state_test.cpp
+++ b/tests/saved_state_test.cpp
@@ -32,7 +32,7 @@
   std::ofstream(site.folder.file("state")) << "MYRTCTRL";
   net::Loop loop;
   RecordingLogger log;
-  EXPECT_THROW(Control(loop, log, site.options()), StateFolderError);
+  EXPECT_THROW(ControlService(loop, log, site.options()), StateFolderError);
 }
 
 }  // namespace
--- a/tests/server_registry_test.cpp
+++ b/tests/server_registry_test.cpp
@@ -14,11 +14,11 @@
   EXPECT_EQ(world.route("n2").health, Health::kHealthy);
   world.without_reports["n2"] = true;
   world.run(world.fleet.bounds.lost_after + 300 * kMs);
-  EXPECT_EQ(world.route("n2").health, Health::kOut);
+  EXPECT_EQ(world.route("n2").health, Health::kOutOfRotation);
   EXPECT_EQ(world.route("n1").health, Health::kHealthy);
   world.without_reports.clear();
   world.run(kSecond);
-  EXPECT_EQ(world.route("n2").health, Health::kOut) << "before its dwell is over";
+  EXPECT_EQ(world.route("n2").health, Health::kOutOfRotation) << "before its dwell is over";
   world.run(5 * kSecond);
   EXPECT_EQ(world.route("n2").health, Health::kHealthy);
 }
@@ -47,11 +47,11 @@
     report::LoadReport report = world.reports["n1"];
     report.sequence += 100 + static_cast<std::uint64_t>(i);
     report.sent_unix = world.now + kSecond * 3600;
-    EXPECT_EQ(world.router.handle_report(report, world.now, world.now), ServerRegistry::Verdict::kFuture);
+    EXPECT_EQ(world.router.handle_report(report, world.now, world.now), ServerRegistry::Verdict::kClockAhead);
     report.sent_unix = world.now;
     report.address = "127.0.0.1:9999";
     EXPECT_EQ(world.router.handle_report(report, world.now, world.now),
-              ServerRegistry::Verdict::kOtherAddress);
+              ServerRegistry::Verdict::kAddressMismatch);
     report.node = "stranger";
     EXPECT_EQ(world.router.handle_report(report, world.now, world.now),
               ServerRegistry::Verdict::kUnknownNode);
@@ -68,9 +68,9 @@
   FleetWorld world;
   world.run(3 * kSecond);
   fleet::Fleet more = small_fleet(4);
-  world.router.fleet_changed(more, world.now);
+  world.router.update_fleet(more, world.now);
   world.run(kSecond);
-  EXPECT_EQ(world.route("n4").health, Health::kOut);
+  EXPECT_EQ(world.route("n4").health, Health::kOutOfRotation);
   world.reports["n4"] = world.reports["n1"];
   world.reports["n4"].node = "n4";
   world.reports["n4"].address = "127.0.0.1:4104";
@@ -83,9 +83,9 @@
   world.run(3 * kSecond);
   fleet::Fleet moved = small_fleet();
   moved.nodes[0].port = 5000;
-  world.router.fleet_changed(moved, world.now);
+  world.router.update_fleet(moved, world.now);
   world.run(kSecond);
-  EXPECT_EQ(world.route("n1").health, Health::kOut) << "the reports come from the old address";
+  EXPECT_EQ(world.route("n1").health, Health::kOutOfRotation) << "the reports come from the old address";
   for (std::size_t shard = 0; shard < 256; ++shard) EXPECT_NE(world.owner(shard), "n1");
 }
 
@@ -93,15 +93,15 @@
   FleetWorld world;
   std::rotate(world.fleet.nodes.begin(), world.fleet.nodes.begin() + 1, world.fleet.nodes.end());
   world.fleet.nodes[0].port = 4999;  // n2
-  std::uint64_t layout = world.router.registry().layout();
-  world.router.fleet_changed(world.fleet, world.now);
+  std::uint64_t layout_generation = world.router.registry().layout_generation();
+  world.router.update_fleet(world.fleet, world.now);
   const ServerRegistry& servers = world.router.registry();
-  EXPECT_NE(servers.layout(), layout);
-  EXPECT_EQ(servers.place_of("n1"), 2);
-  EXPECT_EQ(servers.place_of("n9"), -1);
-  ASSERT_TRUE(servers.server_at("127.0.0.1:4999"));
-  EXPECT_EQ(servers.server_at("127.0.0.1:4999")->node.name, "n2");
-  EXPECT_EQ(servers.server_at("127.0.0.1:4102"), nullptr);
+  EXPECT_NE(servers.layout_generation(), layout_generation);
+  EXPECT_EQ(servers.index_of("n1"), 2);
+  EXPECT_EQ(servers.index_of("n9"), -1);
+  ASSERT_TRUE(servers.server_at_address("127.0.0.1:4999"));
+  EXPECT_EQ(servers.server_at_address("127.0.0.1:4999")->node.name, "n2");
+  EXPECT_EQ(servers.server_at_address("127.0.0.1:4102"), nullptr);
 }
 
 }  // namespace
--- a/tests/server_states_test.cpp
+++ b/tests/server_states_test.cpp
@@ -14,7 +14,7 @@
   world.hung["n3"] = true;
   world.run(2500 * kMs);
   EXPECT_EQ(world.server("n3").state, ServerState::kUnresponsive);
-  EXPECT_EQ(world.route("n3").health, Health::kOut);
+  EXPECT_EQ(world.route("n3").health, Health::kOutOfRotation);
 }
 
 TEST(ServerStates, ServerIsUnresponsiveWhenProxiesGetNoAnswers) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -39,7 +39,7 @@
   FakeWorld world;
   world.engine_up();
   Caller& caller = world.read("a", kWriteClass, "key");
-  world.service.engine().not_carried_out("RUN", "a");
+  world.service.engine().command_ignored("RUN", "a");
   EXPECT_EQ(caller.only(), "terminated");
   world.read("b", kWriteClass, "key");
   EXPECT_EQ(world.count("run b"), 1);
@@ -48,7 +48,7 @@
 TEST(ServiceTest, EveryRequestIsAnsweredInTimeWhileTheEngineHangs) {
   FakeWorld world;
   world.engine_up();
-  world.service.engine().lost();
+  world.service.engine().link_lost();
   std::vector<Caller*> callers;
   for (int i = 0; i < 6; ++i)
     callers.push_back(&world.read("x" + std::to_string(i), kReadClass, "", kSecond));
@@ -76,16 +76,16 @@
   world.service.health_check(one, true);
   world.service.health_check(two, true);
   EXPECT_EQ(world.count("test"), 1);
-  world.service.engine().tested(world.test_token, true);
+  world.service.engine().test_completed(world.test_token, true);
   EXPECT_EQ(one.only(), "completed ");
   EXPECT_EQ(two.only(), "completed ");
   world.service.health_check(three, true);
   world.pass(2 * kSecond);
   EXPECT_EQ(three.only(), "denied");
   world.service.health_check(five, true);
-  world.service.engine().not_carried_out("TEST", "");  // the site allows no tests: the reported health counts
+  world.service.engine().command_ignored("TEST", "");  // the site allows no tests: the reported health counts
   EXPECT_EQ(five.only(), "completed ");
-  world.service.engine().lost();
+  world.service.engine().link_lost();
   world.service.health_check(four, true);
   EXPECT_EQ(four.only(), "denied");
 }
--- a/tests/session_gate_test.cpp
+++ b/tests/session_gate_test.cpp
@@ -14,13 +14,13 @@
     auto one = std::make_shared<xds::Resource>();
     one->name = "fleet";
     one->version = std::to_string(number);
-    out->by_type[static_cast<std::size_t>(xds::Type::kListeners)]["fleet"] = one;
+    out->by_type[static_cast<std::size_t>(xds::ResourceType::kListeners)]["fleet"] = one;
     return out;
   }
   std::string asks(const std::string& id, Nanos now) {
-    xds::StreamId stream = table.open(xds::Form::kStateOfTheWorld, "peer");
+    xds::StreamId stream = table.open(xds::ProtocolVariant::kStateOfTheWorld, "peer");
     xds::Request request;
-    request.type = xds::Type::kListeners;
+    request.type = xds::ResourceType::kListeners;
     request.names = {"fleet"};
     table.request(stream, id, "a", request, now);
     last_stream = stream;
--- a/tests/shard_assignment_codec_test.cpp
+++ b/tests/shard_assignment_codec_test.cpp
@@ -10,17 +10,17 @@
   fencing::ShardAssignment order{{3, 44}, 17, 2, {0, 7, 255}};
   std::string bytes = report::encode(order);
   fencing::ShardAssignment read;
-  report::Malformed malformed{};
+  report::FrameError malformed{};
   EXPECT_EQ(
       report::decode(bytes, {.report = {}, .order = [&](const fencing::ShardAssignment& one) { read = one; }},
                      malformed),
       bytes.size());
-  EXPECT_EQ(malformed, report::Malformed::kNo);
+  EXPECT_EQ(malformed, report::FrameError::kNone);
   EXPECT_EQ(read, order);
   bytes.resize(bytes.size() - 1);
   bytes[3] = static_cast<char>(bytes[3] - 1);
   report::decode(bytes, {.report = {}, .order = [](const fencing::ShardAssignment&) {}}, malformed);
-  EXPECT_EQ(malformed, report::Malformed::kBody) << "a cut order is none";
+  EXPECT_EQ(malformed, report::FrameError::kInvalidBody) << "a cut order is none";
 }
 
 }  // namespace
--- a/tests/shards_test.cpp
+++ b/tests/shards_test.cpp
@@ -24,7 +24,7 @@
   world.without_reports["n1"] = true;
   world.run(1500 * kMs);
   for (std::size_t shard : of_n1) EXPECT_EQ(world.owner(shard), "");
-  world.run(world.fleet.longest_window() - kSecond);
+  world.run(world.fleet.longest_deduplication_window() - kSecond);
   for (std::size_t shard : of_n1) EXPECT_EQ(world.owner(shard), "");
   world.run(2 * kSecond);
   for (std::size_t shard : of_n1) EXPECT_NE(world.owner(shard), "");
@@ -40,7 +40,7 @@
   std::size_t closed = world.router.shards().closed();
   EXPECT_GT(closed, 40u);
   world.proxies_apply = true;
-  world.run(world.fleet.longest_window() + kSecond);
+  world.run(world.fleet.longest_deduplication_window() + kSecond);
   EXPECT_LT(world.router.shards().closed(), closed);
 }
 
@@ -61,7 +61,7 @@
   world.reports["n1"].incarnation = 200;  // restarted between two reports, and warmed up
   world.run(300 * kMs);
   EXPECT_GT(world.router.shards().closed(), 40u);
-  world.run(world.fleet.longest_window() - kSecond);
+  world.run(world.fleet.longest_deduplication_window() - kSecond);
   EXPECT_GT(world.router.shards().closed(), 40u);
   world.run(2 * kSecond);
   EXPECT_EQ(world.router.shards().closed(), 0u);
@@ -71,7 +71,7 @@
   FleetWorld world(small_fleet(), std::nullopt, false);
   world.run(kSecond);
   EXPECT_EQ(world.router.shards().closed(), 256u);
-  world.run(world.fleet.longest_window() + kSecond);
+  world.run(world.fleet.longest_deduplication_window() + kSecond);
   EXPECT_EQ(world.router.shards().closed(), 0u);
 }
 
@@ -79,7 +79,7 @@
   FleetWorld world;
   world.run(3 * kSecond);
   fleet::Fleet more = small_fleet(4);
-  world.router.fleet_changed(more, world.now);
+  world.router.update_fleet(more, world.now);
   world.reports["n4"] = world.reports["n1"];
   world.reports["n4"].node = "n4";
   world.reports["n4"].address = "127.0.0.1:4104";
@@ -114,7 +114,7 @@
       if (world.now >= stalled_until[i] && random() % 8 == 0) proxy = world.router.published();
       applied = std::min(applied, proxy ? proxy->number : 0);
     }
-    world.router.all_proxies_applied(applied);
+    world.router.set_applied_by_all_proxies(applied);
     if (random() % 60 == 0) {
       std::string name = "n" + std::to_string(1 + random() % 5);
       switch (random() % 4) {
--- a/tests/simulated_replicas_test.cpp
+++ b/tests/simulated_replicas_test.cpp
@@ -9,12 +9,12 @@
 // A few seeds of what `make measure-agreement_sim` plays by the thousand.
 TEST(SimulatedReplicasTest, NothingIsDecidedTwiceUnderAnyFault) {
   for (std::uint32_t seed = 1; seed <= 16; ++seed) {
-    rehearsal::WorldOptions options;
+    rehearsal::SimulationOptions options;
     options.seed = seed;
     options.instances = seed % 2 ? 3 : 5;
-    rehearsal::WorldResult result = rehearsal::World(options).play();
+    rehearsal::SimulationResult result = rehearsal::Simulation(options).play();
     EXPECT_EQ(result.violations(), 0) << result.first;
-    EXPECT_EQ(result.wrong_drafts, 0) << "seed " << seed;
+    EXPECT_EQ(result.invalid_proposals, 0) << "seed " << seed;
     EXPECT_GT(result.runs, 500u) << "seed " << seed;
   }
 }
@@ -23,22 +23,22 @@
 TEST(SimulatedReplicasTest, FolderRestoredFromAnOlderCopyIsDetected) {
   int refused = 0;
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
-    rehearsal::WorldOptions options;
+    rehearsal::SimulationOptions options;
     options.seed = seed;
     options.instances = 5;
     options.faults_per_s = 1;
-    rehearsal::WorldResult result = rehearsal::World(options).play();
+    rehearsal::SimulationResult result = rehearsal::Simulation(options).play();
     EXPECT_EQ(result.violations(), 0) << result.first;
-    refused += result.refused_folders;
+    refused += result.rejected_old_folders;
   }
   EXPECT_GT(refused, 0);
 }
 
 TEST(SimulatedReplicasTest, SameSeedGivesTheSameRun) {
-  rehearsal::WorldOptions options;
+  rehearsal::SimulationOptions options;
   options.seed = 11;
-  rehearsal::WorldResult first = rehearsal::World(options).play();
-  rehearsal::WorldResult second = rehearsal::World(options).play();
+  rehearsal::SimulationResult first = rehearsal::Simulation(options).play();
+  rehearsal::SimulationResult second = rehearsal::Simulation(options).play();
   EXPECT_EQ(first.decisions, second.decisions);
   EXPECT_EQ(first.runs, second.runs);
   EXPECT_EQ(first.rejected, second.rejected);
