--- a/tests/slow_client_policy_test.cpp
+++ b/tests/slow_client_policy_test.cpp
@@ -10,16 +10,17 @@
 namespace myrtlecroft::peers {
 namespace {
 
-struct Peer final : PacedPeer {
-  ConnectionProgress standing() const override { return now; }
-  void paced(Effect effect) override {
+struct Peer final : MonitoredConnection {
+  ConnectionProgress current_progress() const override { return now; }
+  void apply_effect(Effect effect) override {
     effects.push_back(effect);
-    if (effect == Effect::kPause) reading = false;
-    if (effect == Effect::kReadOn) reading = true;
-    if (effect == Effect::kCancel) now.awaited = 0;
+    if (effect == Effect::kPauseReading) reading = false;
+    if (effect == Effect::kResumeReading) reading = true;
+    if (effect == Effect::kCancelRequest) now.awaited = 0;
   }
   bool dropped() const {
-    return !effects.empty() && (effects.back() == Effect::kDropSlow || effects.back() == Effect::kDropUnread);
+    return !effects.empty() &&
+           (effects.back() == Effect::kCloseSlowSender || effects.back() == Effect::kCloseSlowReader);
   }
   ConnectionProgress now;
   std::vector<Effect> effects;
@@ -29,11 +30,11 @@
 
 struct SlowClientPolicyTest : testing::Test {
   ~SlowClientPolicyTest() override {
-    for (Peer& peer : peers) pacing.leave(peer.account);
+    for (Peer& peer : peers) slow_client_policy.remove_connection(peer.account);
   }
   Peer& comes(BalancerKey key = {1, 1}) {
     Peer& peer = peers.emplace_back();
-    pacing.join(peer.account, peer, key);
+    slow_client_policy.add_connection(peer.account, peer, key);
     return peer;
   }
   // A request that has begun, with so many bytes of it there.
@@ -41,14 +42,14 @@
     Peer& peer = comes(key);
     peer.now.in = bytes;
     peer.now.awaited = 2;
-    pacing.watch(peer.account, time);
+    slow_client_policy.start_watching(peer.account, time);
     return peer;
   }
   // Answers that wait to be taken.
   Peer& reads(std::size_t unread, BalancerKey key = {1, 1}) {
     Peer& peer = comes(key);
     peer.now.unread = unread;
-    pacing.watch(peer.account, time);
+    slow_client_policy.start_watching(peer.account, time);
     return peer;
   }
   // Lets time go by in steps in which `moves` may move bytes.
@@ -57,7 +58,7 @@
     for (Nanos end = time + how_long; time < end;) {
       time += 50 * kMs;
       moves();
-      pacing.look(time);
+      slow_client_policy.evaluate_due_connections(time);
     }
   }
   void pass(Nanos how_long) {
@@ -65,13 +66,14 @@
   }
 
   Nanos time = kSecond;
-  SlowClientPolicy pacing{SlowClientOptions{}, SlowClientLimits{.bytes = 1'000'000, .peers = 100}};
+  SlowClientPolicy slow_client_policy{SlowClientOptions{},
+                                      SlowClientLimits{.bytes = 1'000'000, .peers = 100}};
   std::deque<Peer> peers;
 };
 
 TEST_F(SlowClientPolicyTest, AQuietPeerIsNeverLookedAt) {
   Peer& peer = comes();
-  EXPECT_EQ(pacing.next_look(), 0);
+  EXPECT_EQ(slow_client_policy.next_evaluation_at(), 0);
   pass(100 * kSecond);
   EXPECT_EQ(peer.account.state(), State::kIdle);
   EXPECT_TRUE(peer.effects.empty());
@@ -93,9 +95,9 @@
   EXPECT_EQ(peer.account.state(), State::kFinalWarning);
   EXPECT_TRUE(peer.effects.empty());
   pass(600 * kMs);
-  EXPECT_EQ(peer.effects, std::vector{Effect::kDropSlow});
-  EXPECT_EQ(peer.account.state(), State::kGone);
-  EXPECT_EQ(pacing.watched(), 0u);
+  EXPECT_EQ(peer.effects, std::vector{Effect::kCloseSlowSender});
+  EXPECT_EQ(peer.account.state(), State::kRemoved);
+  EXPECT_EQ(slow_client_policy.watched(), 0u);
 }
 
 TEST_F(SlowClientPolicyTest, AHurriedOneThatDoesBetterIsServed) {
@@ -116,7 +118,7 @@
 TEST_F(SlowClientPolicyTest, OneRequestDribbledAmongOthersIsCancelledAlone) {
   Peer& peer = writes(100);
   pass(5300 * kMs, [&] { peer.now.in += 500; });  // others come whole beside it
-  EXPECT_EQ(peer.effects, std::vector{Effect::kCancel});
+  EXPECT_EQ(peer.effects, std::vector{Effect::kCancelRequest});
   EXPECT_FALSE(peer.dropped());
 }
 
@@ -134,7 +136,7 @@
   pass(1 * kSecond);
   EXPECT_EQ(peer.account.state(), State::kWriteStalled);
   pass(600 * kMs);
-  EXPECT_EQ(peer.effects.back(), Effect::kDropUnread);
+  EXPECT_EQ(peer.effects.back(), Effect::kCloseSlowReader);
 }
 
 TEST_F(SlowClientPolicyTest, WhatIsOpenIsAnsweredBeforeABlockedPeerIsDropped) {
@@ -162,7 +164,7 @@
 TEST_F(SlowClientPolicyTest, AOneByteWindowIsBelowTheRate) {
   Peer& peer = reads(3'000);
   pass(2 * kSecond, [&] { peer.now.out += 1, peer.now.unread -= 1; });
-  EXPECT_EQ(peer.effects.back(), Effect::kDropUnread);
+  EXPECT_EQ(peer.effects.back(), Effect::kCloseSlowReader);
 }
 
 // Many answers that end in one turn wait together for a moment on any connection.
@@ -170,8 +172,8 @@
   Peer& peer = comes();
   for (int i = 0; i < 20; ++i) {
     peer.now.unread = 130'000;
-    pacing.judge(peer.account, time);
-    pacing.judge(peer.account, time + kMs);
+    slow_client_policy.evaluate(peer.account, time);
+    slow_client_policy.evaluate(peer.account, time + kMs);
     peer.now.out += std::exchange(peer.now.unread, 0);
     pass(50 * kMs);
   }
@@ -196,12 +198,12 @@
   for (int i = 0; i < 60; ++i) i % 2 ? writes(200) : reads(2'000);
   pass(500 * kMs);
   time += 20 * kSecond;  // stopped and continued
-  pacing.look(time);
-  EXPECT_EQ(pacing.count(State::kActive), 60u);
+  slow_client_policy.evaluate_due_connections(time);
+  EXPECT_EQ(slow_client_policy.count(State::kActive), 60u);
   pass(300 * kMs, [&] {
     for (Peer& peer : peers) peer.now.in += 100, peer.now.out += 100;
   });
-  EXPECT_EQ(pacing.count(State::kActive), 60u);
+  EXPECT_EQ(slow_client_policy.count(State::kActive), 60u);
   for (Peer& peer : peers) EXPECT_TRUE(peer.effects.empty());
 }
 
@@ -211,7 +213,7 @@
   pass(500 * kMs);
   time += 20 * kSecond;
   Peer& next = writes(100);
-  pacing.look(time);
+  slow_client_policy.evaluate_due_connections(time);
   EXPECT_EQ(peer.account.state(), State::kActive);
   EXPECT_EQ(next.account.state(), State::kActive);
   pass(2 * kSecond);
@@ -220,11 +222,11 @@
 
 TEST_F(SlowClientPolicyTest, WithRoomRunningOutTheLeastRateRises) {
   Peer& peer = writes(500);
-  EXPECT_EQ(pacing.strictness(), 1);
+  EXPECT_EQ(slow_client_policy.strictness(), 1);
   pass(2 * kSecond, [&] { peer.now.in += 40; });
   EXPECT_EQ(peer.account.state(), State::kActive);
   for (int i = 0; i < 99; ++i) writes(100);
-  EXPECT_EQ(pacing.strictness(), 4);
+  EXPECT_EQ(slow_client_policy.strictness(), 4);
   pass(400 * kMs, [&] { peer.now.in += 40; });
   EXPECT_TRUE(peer.dropped());
 }
@@ -233,26 +235,26 @@
   Peer& large_new = writes(100);
   Peer& small_old = writes(100);
   Peer& large_old = writes(100);
-  pacing.hold(small_old.account, 1'000);
-  pacing.hold(large_old.account, 50'000);
+  slow_client_policy.set_held_bytes(small_old.account, 1'000);
+  slow_client_policy.set_held_bytes(large_old.account, 50'000);
   pass(600 * kMs, [&] { large_new.now.in += 100; });
-  pacing.hold(large_new.account, 60'000);
-  EXPECT_EQ(pacing.worst(small_old.account, time), &large_old.account);
-  EXPECT_FALSE(pacing.crowded(large_old.account));
-  pacing.hold(large_new.account, 990'000);
-  EXPECT_TRUE(pacing.crowded(small_old.account));
+  slow_client_policy.set_held_bytes(large_new.account, 60'000);
+  EXPECT_EQ(slow_client_policy.costliest_connection(small_old.account, time), &large_old.account);
+  EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(large_old.account));
+  slow_client_policy.set_held_bytes(large_new.account, 990'000);
+  EXPECT_TRUE(slow_client_policy.exceeds_memory_limit(small_old.account));
 }
 
 TEST_F(SlowClientPolicyTest, ABalancerBesideOthersIsBoundByItselfAndAloneIsNot) {
   Peer& slow = writes(100, {1, 1});
-  pacing.hold(slow.account, 800'000);
-  EXPECT_FALSE(pacing.crowded(slow.account));
+  slow_client_policy.set_held_bytes(slow.account, 800'000);
+  EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(slow.account));
   Peer& other = writes(100, {1, 2});
-  pacing.hold(other.account, 100'000);
-  EXPECT_TRUE(pacing.crowded(slow.account));
-  EXPECT_FALSE(pacing.crowded(other.account));
+  slow_client_policy.set_held_bytes(other.account, 100'000);
+  EXPECT_TRUE(slow_client_policy.exceeds_memory_limit(slow.account));
+  EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(other.account));
   pass(300 * kMs);
-  EXPECT_EQ(pacing.worst(slow.account, time), &slow.account);
+  EXPECT_EQ(slow_client_policy.costliest_connection(slow.account, time), &slow.account);
   // What a balancer beside others holds beyond its share is waited for less.
   EXPECT_EQ(slow.account.state(), State::kFinalWarning);
   EXPECT_EQ(other.account.state(), State::kActive);
@@ -261,20 +263,20 @@
 TEST_F(SlowClientPolicyTest, APeerThatTellsItsBalancersNumberTakesWhatItHoldsAlong) {
   Peer& peer = writes(100, {1, -1});
   comes({1, 7});
-  pacing.hold(peer.account, 800'000);
-  ASSERT_TRUE(pacing.crowded(peer.account));
-  pacing.belongs_to(peer.account, {1, 7});
-  EXPECT_FALSE(pacing.crowded(peer.account));  // the only balancer now
+  slow_client_policy.set_held_bytes(peer.account, 800'000);
+  ASSERT_TRUE(slow_client_policy.exceeds_memory_limit(peer.account));
+  slow_client_policy.set_balancer(peer.account, {1, 7});
+  EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(peer.account));  // the only balancer now
 }
 
 TEST_F(SlowClientPolicyTest, ForItsDescriptorTheSlowestOfTheLargestBalancerGoes) {
   writes(100, {1, 1});
   Peer& first = writes(100, {1, 2});
   Peer& second = writes(100, {1, 2});
-  EXPECT_EQ(pacing.slowest(), nullptr);
+  EXPECT_EQ(slow_client_policy.slowest_connection(), nullptr);
   pass(1200 * kMs);
   second.now.open = 1;  // has work in hand
-  EXPECT_EQ(pacing.slowest(), &first.account);
+  EXPECT_EQ(slow_client_policy.slowest_connection(), &first.account);
 }
 
 // All connections of one balancer are slow; another's beside it are as they were.
@@ -285,24 +287,24 @@
   pass(3 * kSecond, [&] {
     for (Peer* peer : quick) peer->now.out += 8'000;
   });
-  EXPECT_EQ(pacing.count(State::kGone), 40u);
+  EXPECT_EQ(slow_client_policy.count(State::kRemoved), 40u);
   for (Peer* peer : quick) EXPECT_TRUE(peer->effects.empty());
 }
 
 TEST_F(SlowClientPolicyTest, OnesThatLeaveAreForgotten) {
   for (int i = 0; i < 10; ++i) {
     Peer& peer = writes(100, {1, i});
-    pacing.hold(peer.account, 1'000);
-    pacing.leave(peer.account);
+    slow_client_policy.set_held_bytes(peer.account, 1'000);
+    slow_client_policy.remove_connection(peer.account);
   }
-  EXPECT_EQ(pacing.bytes(), 0u);
-  EXPECT_EQ(pacing.watched(), 0u);
-  EXPECT_EQ(pacing.next_look(), 0);
+  EXPECT_EQ(slow_client_policy.bytes(), 0u);
+  EXPECT_EQ(slow_client_policy.watched(), 0u);
+  EXPECT_EQ(slow_client_policy.next_evaluation_at(), 0);
   Peer& hurried = writes(100);
   pass(1200 * kMs);
-  ASSERT_EQ(pacing.slowest(), &hurried.account);
-  pacing.leave(hurried.account);
-  EXPECT_EQ(pacing.slowest(), nullptr);
+  ASSERT_EQ(slow_client_policy.slowest_connection(), &hurried.account);
+  slow_client_policy.remove_connection(hurried.account);
+  EXPECT_EQ(slow_client_policy.slowest_connection(), nullptr);
 }
 
 }  // namespace
--- a/tests/slow_peers_test.cpp
+++ b/tests/slow_peers_test.cpp
@@ -7,10 +7,10 @@
 peers::SlowClientOptions short_times() {
   peers::SlowClientOptions options;
   options.min_rate = 2'000;
-  options.rate_over = 100 * kMs;
+  options.rate_window = 100 * kMs;
   options.grace = 200 * kMs;
-  options.hurry = 100 * kMs;
-  options.whole_within = 600 * kMs;
+  options.final_warning_time = 100 * kMs;
+  options.max_request_read_time = 600 * kMs;
   return options;
 }
 
@@ -43,13 +43,16 @@
   // no longer read. Their keys are their ids, from `base` on. How many were completed.
   int completes_unread(Plain& peer, int base) {
     using peers::State;
-    std::size_t held_back = front.pacing().count(State::kPaused) + front.pacing().count(State::kWriteStalled);
+    std::size_t held_back = front.slow_client_policy().count(State::kPaused) +
+                            front.slow_client_policy().count(State::kWriteStalled);
     for (int i = 0; i < 200; ++i) {
       std::string id = trace(base + i);
       peer.write(keyed(i % 32 + 1, id, id));
       bool read = until([&] {
         return world.count("run " + id) == 1 ||
-               front.pacing().count(State::kPaused) + front.pacing().count(State::kWriteStalled) > held_back;
+               front.slow_client_policy().count(State::kPaused) +
+                       front.slow_client_policy().count(State::kWriteStalled) >
+                   held_back;
       });
       EXPECT_TRUE(read);
       if (world.count("run " + id) == 0) return i;
@@ -75,7 +78,7 @@
   }
   EXPECT_TRUE(answered(second));
   for (Plain& peer : stopped) EXPECT_TRUE(comes(peer, "(end)"));
-  EXPECT_TRUE(until([&] { return front.ended(Reason::kSlow) == stopped.size(); }));
+  EXPECT_TRUE(until([&] { return front.ended(CloseReason::kSlow) == stopped.size(); }));
   EXPECT_EQ(world.count("run " + first), 0);
 }
 
@@ -148,8 +151,8 @@
     all += static_cast<std::uint64_t>(each);
   }
   EXPECT_EQ(completed(kWriteClass), all);
-  EXPECT_TRUE(until([&] { return front.ended(Reason::kUnread) == kPeers; }));
-  EXPECT_LT(front.pacing().bytes(), 10'000u);
+  EXPECT_TRUE(until([&] { return front.ended(CloseReason::kUnread) == kPeers; }));
+  EXPECT_LT(front.slow_client_policy().bytes(), 10'000u);
   // Each repeat gets the result from the record, and nothing runs again.
   Plain again = connected();
   for (int p = 0; p < kPeers; ++p) {
@@ -304,7 +307,7 @@
   engine.write("{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":1}\n");
   turn(5 * kMs);
   for (int i = 0; i < 10'000 && !logged("engine link ended: unread"); ++i) {
-    link.feed("00000000000000aa", std::string(2'000, 'x'));
+    link.deliver_reply("00000000000000aa", std::string(2'000, 'x'));
     if (i % 10 == 0) turn(kMs);
   }
   EXPECT_TRUE(logged("engine link ended: unread"));
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 AppliedSet::Endpoints served(routing::FleetWorld& world) {
-  auto set = xds::make_resources(*world.router.published(), nullptr);
-  BodyCache bodies;
-  const std::string& plain = set->of(xds::Type::kEndpoints).at("group/read")->plain;
+  auto set = xds::build_resource_set(*world.router.published(), nullptr);
+  ParsedResourceCache bodies;
+  const std::string& plain = set->of(xds::ResourceType::kEndpoints).at("group/read")->sotw_encoding;
   AppliedSet::Endpoints out;
   // Tag and length of the field, then type_url and value of an Any.
   google::protobuf::Any any;
@@ -39,13 +39,13 @@
   int moved = 0;
   for (int i = 0; i < 500; ++i) {
     std::string key = "key" + std::to_string(i);
-    std::string old = on_ring(before, key, {});
+    std::string old = pick_ring_endpoint(before, key, {});
     ++owned[old];
-    EXPECT_EQ(on_ring(before, key, {}), old);
+    EXPECT_EQ(pick_ring_endpoint(before, key, {}), old);
     if (old == "127.0.0.1:4102") {
-      EXPECT_NE(on_ring(after, key, {}), old);
+      EXPECT_NE(pick_ring_endpoint(after, key, {}), old);
     } else {
-      moved += on_ring(after, key, {}) != old;
+      moved += pick_ring_endpoint(after, key, {}) != old;
     }
   }
   EXPECT_EQ(owned.size(), 5u);
@@ -60,7 +60,7 @@
   world.run(5 * kSecond);
   AppliedSet::Endpoints endpoints = served(world);
   std::map<std::string, int> owned;
-  for (int i = 0; i < 900; ++i) ++owned[on_ring(endpoints, "key" + std::to_string(i), {})];
+  for (int i = 0; i < 900; ++i) ++owned[pick_ring_endpoint(endpoints, "key" + std::to_string(i), {})];
   EXPECT_LT(owned["127.0.0.1:4101"], 200);
   EXPECT_GT(owned["127.0.0.1:4102"], 250);
 }
--- a/tests/store_compaction_test.cpp
+++ b/tests/store_compaction_test.cpp
@@ -11,13 +11,13 @@
   process.store.open();
   for (int i = 0; i < 60; ++i) process.put("key" + std::to_string(i), std::string(50, 'v'));
   std::size_t max = process.store.segments();
-  std::uint64_t written = process.store.stats().written;
+  std::uint64_t written_bytes = process.store.stats().written_bytes;
   process.time += kWindow;
   for (int i = 0; i < 20; ++i) process.store.compact_slice();
   EXPECT_LT(process.store.segments(), 3u);
   EXPECT_GT(max, 5u);
   EXPECT_EQ(process.store.size(), 0u);
-  EXPECT_LT(process.store.stats().written - written, 2'000u);  // manifests
+  EXPECT_LT(process.store.stats().written_bytes - written_bytes, 2'000u);  // manifests
   // What the disk still holds of them is over at the next start as well, whatever was written last.
   auto next = restart(process);
   EXPECT_EQ(next->store.size(), 0u);
@@ -35,7 +35,7 @@
     process.store.compact_slice();
     EXPECT_EQ(restart(process)->get("erased"), "none");
   }
-  EXPECT_GT(process.store.stats().retired, 3u);
+  EXPECT_GT(process.store.stats().removed_segments, 3u);
 }
 
 TEST(StoreCompactionTest, ManyRestartsLeaveFewSegments) {
--- a/tests/store_fixtures.h
+++ b/tests/store_fixtures.h
@@ -29,7 +29,9 @@
         disk(std::move(on)),
         store(
             *disk, options, [this] { return time; }, 7) {}
-  static StoreOptions small() { return {.segment_bytes = 1'000, .slice_bytes = 300, .max_small = 4}; }
+  static StoreOptions small() {
+    return {.segment_bytes = 1'000, .slice_bytes = 300, .max_small_segments = 4};
+  }
   void put(const std::string& key, const std::string& value, Nanos window = kWindow) {
     store.put(key, value, window);
     store.commit();
--- a/tests/store_raft_storage_test.cpp
+++ b/tests/store_raft_storage_test.cpp
@@ -29,7 +29,7 @@
     bool done = false;
     storage.append(first, std::move(entries), [&](bool durable) { done = durable; });
     for (int i = 0; i < 2000 && !done; ++i) {
-      storage.take_done();
+      storage.run_completions();
       ::usleep(1000);
     }
     ASSERT_TRUE(done);
@@ -76,7 +76,7 @@
     bool done = false;
     storage->save_snapshot(snapshot, 3, [&](bool durable) { done = durable; });
     for (int i = 0; i < 2000 && !done; ++i) {
-      storage->take_done();
+      storage->run_completions();
       ::usleep(1000);
     }
     ASSERT_TRUE(done);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -32,7 +32,7 @@
     process.store.open();
     write_randomly(process, model, 3, 40);
     operations = process.disk->done;
-    EXPECT_GT(process.store.stats().retired, 1u);
+    EXPECT_GT(process.store.stats().removed_segments, 1u);
   }
   ASSERT_GT(operations, 80);
   for (int step = 1; step <= operations; ++step) {
--- a/tests/subsets_test.cpp
+++ b/tests/subsets_test.cpp
@@ -25,8 +25,8 @@
   return out;
 }
 
-Subsets::Places all_of(const std::vector<NodeRoute>& nodes) {
-  Subsets::Places out(nodes.size());
+Subsets::ServerIndices all_of(const std::vector<NodeRoute>& nodes) {
+  Subsets::ServerIndices out(nodes.size());
   std::iota(out.begin(), out.end(), 0u);
   return out;
 }
@@ -53,8 +53,9 @@
   return differ.size();
 }
 
-std::vector<Subsets::Places> all_in_service(const Subsets& subsets, const std::vector<NodeRoute>& nodes) {
-  std::vector<Subsets::Places> out;
+std::vector<Subsets::ServerIndices> all_in_service(const Subsets& subsets,
+                                                   const std::vector<NodeRoute>& nodes) {
+  std::vector<Subsets::ServerIndices> out;
   for (std::size_t subset = 0; subset < subsets.count(); ++subset) {
     out.push_back(subsets.in_service(subset, nodes));
   }
@@ -68,8 +69,8 @@
             pairs_of(Subsets(turned, all_of(turned), 20), turned));
   // Known values: another version of this code must not give callers other subsets unnoticed.
   Subsets subsets(nodes, all_of(nodes), 20);
-  EXPECT_EQ(subsets.of_caller(caller_key("caller-1", "z1"), service_key("read")), 85u);
-  EXPECT_EQ(subsets.of_caller(caller_key("caller-1", "z2"), service_key("read")), 1u);
+  EXPECT_EQ(subsets.subset_of_caller(caller_key("caller-1", "z1"), service_key("read")), 85u);
+  EXPECT_EQ(subsets.subset_of_caller(caller_key("caller-1", "z2"), service_key("read")), 1u);
 }
 
 TEST(Subsets, EveryServerIsInOneSubsetOfEachRoundAndEverySubsetSpansTheZones) {
@@ -106,7 +107,7 @@
     constexpr int kCallers = 10'000;
     for (int i = 0; i < kCallers; ++i) {
       std::uint64_t caller = caller_key("caller-" + std::to_string(i), i % 2 ? "z1" : "z2");
-      const auto& members = subsets.members(subsets.of_caller(caller, service_key("read")));
+      const auto& members = subsets.members(subsets.subset_of_caller(caller, service_key("read")));
       for (std::uint32_t place : members) {
         ++callers[place];
         load[place] += 1.0 / static_cast<double>(members.size());
@@ -157,8 +158,8 @@
   int moved = 0;
   for (int i = 0; i < 10'000; ++i) {
     std::uint64_t caller = caller_key("caller-" + std::to_string(i), "z1");
-    std::size_t one = before.of_caller(caller, 7);
-    std::size_t other = after.of_caller(caller, 7);
+    std::size_t one = before.subset_of_caller(caller, 7);
+    std::size_t other = after.subset_of_caller(caller, 7);
     moved += one / 15 != other / 16 || one % 15 != other % 16;
   }
   EXPECT_LT(moved, 10'000 / 12);
@@ -168,10 +169,10 @@
   for (std::uint32_t size : {1u, 2u, 7u, 20u}) {
     std::vector<NodeRoute> nodes = servers(61, 5);
     Subsets subsets(nodes, all_of(nodes), size);
-    for (NodeRoute& node : nodes) node.health = Health::kOut;
+    for (NodeRoute& node : nodes) node.health = Health::kOutOfRotation;
     nodes[17].health = Health::kHealthy;
     for (const auto& healthy : all_in_service(subsets, nodes))
-      EXPECT_EQ(healthy, Subsets::Places{17}) << size;
+      EXPECT_EQ(healthy, Subsets::ServerIndices{17}) << size;
     nodes[17].health = Health::kDraining;
     for (const auto& healthy : all_in_service(subsets, nodes)) EXPECT_TRUE(healthy.empty());
   }
@@ -180,7 +181,7 @@
 TEST(Subsets, SubsetWithFewerThanHalfInServiceIsFilledUpAndNoOtherChanges) {
   std::vector<NodeRoute> nodes = servers(300);
   Subsets subsets(nodes, all_of(nodes), 20);
-  for (std::uint32_t place : subsets.members(3)) nodes[place].health = Health::kOut;
+  for (std::uint32_t place : subsets.members(3)) nodes[place].health = Health::kOutOfRotation;
   auto healthy = all_in_service(subsets, nodes);
   EXPECT_GE(healthy[3].size(), 10u);
   for (std::size_t at = 0; at < 15; ++at) {
@@ -193,7 +194,7 @@
 TEST(Subsets, LostZoneLeavesEverySubsetItsOtherZones) {
   std::vector<NodeRoute> nodes = servers(300);
   Subsets subsets(nodes, all_of(nodes), 20);
-  for (NodeRoute& node : nodes) node.health = node.zone == "z1" ? Health::kOut : Health::kHealthy;
+  for (NodeRoute& node : nodes) node.health = node.zone == "z1" ? Health::kOutOfRotation : Health::kHealthy;
   for (const auto& healthy : all_in_service(subsets, nodes)) EXPECT_GE(healthy.size(), 10u);
 }
 
--- a/tests/subsetting_processes_test.cpp
+++ b/tests/subsetting_processes_test.cpp
@@ -103,12 +103,12 @@
  protected:
   SubsettingProcesses() {
     write_fleet(fleet_file("6", "\"zone z1\""));
-    standin::ControlFleetOptions options{.folder = folder_.file(""),
-                                         .fleet = folder_.file("fleet.conf"),
-                                         .instances = kInstances,
-                                         .agreed = true,
-                                         .more = {}};
-    fleet_ = std::make_unique<standin::ControlFleet>(options, taken_);
+    standin::ControlClusterOptions options{.folder = folder_.file(""),
+                                           .fleet = folder_.file("fleet.conf"),
+                                           .instances = kInstances,
+                                           .replicated = true,
+                                           .more = {}};
+    fleet_ = std::make_unique<standin::ControlCluster>(options, taken_);
     fleet_->start_all();
     for (const auto& place : fleet_->all()) {
       reporters_.push_back(std::make_unique<control::Reporters>(static_cast<std::uint16_t>(place.reports)));
@@ -235,7 +235,7 @@
 
   control::TemporaryFolder folder_;
   std::set<int> taken_;
-  std::unique_ptr<standin::ControlFleet> fleet_;
+  std::unique_ptr<standin::ControlCluster> fleet_;
   std::vector<std::unique_ptr<control::Reporters>> reporters_;
   OwnersSeen owners_;
   std::vector<std::unique_ptr<standin::AdsLink>> callers_;
--- a/tests/supervise_test.cpp
+++ b/tests/supervise_test.cpp
@@ -21,7 +21,7 @@
   std::ofstream(folder + "/7/myrtlecroft") << "#!/bin/bash\necho as $MYRTLECROFT_RELEASE; exit 0\n";
   for (const char* version : {"/1", "/7"})
     std::filesystem::permissions(folder + version + "/myrtlecroft", std::filesystem::perms::owner_all);
-  standin::Child child({MYRTLECROFT_SUPERVISE, folder, "1"}, folder + "/out");
+  standin::ChildProcess child({MYRTLECROFT_SUPERVISE, folder, "1"}, folder + "/out");
   EXPECT_EQ(child.wait(), 0);
   std::ifstream in(folder + "/out");
   std::string said((std::istreambuf_iterator<char>(in)), {});
--- a/tests/weights_test.cpp
+++ b/tests/weights_test.cpp
@@ -35,7 +35,7 @@
   FleetWorld world;
   world.run(3 * kSecond);
   world.rejects["n3"] = 1;
-  world.reports["n3"].held = 20;
+  world.reports["n3"].queued_requests = 20;
   std::uint32_t before = world.route("n3").weight;
   world.run(kSecond);
   EXPECT_GE(world.route("n3").weight, before - 25);
@@ -44,7 +44,7 @@
   EXPECT_GE(world.route("n3").weight, 10u) << "never below min_weight";
   EXPECT_EQ(world.route("n1").weight, 100u);
   world.rejects.clear();
-  world.reports["n3"].held = 0;
+  world.reports["n3"].queued_requests = 0;
   world.run(30 * kSecond);
   EXPECT_EQ(world.route("n3").weight, 100u);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -53,8 +53,9 @@
   }
   core_->note("servers ", config.servers, " callers ", config.callers, " cores ", config.cores, " memory ",
               config.memory_kb, " blowup ", config.running_memory_factor, " key ", config.key_kb);
-  core_->note("over share ", config.over_quota_weight, " by work ", config.weight_by_work, " cold ",
-              config.warming_up, " from ", config.warm_up_initial_speed, " warm in ", config.warm_up_time);
+  core_->note("over share ", config.over_quota_weight, " by work ", config.weight_is_per_core_second,
+              " cold ", config.warming_up, " from ", config.warm_up_initial_speed, " warm in ",
+              config.warm_up_time);
   core_->note("crowd ", config.max_running_per_core, " over ", config.contention_window, " below ",
               config.has_dependency, " share ", config.dependency_share, " over ", config.dependency_window,
               " stays ", config.abandoned_call_lifetime);
@@ -67,10 +68,10 @@
 void Controller::request_received(Request& request, Nanos now) {
   core_->newest = &request;
   core_->note("read at ", now, " class ", request.request_class->name, " tenant ",
-              request.tenant ? request.tenant->name : "none", " key ", request.has_subject, " writes ",
+              request.tenant ? request.tenant->name : "none", " key ", request.has_lookup_key, " writes ",
               request.writes, " arrived ", request.arrived, " due ", request.client_deadline, " work ",
-              request.work_hint, " kb ", request.queued_kb, " repeats ", request.is_retry, " prior of kb ",
-              request.original ? request.original->queued_kb : 0);
+              request.estimated_work, " kb ", request.queued_kb, " repeats ", request.is_retry,
+              " prior of kb ", request.original ? request.original->queued_kb : 0);
 }
 
 void Controller::call_needed(Request& request, Nanos now) {
@@ -92,8 +93,8 @@
 }
 
 void Controller::timer_expired(std::uint64_t token, const Gauges& gauges, Nanos now) {
-  core_->note("rang at ", now, " token ", token, " core use ", gauges.core_use.value_or(-1), " on cores ",
-              gauges.on_cores.value_or(-1), " links ", gauges.connections.value_or(-1));
+  core_->note("rang at ", now, " token ", token, " core use ", gauges.core_utilization.value_or(-1),
+              " on cores ", gauges.runnable_threads.value_or(-1), " links ", gauges.connections.value_or(-1));
 }
 
 void Controller::begin_drain(Nanos stop_at, Nanos now) {
--- a/tests/xds_gate_test.cpp
+++ b/tests/xds_gate_test.cpp
@@ -21,7 +21,7 @@
                      .weight = 100}};
   snapshot.request_classes = {{.name = "read", .path = "/read", .timeout = kSecond}};
   snapshot.shards.assign(16, owner);
-  return make_resources(out, nullptr);
+  return build_resource_set(out, nullptr);
 }
 
 struct GatedStream {
@@ -31,11 +31,11 @@
   }
   void come(const std::string& id, Nanos now) {
     standin::AdsClient client(false, id, "a");
-    stream = table.open(Form::kStateOfTheWorld, "peer");
-    for (const std::string& bytes : client.connected()) {
-      ReadRequest read;
-      ASSERT_TRUE(read_request(Form::kStateOfTheWorld, bytes.data(), bytes.size(), read));
-      ASSERT_EQ(table.request(stream, read.node, read.zone, *read.request, now), Fault::kNone);
+    stream = table.open(ProtocolVariant::kStateOfTheWorld, "peer");
+    for (const std::string& bytes : client.open_stream()) {
+      ParsedRequest read;
+      ASSERT_TRUE(read_request(ProtocolVariant::kStateOfTheWorld, bytes.data(), bytes.size(), read));
+      ASSERT_EQ(table.request(stream, read.node, read.zone, *read.request, now), StreamError::kNone);
     }
   }
   bool served() { return table.next(stream).has_value(); }
@@ -50,24 +50,24 @@
   GatedStream gated;
   gated.come("p1", 2 * kSecond);
   EXPECT_FALSE(gated.served());
-  EXPECT_FALSE(gated.table.gate_stays(kSecond, nullptr, 2 * kSecond)) << "nothing to offer yet";
-  EXPECT_TRUE(gated.table.gate_stays(3 * kSecond, nullptr, 2 * kSecond));
+  EXPECT_FALSE(gated.table.extend_gate(kSecond, nullptr, 2 * kSecond)) << "nothing to offer yet";
+  EXPECT_TRUE(gated.table.extend_gate(3 * kSecond, nullptr, 2 * kSecond));
   EXPECT_TRUE(gated.served());
-  EXPECT_FALSE(gated.table.gate_stays(3 * kSecond, nullptr, 2 * kSecond)) << "it has all there is";
+  EXPECT_FALSE(gated.table.extend_gate(3 * kSecond, nullptr, 2 * kSecond)) << "it has all there is";
 }
 
 TEST(Gate, AStreamThatHasTheClosedSetGetsTheWholeOneOnceTheGateIsFreshAgain) {
   GatedStream gated;
   gated.come("p1", 2 * kSecond);
-  EXPECT_TRUE(gated.table.gate_stays(0, gated.closed, 2 * kSecond));
-  EXPECT_FALSE(gated.table.gate_stays(0, gated.closed, 2 * kSecond));
-  EXPECT_TRUE(gated.table.gate_stays(3 * kSecond, gated.closed, 2 * kSecond));
+  EXPECT_TRUE(gated.table.extend_gate(0, gated.closed, 2 * kSecond));
+  EXPECT_FALSE(gated.table.extend_gate(0, gated.closed, 2 * kSecond));
+  EXPECT_TRUE(gated.table.extend_gate(3 * kSecond, gated.closed, 2 * kSecond));
 }
 
 TEST(Gate, AStreamOfAProxyThatIsNotServedGetsNothing) {
   GatedStream gated;
   gated.come("p2", 0);
-  EXPECT_FALSE(gated.table.gate_stays(3 * kSecond, gated.closed, kSecond));
+  EXPECT_FALSE(gated.table.extend_gate(3 * kSecond, gated.closed, kSecond));
   EXPECT_FALSE(gated.served());
 }
 
--- a/tests/xds_sets_test.cpp
+++ b/tests/xds_sets_test.cpp
@@ -15,9 +15,9 @@
 
 void expect_equal(const Resource& one, const Resource& other) {
   RC_ASSERT(one.version == other.version);
-  RC_ASSERT(one.plain == other.plain);
-  RC_ASSERT(one.wrapped == other.wrapped);
-  RC_ASSERT(one.refers == other.refers);
+  RC_ASSERT(one.sotw_encoding == other.sotw_encoding);
+  RC_ASSERT(one.delta_encoding == other.delta_encoding);
+  RC_ASSERT(one.references == other.references);
   RC_ASSERT(!one.subsets == !other.subsets);
   if (!one.subsets) return;
   RC_ASSERT(one.subsets->count() == other.subsets->count());
@@ -27,7 +27,7 @@
 
 void expect_equal(const ResourceSet& made, const ResourceSet& anew) {
   RC_ASSERT(made.versions == anew.versions);
-  for (Type type : kAllTypes) {
+  for (ResourceType type : kAllTypes) {
     RC_ASSERT(made.of(type).size() == anew.of(type).size());
     for (const auto& [name, resource] : made.of(type)) expect_equal(*resource, *anew.of(type).at(name));
   }
@@ -35,7 +35,7 @@
 
 // What it says of itself against the set before, by versions alone.
 void expect_told(const ResourceSet& before, const ResourceSet& made) {
-  for (Type type : kAllTypes) {
+  for (ResourceType type : kAllTypes) {
     std::vector<std::string> expected;
     for (const auto& [name, resource] : made.of(type)) {
       auto had = before.of(type).find(name);
@@ -44,9 +44,9 @@
     std::vector<std::string> told;
     for (const ResourcePtr& one : made.changed[static_cast<std::size_t>(type)]) told.push_back(one->name);
     RC_ASSERT(told == expected);
-    bool fewer = std::any_of(before.of(type).begin(), before.of(type).end(),
-                             [&](const auto& one) { return !made.of(type).contains(one.first); });
-    RC_ASSERT(made.fewer[static_cast<std::size_t>(type)] == fewer);
+    bool has_removals = std::any_of(before.of(type).begin(), before.of(type).end(),
+                                    [&](const auto& one) { return !made.of(type).contains(one.first); });
+    RC_ASSERT(made.has_removals[static_cast<std::size_t>(type)] == has_removals);
   }
 }
 
@@ -137,7 +137,7 @@
 
 // A caller of each key asks for what it is told, so that something is serialised that can be taken over.
 void ask_all(const ResourceSet& set, std::uint64_t key) {
-  for (const auto& [name, resource] : set.of(Type::kEndpoints)) resolved(resource, Caller{key});
+  for (const auto& [name, resource] : set.of(ResourceType::kEndpoints)) resolved(resource, Caller{key});
 }
 
 RC_GTEST_PROP(ResourceSets, OneMadeFromWhatChangedIsTheOneMadeFromNothing, ()) {
@@ -146,30 +146,32 @@
                      rc::gen::inRange<std::uint32_t>(0, 1000)));
   routing::Snapshot snapshot = subsetted(24);
   std::uint64_t number = 1;
-  auto before = make_resources({number, snapshot}, nullptr);
+  auto before = build_resource_set({number, snapshot}, nullptr);
   for (auto [what, where, value] : changes) {
     ask_all(*before, value);
     make_change(snapshot, {what, where, value});
-    auto made = make_resources({++number, snapshot}, before.get());
-    auto anew = make_resources({number, snapshot}, nullptr);
+    auto made = build_resource_set({++number, snapshot}, before.get());
+    auto anew = build_resource_set({number, snapshot}, nullptr);
     ask_all(*made, value + 1);
     expect_equal(*made, *anew);
     expect_told(*before, *made);
-    RC_ASSERT(fault_of(*made, before.get()) == fault_of(*anew));
+    RC_ASSERT(find_inconsistency(*made, before.get()) == find_inconsistency(*anew));
     before = made;
   }
 }
 
 TEST(ResourceSets, WhatAChangeDoesNotTouchIsTakenOverAsItIs) {
   routing::Snapshot snapshot = subsetted();
-  auto before = make_resources({1, snapshot}, nullptr);
+  auto before = build_resource_set({1, snapshot}, nullptr);
   for (std::uint64_t key = 0; key < 2000; ++key) ask_all(*before, key);
   snapshot.nodes[7].weight = 50;
-  auto made = make_resources({2, snapshot}, before.get());
-  for (Type type : {Type::kClusters, Type::kListeners, Type::kRoutes, Type::kRuntime}) {
+  auto made = build_resource_set({2, snapshot}, before.get());
+  for (ResourceType type :
+       {ResourceType::kClusters, ResourceType::kListeners, ResourceType::kRoutes, ResourceType::kRuntime}) {
     EXPECT_EQ(made->of(type), before->of(type)) << name_of(type);
   }
-  EXPECT_EQ(made->of(Type::kEndpoints).at("group/near"), before->of(Type::kEndpoints).at("group/near"));
+  EXPECT_EQ(made->of(ResourceType::kEndpoints).at("group/near"),
+            before->of(ResourceType::kEndpoints).at("group/near"));
   const SubsetResources& subsets = subsets_of(*made, "group/read");
   EXPECT_EQ(subsets.count() - subsets.made(), routing::kSubsetRounds)
       << "one subset of each round has the server";
@@ -177,7 +179,7 @@
 
 // A fleet file that asks for none of it: bytes as they were before there were subsets.
 TEST(ResourceSets, WithoutSubsettingVersionsAreThoseOfBefore) {
-  auto set = make_resources({1, picture()}, nullptr);
+  auto set = build_resource_set({1, picture()}, nullptr);
   EXPECT_EQ(set->versions,
             (std::array<std::string, kTypes>{"2d7040f943b8a81a", "d4b3923e3e27638d", "596e4a02106a68b6",
                                              "3fd77041a21e5087", "0aa377e7b26c29af"}));
@@ -185,9 +187,10 @@
 
 TEST(ResourceSets, AServiceThatIsDownHoldsUpNoOther) {
   routing::Snapshot snapshot = subsetted();
-  for (std::size_t i = 0; i < 6; ++i) snapshot.nodes[i].health = Health::kOut, snapshot.nodes[i].weight = 0;
-  auto set = make_resources({1, snapshot}, nullptr);
-  EXPECT_EQ(fault_of(*set), "");
+  for (std::size_t i = 0; i < 6; ++i)
+    snapshot.nodes[i].health = Health::kOutOfRotation, snapshot.nodes[i].weight = 0;
+  auto set = build_resource_set({1, snapshot}, nullptr);
+  EXPECT_EQ(find_inconsistency(*set), "");
   Wires wires;
   Wires::Link link(false, "p1");
   wires.publish(snapshot);
@@ -200,8 +203,8 @@
 
 TEST(ResourceSets, OneSubsetWithoutEndpointsMakesTheSetUnfit) {
   routing::Snapshot snapshot = subsetted();
-  for (auto& node : snapshot.nodes) node.health = Health::kOut;
-  EXPECT_NE(fault_of(*make_resources({1, snapshot}, nullptr)), "");
+  for (auto& node : snapshot.nodes) node.health = Health::kOutOfRotation;
+  EXPECT_NE(find_inconsistency(*build_resource_set({1, snapshot}, nullptr)), "");
 }
 
 }  // namespace
--- a/tests/xds_subsets_test.cpp
+++ b/tests/xds_subsets_test.cpp
@@ -97,7 +97,7 @@
   for (int i = 0; i < 3; ++i) links.push_back(std::make_unique<Wires::Link>(link("p" + std::to_string(i))));
   auto drawn = [&] {
     routing::Snapshot snapshot = subsetted(20 + static_cast<int>(random() % 30));
-    for (auto& node : snapshot.nodes) node.health = random() % 4 ? Health::kHealthy : Health::kOut;
+    for (auto& node : snapshot.nodes) node.health = random() % 4 ? Health::kHealthy : Health::kOutOfRotation;
     snapshot.nodes[0].health = Health::kHealthy;
     if (random() % 4 == 0) snapshot.request_classes[2].subset_size = 0;
     return snapshot;
@@ -164,7 +164,7 @@
     if (one.set && !fresh) {
       routing::PublishedSnapshot closed{number, newest};
       closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
-      closed_set = make_resources(closed, nullptr);
+      closed_set = build_resource_set(closed, nullptr);
     }
     one.table.gate({.served = std::move(served),
                     .fresh_until = fresh ? one.now + 3600 * kSecond : 0,
@@ -186,7 +186,7 @@
   for (int i = 0; i < 3; ++i) links.push_back(std::make_unique<Wires::Link>(link("p" + std::to_string(i))));
   auto drawn = [&] {
     routing::Snapshot snapshot = subsetted(24);
-    for (auto& node : snapshot.nodes) node.health = random() % 4 ? Health::kHealthy : Health::kOut;
+    for (auto& node : snapshot.nodes) node.health = random() % 4 ? Health::kHealthy : Health::kOutOfRotation;
     snapshot.nodes[0].health = Health::kHealthy;
     for (int& owner : snapshot.shards)
       owner = random() % 4 ? static_cast<int>(random() % 24) : routing::kClosed;
@@ -286,14 +286,14 @@
 }
 
 TEST(CallersOfOneSubset, ShareWhatIsSerialised) {
-  auto set = make_resources({1, subsetted()}, nullptr);
+  auto set = build_resource_set({1, subsetted()}, nullptr);
   std::map<const Resource*, int> told;
   constexpr int kCallers = 500;
   for (int i = 0; i < kCallers; ++i) {
-    Session session(i % 2 ? Form::kDelta : Form::kStateOfTheWorld);
+    Session session(i % 2 ? ProtocolVariant::kDelta : ProtocolVariant::kStateOfTheWorld);
     session.set_caller({routing::caller_key("caller-" + std::to_string(i), "a")});
     session.offer(set);
-    Request request{.type = Type::kEndpoints};
+    Request request{.type = ResourceType::kEndpoints};
     (i % 2 ? request.subscribe : request.names) = {"group/read"};
     session.request(request, 0);
     auto response = session.next();
@@ -327,14 +327,14 @@
 // With a look through all who are there or gone for each that comes and goes, this takes minutes.
 TEST(SessionTable, AllCallersThatReconnectAtOnceAreFoundById) {
   SessionTable table([](const std::string&) {});
-  table.publish(make_resources({1, picture()}, nullptr));
+  table.publish(build_resource_set({1, picture()}, nullptr));
   constexpr int kCallers = 40'000;
-  Request request{.type = Type::kRoutes, .names = {"fleet"}};
+  Request request{.type = ResourceType::kRoutes, .names = {"fleet"}};
   auto begun = std::chrono::steady_clock::now();
   for (int round = 0; round < 2; ++round) {
     std::vector<StreamId> streams;
     for (int i = 0; i < kCallers; ++i) {
-      streams.push_back(table.open(Form::kStateOfTheWorld, "peer"));
+      streams.push_back(table.open(ProtocolVariant::kStateOfTheWorld, "peer"));
       table.request(streams.back(), "caller-" + std::to_string(i), "a", request, kSecond);
     }
     EXPECT_EQ(table.applied_by_all(kSecond, kSecond), 0u);
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -20,34 +20,35 @@
                          [](const auto& one) { return one.param ? "Delta" : "StateOfTheWorld"; });
 
 TEST(Resources, EqualContentHasEqualVersionsAndIsMadeOnce) {
-  auto one = make_resources({1, picture()}, nullptr);
-  auto other = make_resources({77, picture()}, nullptr);
+  auto one = build_resource_set({1, picture()}, nullptr);
+  auto other = build_resource_set({77, picture()}, nullptr);
   EXPECT_EQ(one->versions, other->versions);
   routing::Snapshot changed = picture();
   changed.nodes[0].weight = 50;
-  auto next = make_resources({2, changed}, one.get());
-  EXPECT_EQ(next->of(Type::kRoutes).at("fleet"), one->of(Type::kRoutes).at("fleet"));
-  EXPECT_NE(next->of(Type::kEndpoints).at("group/read"), one->of(Type::kEndpoints).at("group/read"));
-  EXPECT_EQ(next->changed[static_cast<std::size_t>(Type::kEndpoints)].size(), 2u);
+  auto next = build_resource_set({2, changed}, one.get());
+  EXPECT_EQ(next->of(ResourceType::kRoutes).at("fleet"), one->of(ResourceType::kRoutes).at("fleet"));
+  EXPECT_NE(next->of(ResourceType::kEndpoints).at("group/read"),
+            one->of(ResourceType::kEndpoints).at("group/read"));
+  EXPECT_EQ(next->changed[static_cast<std::size_t>(ResourceType::kEndpoints)].size(), 2u);
 }
 
 TEST(Resources, ASetWithARouteToNowhereIsFound) {
-  auto good = make_resources({1, picture()}, nullptr);
+  auto good = build_resource_set({1, picture()}, nullptr);
   ResourceSet bad = *good;
-  bad.by_type[static_cast<std::size_t>(Type::kClusters)].erase("node/n2");
-  EXPECT_NE(fault_of(bad), "");
+  bad.by_type[static_cast<std::size_t>(ResourceType::kClusters)].erase("node/n2");
+  EXPECT_NE(find_inconsistency(bad), "");
   bad = *good;
-  bad.by_type[static_cast<std::size_t>(Type::kEndpoints)].erase("group/read");
-  EXPECT_NE(fault_of(bad), "");
+  bad.by_type[static_cast<std::size_t>(ResourceType::kEndpoints)].erase("group/read");
+  EXPECT_NE(find_inconsistency(bad), "");
   routing::Snapshot none = picture();
-  for (auto& node : none.nodes) node.health = Health::kOut;
-  EXPECT_NE(fault_of(*make_resources({2, none}, nullptr)), "");
+  for (auto& node : none.nodes) node.health = Health::kOutOfRotation;
+  EXPECT_NE(find_inconsistency(*build_resource_set({2, none}, nullptr)), "");
 }
 
 TEST(Resources, ShardsAreTheBeginningsOfKeys) {
-  EXPECT_EQ(pattern_of({0, 1, 16}, 2), "(?i)(?:0[01]|10).*");
-  EXPECT_EQ(pattern_of({3}, 1), "(?i)(?:3).*");
-  EXPECT_EQ(pattern_of({0x2ab}, 3), "(?i)(?:2ab).*");
+  EXPECT_EQ(shard_key_pattern({0, 1, 16}, 2), "(?i)(?:0[01]|10).*");
+  EXPECT_EQ(shard_key_pattern({3}, 1), "(?i)(?:3).*");
+  EXPECT_EQ(shard_key_pattern({0x2ab}, 3), "(?i)(?:2ab).*");
 }
 
 TEST_P(BothForms, AProxyGetsAWholeSetAndThenOnlyWhatChanged) {
@@ -159,26 +160,28 @@
 }
 
 TEST(StateOfTheWorld, AnUnknownNonceIsNoAcknowledgement) {
-  Session session(Form::kStateOfTheWorld);
-  session.offer(make_resources({1, picture()}, nullptr));
-  session.request({.type = Type::kRoutes, .nonce = "of another stream", .names = {"fleet"}}, 0);
+  Session session(ProtocolVariant::kStateOfTheWorld);
+  session.offer(build_resource_set({1, picture()}, nullptr));
+  session.request({.type = ResourceType::kRoutes, .nonce = "of another stream", .names = {"fleet"}}, 0);
   ASSERT_TRUE(session.next());
-  EXPECT_EQ(session.request({.type = Type::kRoutes, .nonce = "99", .names = {"fleet"}}, 0), Fault::kNone);
+  EXPECT_EQ(session.request({.type = ResourceType::kRoutes, .nonce = "99", .names = {"fleet"}}, 0),
+            StreamError::kNone);
   EXPECT_EQ(session.acks(), 0u);
   EXPECT_FALSE(session.next());
-  session.request({.type = Type::kRoutes, .nonce = "1", .names = {"fleet"}}, 0);
+  session.request({.type = ResourceType::kRoutes, .nonce = "1", .names = {"fleet"}}, 0);
   EXPECT_EQ(session.acks(), 1u);
 }
 
 TEST(StateOfTheWorld, ASubscriptionThatChangesWhileAnAnswerIsOutIsAnsweredAfterIt) {
-  Session session(Form::kStateOfTheWorld);
-  session.offer(make_resources({1, picture()}, nullptr));
-  session.request({.type = Type::kEndpoints, .names = {"group/read"}}, 0);
+  Session session(ProtocolVariant::kStateOfTheWorld);
+  session.offer(build_resource_set({1, picture()}, nullptr));
+  session.request({.type = ResourceType::kEndpoints, .names = {"group/read"}}, 0);
   auto first = session.next();
   ASSERT_TRUE(first);
-  session.request({.type = Type::kEndpoints, .nonce = "", .names = {"group/read", "group/set"}}, 0);
+  session.request({.type = ResourceType::kEndpoints, .nonce = "", .names = {"group/read", "group/set"}}, 0);
   EXPECT_FALSE(session.next());
-  session.request({.type = Type::kEndpoints, .nonce = first->nonce, .names = {"group/read", "group/set"}}, 0);
+  session.request(
+      {.type = ResourceType::kEndpoints, .nonce = first->nonce, .names = {"group/read", "group/set"}}, 0);
   auto second = session.next();
   ASSERT_TRUE(second);
   ASSERT_EQ(second->resources.size(), 1u);
@@ -186,21 +189,21 @@
 }
 
 TEST(StateOfTheWorld, NamesThatDoNotExistAreNotAnswered) {
-  Session session(Form::kStateOfTheWorld);
-  session.offer(make_resources({1, picture()}, nullptr));
-  session.request({.type = Type::kEndpoints, .names = {"group/none", "node/n9"}}, 0);
+  Session session(ProtocolVariant::kStateOfTheWorld);
+  session.offer(build_resource_set({1, picture()}, nullptr));
+  session.request({.type = ResourceType::kEndpoints, .names = {"group/none", "node/n9"}}, 0);
   EXPECT_FALSE(session.next());
-  Session delta(Form::kDelta);
-  delta.offer(make_resources({1, picture()}, nullptr));
-  delta.request({.type = Type::kEndpoints, .subscribe = {"group/none"}}, 0);
+  Session delta(ProtocolVariant::kDelta);
+  delta.offer(build_resource_set({1, picture()}, nullptr));
+  delta.request({.type = ResourceType::kEndpoints, .subscribe = {"group/none"}}, 0);
   auto told = delta.next();
   ASSERT_TRUE(told);
   EXPECT_EQ(told->removed, std::vector<std::string>{"group/none"});
 }
 
 TEST(StateOfTheWorld, BeforeThereIsASetNothingIsSaid) {
-  Session session(Form::kStateOfTheWorld);
-  session.request({.type = Type::kClusters}, 0);
+  Session session(ProtocolVariant::kStateOfTheWorld);
+  session.request({.type = ResourceType::kClusters}, 0);
   EXPECT_FALSE(session.next()) << "an empty answer would empty the proxy";
 }
 
@@ -210,7 +213,7 @@
   wires.publish(picture());
   wires.connect(link);
   wires.settle(link);
-  link.client.refuse("group/read");
+  link.client.nack_matching("group/read");
   routing::Snapshot changed = picture();
   changed.nodes[0].weight = 50;
   changed.nodes[0].in_flight = 20;
@@ -230,22 +233,23 @@
                 .max_requests()
                 .value(),
             44u);
-  auto refusals = wires.table.view()[0].refusals;
+  auto rejected_resources = wires.table.view()[0].rejected_resources;
   std::string told;
-  for (const Refusal& one : refusals) told += std::string(name_of(one.type)) + ":" + one.resource + " ";
+  for (const RejectedResource& one : rejected_resources)
+    told += std::string(name_of(one.type)) + ":" + one.resource + " ";
   EXPECT_EQ(told, "clusters:group/read endpoints:group/read ");
-  EXPECT_EQ(refusals[0].resource, "group/read");
+  EXPECT_EQ(rejected_resources[0].resource, "group/read");
   EXPECT_EQ(wires.table.applied_by_all(kSecond, wires.now), 1u) << "it has not applied the second";
   int answers = wires.answers;
   wires.publish(changed);
   wires.settle(link);
   EXPECT_EQ(wires.answers, answers) << "what is refused is not sent again";
-  link.client.refuse(std::nullopt);
+  link.client.nack_matching(std::nullopt);
   changed.nodes[0].in_flight = 30;
   changed.nodes[0].weight = 70;
   wires.publish(changed);
   wires.settle(link);
-  EXPECT_TRUE(wires.table.view()[0].refusals.empty());
+  EXPECT_TRUE(wires.table.view()[0].rejected_resources.empty());
   EXPECT_EQ(wires.table.applied_by_all(kSecond, wires.now), wires.number);
 }
 
@@ -255,7 +259,7 @@
   wires.publish(picture(3));
   wires.connect(link);
   wires.settle(link);
-  link.client.refuse("node/n4");
+  link.client.nack_matching("node/n4");
   wires.publish(picture(4));
   wires.settle(link);
   EXPECT_EQ(link.client.half_applied(), 0);
@@ -266,7 +270,7 @@
 TEST_P(BothForms, OneThatRefusesAllIsServedNothingTwice) {
   Wires wires;
   Wires::Link link(GetParam(), "p1");
-  link.client.refuse("");
+  link.client.nack_matching("");
   wires.publish(picture());
   wires.connect(link);
   wires.settle(link);
@@ -333,7 +337,7 @@
 
 TEST(SessionTable, ProxiesFromBeforeARestartHoldUpToo) {
   Wires wires;
-  wires.table.remember({"p1", "p2"}, wires.now);
+  wires.table.restore_proxies({"p1", "p2"}, wires.now);
   wires.publish(picture());
   Wires::Link link(false, "p1");
   wires.connect(link);
@@ -353,7 +357,7 @@
   wires.publish(picture());
   routing::PublishedSnapshot closed{wires.number, picture()};
   closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
-  SessionTable::Gate gate{.served = {"p1"}, .fresh_until = 0, .closed = make_resources(closed, nullptr)};
+  SessionTable::Gate gate{.served = {"p1"}, .fresh_until = 0, .closed = build_resource_set(closed, nullptr)};
   wires.table.gate(gate, wires.now);
   wires.connect(link);
   wires.settle(link);
@@ -367,22 +371,22 @@
 }
 
 TEST(SessionTable, AFloodOfSubscriptionsEndsThatStream) {
-  Session session(Form::kDelta);
-  session.offer(make_resources({1, picture()}, nullptr));
-  Fault fault = Fault::kNone;
+  Session session(ProtocolVariant::kDelta);
+  session.offer(build_resource_set({1, picture()}, nullptr));
+  StreamError fault = StreamError::kNone;
   int taken = 0;
-  for (; taken < 10'000 && fault == Fault::kNone; ++taken) {
-    fault =
-        session.request({.type = Type::kEndpoints, .subscribe = {"x" + std::to_string(taken)}}, taken * kMs);
+  for (; taken < 10'000 && fault == StreamError::kNone; ++taken) {
+    fault = session.request({.type = ResourceType::kEndpoints, .subscribe = {"x" + std::to_string(taken)}},
+                            taken * kMs);
     session.next();
   }
-  EXPECT_EQ(fault, Fault::kTooManyRequests);
+  EXPECT_EQ(fault, StreamError::kTooManyRequests);
   EXPECT_LT(taken, 1000);
-  Session many(Form::kStateOfTheWorld);
+  Session many(ProtocolVariant::kStateOfTheWorld);
   std::vector<std::string> names(30'000, "name");
-  EXPECT_EQ(many.request({.type = Type::kEndpoints, .names = names}, 0), Fault::kTooManyNames);
-  EXPECT_EQ(many.request({.type = Type::kEndpoints, .names = {std::string(5000, 'x')}}, 0),
-            Fault::kTooManyNames);
+  EXPECT_EQ(many.request({.type = ResourceType::kEndpoints, .names = names}, 0), StreamError::kTooManyNames);
+  EXPECT_EQ(many.request({.type = ResourceType::kEndpoints, .names = {std::string(5000, 'x')}}, 0),
+            StreamError::kTooManyNames);
 }
 
 TEST(Wire, AnyBytesAreReadOrRefused) {
@@ -391,14 +395,15 @@
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes(random() % 60, '\0');
     for (char& c : bytes) c = static_cast<char>(random());
-    ReadRequest out;
-    read_request(random() % 2 ? Form::kDelta : Form::kStateOfTheWorld, bytes.data(), bytes.size(), out);
+    ParsedRequest out;
+    read_request(random() % 2 ? ProtocolVariant::kDelta : ProtocolVariant::kStateOfTheWorld, bytes.data(),
+                 bytes.size(), out);
   }
   envoy::service::discovery::v3::DiscoveryRequest unknown;
   unknown.set_type_url("type.googleapis.com/envoy.config.other.v3.Thing");
   std::string bytes = unknown.SerializeAsString();
-  ReadRequest out;
-  EXPECT_TRUE(read_request(Form::kStateOfTheWorld, bytes.data(), bytes.size(), out));
+  ParsedRequest out;
+  EXPECT_TRUE(read_request(ProtocolVariant::kStateOfTheWorld, bytes.data(), bytes.size(), out));
   EXPECT_FALSE(out.request);
 }
 
--- a/tests/xds_wires.h
+++ b/tests/xds_wires.h
@@ -49,25 +49,25 @@
     // `services`: listeners that it asks for by name; none: all there are.
     Link(bool delta, std::string id, std::vector<std::string> services = {})
         : client(delta, id, "a", nullptr, std::move(services)),
-          form(delta ? Form::kDelta : Form::kStateOfTheWorld) {}
+          variant(delta ? ProtocolVariant::kDelta : ProtocolVariant::kStateOfTheWorld) {}
     standin::AdsClient client;
-    Form form;
+    ProtocolVariant variant;
     StreamId stream = 0;
     std::deque<std::string> up;
     std::deque<std::string> down;
   };
 
   std::shared_ptr<const ResourceSet> publish(const routing::Snapshot& snapshot) {
-    set = make_resources({++number, snapshot}, set.get());
-    EXPECT_EQ(fault_of(*set), "");
+    set = build_resource_set({++number, snapshot}, set.get());
+    EXPECT_EQ(find_inconsistency(*set), "");
     table.publish(set);
     return set;
   }
   void connect(Link& link) {
-    link.stream = table.open(link.form, "peer");
+    link.stream = table.open(link.variant, "peer");
     link.up.clear();
     link.down.clear();
-    for (std::string& bytes : link.client.connected()) link.up.push_back(std::move(bytes));
+    for (std::string& bytes : link.client.open_stream()) link.up.push_back(std::move(bytes));
   }
   void cut(Link& link) {
     table.close(link.stream, now);
@@ -77,25 +77,27 @@
   }
   bool move_up(Link& link) {
     if (link.up.empty()) return false;
-    ReadRequest read;
-    EXPECT_TRUE(read_request(link.form, link.up.front().data(), link.up.front().size(), read));
+    ParsedRequest read;
+    EXPECT_TRUE(read_request(link.variant, link.up.front().data(), link.up.front().size(), read));
     link.up.pop_front();
-    EXPECT_EQ(table.request(link.stream, read.node, read.zone, *read.request, now), Fault::kNone);
+    EXPECT_EQ(table.request(link.stream, read.node, read.zone, *read.request, now), StreamError::kNone);
     return true;
   }
   bool write(Link& link) {
     if (link.stream == 0) return false;
     auto response = table.next(link.stream);
     if (!response) return false;
-    std::string bytes = head_of(*response, link.form);
-    for (const ResourcePtr& resource : response->resources) bytes += body_of(*resource, link.form);
+    std::string bytes = encode_response_header(*response, link.variant);
+    for (const ResourcePtr& resource : response->resources)
+      bytes += encoded_resource(*resource, link.variant);
     link.down.push_back(std::move(bytes));
     ++answers;
     return true;
   }
   bool move_down(Link& link) {
     if (link.down.empty()) return false;
-    for (std::string& bytes : link.client.came(link.down.front())) link.up.push_back(std::move(bytes));
+    for (std::string& bytes : link.client.handle_response(link.down.front()))
+      link.up.push_back(std::move(bytes));
     link.down.pop_front();
     return true;
   }
@@ -118,8 +120,8 @@
   int answers = 0;
 };
 
-inline fleet::ServerList placed_on(fleet::ServerList::Places places) {
-  return {std::make_shared<const fleet::ServerList::Places>(std::move(places))};
+inline fleet::ServerList placed_on(fleet::ServerList::ServerIndices places) {
+  return {std::make_shared<const fleet::ServerList::ServerIndices>(std::move(places))};
 }
 
 // "read" and "set" have subsets of ten of all servers, "near" runs on six, "write" has owners.
@@ -135,7 +137,7 @@
 }
 
 inline const SubsetResources& subsets_of(const ResourceSet& set, const std::string& cluster) {
-  return *set.of(Type::kEndpoints).at(cluster)->subsets;
+  return *set.of(ResourceType::kEndpoints).at(cluster)->subsets;
 }
 
 inline std::set<std::string> servers_of(const Wires::Link& link, const std::string& cluster) {
