--- a/src/net/address.h
+++ b/src/net/address.h
@@ -7,11 +7,12 @@
 
 namespace myrtlecroft::net {
 
+// Whether both have the same IPv4 address and port.
 inline bool same_address(const sockaddr_in& one, const sockaddr_in& other) {
   return one.sin_port == other.sin_port && one.sin_addr.s_addr == other.sin_addr.s_addr;
 }
 
-// On this machine; port 0: any free one.
+// 127.0.0.1 with the given port; binding to port 0 picks a free one.
 inline sockaddr_in loopback(std::uint16_t port) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
--- a/src/net/base64.cpp
+++ b/src/net/base64.cpp
@@ -23,12 +23,12 @@
 void append_base64(std::string& out, std::string_view bytes) {
   for (std::size_t i = 0; i < bytes.size(); i += 3) {
     std::size_t count = std::min<std::size_t>(3, bytes.size() - i);
-    std::uint32_t word = 0;
+    std::uint32_t group = 0;
     for (std::size_t k = 0; k < 3; ++k) {
-      word = word << 8 | (k < count ? static_cast<unsigned char>(bytes[i + k]) : 0u);
+      group = group << 8 | (k < count ? static_cast<unsigned char>(bytes[i + k]) : 0u);
     }
     for (std::size_t k = 0; k < 4; ++k) {
-      out += k <= count ? kAlphabet[word >> (18 - 6 * k) & 63] : '=';
+      out += k <= count ? kAlphabet[group >> (18 - 6 * k) & 63] : '=';
     }
   }
 }
@@ -39,15 +39,15 @@
   while (padding < 2 && padding < text.size() && text[text.size() - 1 - padding] == '=') ++padding;
   std::string bytes;
   bytes.reserve(text.size() / 4 * 3);
-  std::uint32_t word = 0;
+  std::uint32_t group = 0;
   for (std::size_t i = 0; i < text.size(); ++i) {
-    bool pad = i >= text.size() - padding;
-    int value = pad ? 0 : kValues[static_cast<unsigned char>(text[i])];
+    bool is_padding = i >= text.size() - padding;
+    int value = is_padding ? 0 : kValues[static_cast<unsigned char>(text[i])];
     if (value < 0) return std::nullopt;
-    word = word << 6 | static_cast<std::uint32_t>(value);
+    group = group << 6 | static_cast<std::uint32_t>(value);
     if (i % 4 != 3) continue;
-    for (int shift = 16; shift >= 0; shift -= 8) bytes += static_cast<char>(word >> shift & 255);
-    word = 0;
+    for (int shift = 16; shift >= 0; shift -= 8) bytes += static_cast<char>(group >> shift & 255);
+    group = 0;
   }
   bytes.resize(bytes.size() - padding);
   return bytes;
--- a/src/net/base64.h
+++ b/src/net/base64.h
@@ -8,6 +8,7 @@
 namespace myrtlecroft::net {
 
 void append_base64(std::string& out, std::string_view bytes);
+// Returns nothing when the length is not a multiple of 4, or a character is outside the alphabet.
 std::optional<std::string> from_base64(std::string_view text);
 
 }  // namespace myrtlecroft::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -14,27 +14,27 @@
 namespace myrtlecroft::net {
 namespace {
 
-constexpr std::size_t kMaxUnsent = std::size_t{1} << 18;  // bytes that a peer which comes to us does not take
-constexpr std::size_t kKeptBuffer = 4096;                 // an empty buffer larger than this is let go
-// Of one connection in a turn of the loop, so that a fast one with much to say doesn't starve the rest. What
-// we depend on is few connections, and what comes from there goes first.
-constexpr std::size_t kReadAtOnce = 16'384;
-constexpr std::size_t kWriteAtOnce = 16'384;
-constexpr std::size_t kReadAtOnceBelow = 65'536;
-// In the kernel for each peer, which doubles it. Left to itself it would take megabytes for one that reads
-// nothing, and call them sent.
-constexpr int kSendBuffer = 65'536;
-constexpr Nanos kFlushing = 1'000 * kMs;  // at least, for a peer that is slow to read
-constexpr Nanos kMinLinger = 100 * kMs;   // where nothing is owed to it
-
-CloseReason reason_of(int error, bool was_open) {
+constexpr std::size_t kMaxUnsentAccepted = std::size_t{1} << 18;  // bytes, of an accepted connection
+constexpr std::size_t kMaxIdleBufferBytes = 4096;                 // an empty buffer larger than this is freed
+// Bytes of one connection in one iteration of the event loop, so that a connection with much data does not
+// starve the others. Outgoing connections are few, and their input is handled first.
+constexpr std::size_t kMaxBytesPerRead = 16'384;
+constexpr std::size_t kMaxBytesPerWrite = 16'384;
+constexpr std::size_t kMaxBytesPerReadOutgoing = 65'536;
+// Size of an accepted socket's send buffer in bytes; the kernel doubles it. By default the kernel would
+// buffer megabytes for a peer that reads nothing, and they would count as sent.
+constexpr int kSendBufferBytes = 65'536;
+constexpr Nanos kMinFlushTimeout = 1'000 * kMs;  // for a peer that reads slowly
+constexpr Nanos kMinLingerTimeout = 100 * kMs;   // when no answer waits to be read
+
+CloseReason close_reason_for_error(int error, bool was_open) {
   if (error == ECONNREFUSED) return CloseReason::kRefused;
   return was_open ? CloseReason::kReset : CloseReason::kUnreachable;
 }
 
 }  // namespace
 
-const char* code_of(CloseReason reason) {
+const char* close_reason_code(CloseReason reason) {
   switch (reason) {
     case CloseReason::kPeerClosed:
       return "peer-closed";
@@ -69,65 +69,65 @@
 }
 
 void InputBuffer::append(evbuffer* from) {
-  std::size_t more = evbuffer_get_length(from);
-  if (data_.size() - end_ < more && begin_ > 0) {
+  std::size_t available = evbuffer_get_length(from);
+  if (data_.size() - end_ < available && begin_ > 0) {
     std::memmove(data_.data(), data_.data() + begin_, end_ - begin_);
     end_ -= std::exchange(begin_, 0);
   }
-  if (data_.size() - end_ < more) data_.resize(std::max(end_ + more, 2 * data_.size()));
-  int got = evbuffer_remove(from, data_.data() + end_, more);
-  if (got > 0) end_ += static_cast<std::size_t>(got);
+  if (data_.size() - end_ < available) data_.resize(std::max(end_ + available, 2 * data_.size()));
+  int bytes_read = evbuffer_remove(from, data_.data() + end_, available);
+  if (bytes_read > 0) end_ += static_cast<std::size_t>(bytes_read);
 }
 
-void InputBuffer::take(std::size_t count) {
+void InputBuffer::consume(std::size_t count) {
   begin_ += count;
   if (begin_ < end_) return;
   begin_ = end_ = 0;
-  if (data_.size() > kKeptBuffer) data_ = {};
+  if (data_.size() > kMaxIdleBufferBytes) data_ = {};
 }
 
 Connection::Connection(event_base* base, evutil_socket_t socket, std::size_t max_unsent,
-                       ConnectionOwner& owner, service::Logger& log, std::string what)
+                       ConnectionOwner& owner, service::Logger& log, std::string description)
     : owner_(owner),
       log_(log),
-      what_(std::move(what)),
+      description_(std::move(description)),
       events_(bufferevent_socket_new(base, socket, BEV_OPT_CLOSE_ON_FREE)),
       max_unsent_(max_unsent),
-      timer_(base, [this] { expired(); }) {
+      timer_(base, [this] { handle_timeout(); }) {
   if (!events_) throw std::bad_alloc();
   bufferevent_setcb(events_, on_read, on_write, on_event, this);
-  bufferevent_set_max_single_read(events_, kReadAtOnce);
-  bufferevent_set_max_single_write(events_, kWriteAtOnce);
+  bufferevent_set_max_single_read(events_, kMaxBytesPerRead);
+  bufferevent_set_max_single_write(events_, kMaxBytesPerWrite);
   bufferevent_enable(events_, EV_READ | EV_WRITE);
 }
 
-Connection::Connection(event_base* base, evutil_socket_t accepted, ConnectionOwner& owner,
-                       service::Logger& log, std::string what)
-    : Connection(base, accepted, kMaxUnsent, owner, log, std::move(what)) {
-  came_up();
-  setsockopt(accepted, SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
+Connection::Connection(event_base* base, evutil_socket_t accepted_socket, ConnectionOwner& owner,
+                       service::Logger& log, std::string description)
+    : Connection(base, accepted_socket, kMaxUnsentAccepted, owner, log, std::move(description)) {
+  mark_connected();
+  setsockopt(accepted_socket, SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof kSendBufferBytes);
 }
 
 Connection::Connection(event_base* base, const sockaddr_in& to, ConnectionOwner& owner, service::Logger& log,
-                       std::string what, std::size_t max_unsent)
-    : Connection(base, -1, max_unsent, owner, log, std::move(what)) {
-  bufferevent_set_max_single_read(events_, kReadAtOnceBelow);
+                       std::string description, std::size_t max_unsent)
+    : Connection(base, -1, max_unsent, owner, log, std::move(description)) {
+  bufferevent_set_max_single_read(events_, kMaxBytesPerReadOutgoing);
   if (bufferevent_socket_connect(events_, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0) {
-    end(reason_of(errno, false));
+    end(close_reason_for_error(errno, false));
   }
 }
 
-void Connection::came_up() {
-  open_ = true;
-  int yes = 1;
-  setsockopt(bufferevent_getfd(events_), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
+void Connection::mark_connected() {
+  was_open_ = true;
+  int enabled = 1;
+  setsockopt(bufferevent_getfd(events_), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 void Connection::set_reset_on_close() {
-  struct linger at_once {
+  struct linger zero_linger {
     .l_onoff = 1, .l_linger = 0
   };
-  setsockopt(bufferevent_getfd(events_), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  setsockopt(bufferevent_getfd(events_), SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
 }
 
 Connection::~Connection() { bufferevent_free(events_); }
@@ -149,79 +149,79 @@
 
 std::size_t Connection::unsent() const { return evbuffer_get_length(bufferevent_get_output(events_)); }
 
-std::size_t Connection::bytes_held() const { return input_.size() + unsent(); }
+std::size_t Connection::buffered_bytes() const { return input_.size() + unsent(); }
 
 void Connection::pause_reading() {
   if (!closing()) bufferevent_disable(events_, EV_READ);
 }
 
-void Connection::read_on() {
+void Connection::resume_reading() {
   if (!ending() && !closed_by_peer_) bufferevent_enable(events_, EV_READ);
 }
 
-bool Connection::unread() const {
+bool Connection::has_unread_input() const {
   int bytes = 0;
   return ::ioctl(bufferevent_getfd(events_), FIONREAD, &bytes) == 0 && bytes > 0;
 }
 
-void Connection::linger(CloseReason reason, Nanos within) {
+void Connection::linger(CloseReason reason, Nanos timeout) {
   if (closing()) return;
   stage_ = Stage::kFlushing;
   reason_ = reason;
-  linger_within_ = within;
-  timer_.set(std::max(linger_within_, kFlushing));
-  read_on();
+  linger_timeout_ = timeout;
+  timer_.set(std::max(linger_timeout_, kMinFlushTimeout));
+  resume_reading();
   if (unsent() == 0) half_close();
 }
 
-void Connection::linger_after(Nanos time, CloseReason reason) {
+void Connection::schedule_linger(Nanos delay, CloseReason reason) {
   if (closing()) return;
   reason_ = reason;
-  timer_.set(time);
+  timer_.set(delay);
 }
 
-void Connection::stay_on() {
+void Connection::cancel_scheduled_linger() {
   if (!closing()) timer_.clear();
 }
 
 void Connection::half_close() {
   stage_ = Stage::kLingering;
   ::shutdown(bufferevent_getfd(events_), SHUT_WR);
-  timer_.set(closed_by_peer_ ? 0 : std::max(linger_within_, kMinLinger));
+  timer_.set(closed_by_peer_ ? 0 : std::max(linger_timeout_, kMinLingerTimeout));
 }
 
-void Connection::expired() {
+void Connection::handle_timeout() {
   if (stage_ == Stage::kOpen && unsent() == 0) return linger(reason_);
   finish();
 }
 
 void Connection::finish() {
   stage_ = Stage::kEnding;
-  std::string line = what_ + " ended: " + code_of(reason_) + ", in " + std::to_string(bytes_in_) +
-                     " bytes, out " + std::to_string(bytes_out_) + " bytes";
+  std::string line = description_ + " ended: " + close_reason_code(reason_) + ", in " +
+                     std::to_string(bytes_in_) + " bytes, out " + std::to_string(bytes_out_) + " bytes";
   reason_ == CloseReason::kDone ? log_.write_routine(line) : log_.write_rate_limited(line);
   owner_.ended(*this, reason_);
 }
 
-void Connection::on_read(bufferevent* events, void* given) {
-  auto* self = static_cast<Connection*>(given);
+void Connection::on_read(bufferevent* events, void* context) {
+  auto* self = static_cast<Connection*>(context);
   if (self->ending()) return;
   evbuffer* from = bufferevent_get_input(events);
   self->bytes_in_ += evbuffer_get_length(from);
   if (self->closing()) {
-    // What crossed our close is never answered, and its sender may wait for us before it asks again
-    // elsewhere.
-    if (self->stage_ == Stage::kLingering && std::exchange(self->linger_within_, 0) > 0)
-      self->timer_.set(kMinLinger);
+    // A request that arrives after the close is never answered, and its sender may wait for the connection's
+    // end before it sends the request to another server: the wait is shortened.
+    if (self->stage_ == Stage::kLingering && std::exchange(self->linger_timeout_, 0) > 0)
+      self->timer_.set(kMinLingerTimeout);
     evbuffer_drain(from, evbuffer_get_length(from));
     return;
   }
   self->input_.append(from);
-  self->input_.take(self->owner_.bytes_received(*self, self->input_.bytes()));
+  self->input_.consume(self->owner_.bytes_received(*self, self->input_.bytes()));
 }
 
-void Connection::on_write(bufferevent*, void* given) {
-  auto* self = static_cast<Connection*>(given);
+void Connection::on_write(bufferevent*, void* context) {
+  auto* self = static_cast<Connection*>(context);
   if (self->stage_ == Stage::kFlushing) {
     self->half_close();
   } else if (self->stage_ == Stage::kOpen) {
@@ -229,25 +229,27 @@
   }
 }
 
-void Connection::on_event(bufferevent*, short what, void* given) {
-  auto* self = static_cast<Connection*>(given);
-  if (what & BEV_EVENT_CONNECTED) {
-    self->came_up();
-    // What comes from below is taken first. After a pause of this process all waits at once, and a new
-    // request, taken before the runs that ended meanwhile, would see work that stands still. Harm: none
-    // seen; what comes from below is little.
+void Connection::on_event(bufferevent*, short flags, void* context) {
+  auto* self = static_cast<Connection*>(context);
+  if (flags & BEV_EVENT_CONNECTED) {
+    self->mark_connected();
+    // Input of outgoing connections is handled before that of accepted ones. After a pause of this process
+    // input waits on all of them, and a new request that is handled before the notices of runs that ended
+    // meanwhile would find the server stalled. No disadvantage is known: this input is small.
     bufferevent_priority_set(self->events_, 0);
     self->owner_.opened(*self);
-  } else if (what & BEV_EVENT_EOF) {
-    // Its close of one direction looks like one of both until we write. Harm: what it has open is worked on
-    // for a peer that is gone, until the first answer meets the reset.
+  } else if (flags & BEV_EVENT_EOF) {
+    // A peer that has closed only its sending side can't be told from one that has closed the connection
+    // until bytes are written. The cost: its open requests run for nobody until the first answer meets a
+    // reset.
     self->closed_by_peer_ = true;
     if (self->stage_ == Stage::kFlushing) return;
     if (self->closing() || !self->owner_.half_closed(*self)) self->end(CloseReason::kPeerClosed);
-  } else if (what & BEV_EVENT_ERROR) {
+  } else if (flags & BEV_EVENT_ERROR) {
     int error = EVUTIL_SOCKET_ERROR();
-    if (!self->open_ && error != ECONNREFUSED) self->what_ += std::string(" (") + std::strerror(error) + ")";
-    self->end(reason_of(error, self->open_));
+    if (!self->was_open_ && error != ECONNREFUSED)
+      self->description_ += std::string(" (") + std::strerror(error) + ")";
+    self->end(close_reason_for_error(error, self->was_open_));
   }
 }
 
--- a/src/net/database_client.cpp
+++ b/src/net/database_client.cpp
@@ -10,7 +10,7 @@
 namespace myrtlecroft::net {
 namespace {
 
-constexpr Nanos kPartialLimit = 300 * kMs;  // for a reply that has begun to come to its end
+constexpr Nanos kPartialReplyTimeout = 300 * kMs;  // from the first byte of a reply to its last
 
 }  // namespace
 
@@ -19,86 +19,89 @@
   explicit Channel(DatabaseClient& database)
       : database_(database),
         connection_(database.loop_.base(), database.database_, *this, database.log_, "database connection"),
-        partial_(database.loop_.base(), [this] { connection_.end(CloseReason::kMalformed); }) {}
+        partial_reply_timer_(database.loop_.base(), [this] { connection_.end(CloseReason::kMalformed); }) {}
 
   bool can_carry(const std::string& id) const {
-    return !retired_ && !connection_.closing() && !carried_.contains(id);
+    return !retired_ && !connection_.closing() && !used_request_ids_.contains(id);
   }
-  // One that does not take its bytes costs the call that is on it, and gets no other while there is a choice.
-  std::pair<bool, std::size_t> load() const { return {connection_.unsent() > 0, out_.size()}; }
-
-  void call(service::ServerRequest& request, std::string_view body, Nanos longest) {
-    out_[request.id] = &request;
-    carried_.insert(request.id);
-    connection_.write(query_line(request.id, std::max<Nanos>(1, (longest + kMs - 1) / kMs), body));
+  // Order in which channels are chosen: those with unsent bytes last, as their calls are already at risk,
+  // then by the number of pending calls.
+  std::pair<bool, std::size_t> load() const { return {connection_.unsent() > 0, pending_calls_.size()}; }
+
+  void call(service::ServerRequest& request, std::string_view body, Nanos timeout) {
+    pending_calls_[request.id] = &request;
+    used_request_ids_.insert(request.id);
+    connection_.write(encode_query(request.id, std::max<Nanos>(1, (timeout + kMs - 1) / kMs), body));
   }
 
-  // Closing gives up what is on it. Where other calls are, they end first.
+  // Closing the connection cancels the call. If other calls are pending on it, a cancel line is sent instead,
+  // and the connection closes after the last of them.
   void abandon_call(service::ServerRequest& request) {
-    if (!out_.erase(request.id)) return;
-    if (!out_.empty()) connection_.write(give_up_line(request.id));
+    if (!pending_calls_.erase(request.id)) return;
+    if (!pending_calls_.empty()) connection_.write(encode_cancel(request.id));
     retire(CloseReason::kSpent);
   }
 
+  // Takes no more calls, and ends once none is pending.
   void retire(CloseReason reason) {
     retired_ = true;
-    if (out_.empty()) connection_.end(reason);
+    if (pending_calls_.empty()) connection_.end(reason);
   }
 
   void opened(Connection&) override { connection_.set_reset_on_close(); }
 
   std::size_t bytes_received(Connection&, std::string_view bytes) override {
-    std::size_t taken = 0;
+    std::size_t consumed = 0;
     DatabaseReply reply;
     LineState state = LineState::kComplete;
-    while (!connection_.closing() && taken < bytes.size() &&
-           (state = read_database_reply(bytes.substr(taken), reply)) == LineState::kComplete) {
-      taken += reply.size;
-      auto place = out_.find(std::string(reply.id));
-      if (place == out_.end()) {
-        retired_ = true;  // a second copy, or what nobody asked for: no more calls on this one
+    while (!connection_.closing() && consumed < bytes.size() &&
+           (state = read_database_reply(bytes.substr(consumed), reply)) == LineState::kComplete) {
+      consumed += reply.size;
+      auto entry = pending_calls_.find(std::string(reply.id));
+      if (entry == pending_calls_.end()) {
+        retired_ = true;  // a duplicate or unexpected reply: no further calls on this connection
         continue;
       }
-      service::ServerRequest& request = *place->second;
-      out_.erase(place);
-      if (out_.empty()) retire(CloseReason::kDone);
-      database_.service_->call_completed(request, reply.reply, std::string(reply.body));
+      service::ServerRequest& request = *entry->second;
+      pending_calls_.erase(entry);
+      if (pending_calls_.empty()) retire(CloseReason::kDone);
+      database_.service_->call_completed(request, reply.result, std::string(reply.body));
     }
     if (state == LineState::kMalformed) connection_.end(CloseReason::kMalformed);
     if (connection_.closing()) return bytes.size();
-    if (taken == bytes.size()) {
-      partial_.clear();
-    } else if (!partial_.is_set()) {
-      partial_.set(kPartialLimit);
+    if (consumed == bytes.size()) {
+      partial_reply_timer_.clear();
+    } else if (!partial_reply_timer_.is_set()) {
+      partial_reply_timer_.set(kPartialReplyTimeout);
     }
-    return taken;
+    return consumed;
   }
 
-  // A connection that never came up carried nothing. One that breaks proves nothing. What one request makes
-  // of it may give up the call of another that is here too: that one is not told any more, as its reply would
-  // be taken for that of its next call.
+  // Calls of a connection that was never established were not sent; those of a broken one may have been
+  // executed. The handling of one result can abandon the call of another request on this channel: that call
+  // is not reported any more, as its result would be taken for that of the request's next call.
   void ended(Connection& connection, CloseReason) override {
-    service::CallResult reply =
+    service::CallResult result =
         connection.was_open() ? service::CallResult::kConnectionLost : service::CallResult::kUnreachable;
-    auto place = std::find_if(database_.channels_.begin(), database_.channels_.end(),
+    auto entry = std::find_if(database_.channels_.begin(), database_.channels_.end(),
                               [this](auto& each) { return each.get() == this; });
-    std::unique_ptr<Channel> own = std::move(*place);
-    database_.channels_.erase(place);
-    database_.ending_ = this;
-    while (!out_.empty()) {
-      service::ServerRequest& request = *out_.begin()->second;
-      out_.erase(out_.begin());
-      database_.service_->call_completed(request, reply, "");
+    std::unique_ptr<Channel> own = std::move(*entry);
+    database_.channels_.erase(entry);
+    database_.ending_channel_ = this;
+    while (!pending_calls_.empty()) {
+      service::ServerRequest& request = *pending_calls_.begin()->second;
+      pending_calls_.erase(pending_calls_.begin());
+      database_.service_->call_completed(request, result, "");
     }
-    database_.ending_ = nullptr;
+    database_.ending_channel_ = nullptr;
   }
 
  private:
   DatabaseClient& database_;
   Connection connection_;
-  Timer partial_;
-  std::map<std::string, service::ServerRequest*> out_;
-  std::set<std::string> carried_;  // a reply to these may still come
+  Timer partial_reply_timer_;
+  std::map<std::string, service::ServerRequest*> pending_calls_;
+  std::set<std::string> used_request_ids_;  // a late reply to these is possible
   bool retired_ = false;
 };
 
@@ -108,7 +111,7 @@
       log_(log),
       database_(database),
       max_connections_(max_connections),
-      tell_(loop.base(), [this] { tell_unreachable(); }) {}
+      report_timer_(loop.base(), [this] { report_unreachable_calls(); }) {}
 
 DatabaseClient::~DatabaseClient() = default;
 
@@ -118,7 +121,7 @@
 }
 
 DatabaseClient::Channel* DatabaseClient::channel_for(const std::string& id) {
-  if (database_.sin_port == 0) return nullptr;  // none was named
+  if (database_.sin_port == 0) return nullptr;  // no database is configured
   if (channels_.size() < max_connections_) {
     return channels_.emplace_back(std::make_unique<Channel>(*this)).get();
   }
@@ -129,20 +132,20 @@
   return best;
 }
 
-void DatabaseClient::call(service::ServerRequest& request, std::string_view body, Nanos longest) {
-  if (Channel* channel = channel_for(request.id)) return channel->call(request, body, longest);
-  unreachable_.push_back(&request);
-  tell_.set(0);
+void DatabaseClient::call(service::ServerRequest& request, std::string_view body, Nanos timeout) {
+  if (Channel* channel = channel_for(request.id)) return channel->call(request, body, timeout);
+  unreachable_requests_.push_back(&request);
+  report_timer_.set(0);
 }
 
 void DatabaseClient::abandon_call(service::ServerRequest& request) {
-  std::erase(unreachable_, &request);
-  if (ending_) ending_->abandon_call(request);
+  std::erase(unreachable_requests_, &request);
+  if (ending_channel_) ending_channel_->abandon_call(request);
   for (auto& channel : channels_) channel->abandon_call(request);
 }
 
-void DatabaseClient::tell_unreachable() {
-  for (service::ServerRequest* request : std::exchange(unreachable_, {})) {
+void DatabaseClient::report_unreachable_calls() {
+  for (service::ServerRequest* request : std::exchange(unreachable_requests_, {})) {
     service_->call_completed(*request, service::CallResult::kUnreachable, "");
   }
 }
--- a/src/net/database_client.h
+++ b/src/net/database_client.h
@@ -1,8 +1,9 @@
-// Calls below, each on a connection of its own that is closed after it: one that breaks or goes useless takes
-// no other call with it, and none meets a connection that was closed or forgotten over there while it was
-// idle, which would look like a call that ran. Only when there are no more connections do calls share them. A
-// reply names only its request; one that comes late or twice could be taken for that of the request's next
-// call, which is made on another connection.
+// Client of the database. Each call has a connection of its own, which is closed after the call: a connection
+// that breaks or hangs affects no other call, and no call is sent on an idle connection that the database has
+// closed or forgotten, which would look like a call that may have been executed. Calls share connections only
+// when `max_connections` are open. A reply names its request but not the call, so a late or duplicate reply
+// could be taken for that of the request's next call; therefore each call of a request uses another
+// connection.
 #pragma once
 
 #include <memory>
@@ -14,22 +15,24 @@
 
 namespace myrtlecroft::net {
 
+// Belongs to the loop's thread.
 class DatabaseClient final : public service::Dependency {
  public:
+  // Port 0 in `database` means that no database is configured: every call then fails as unreachable.
   DatabaseClient(Loop& loop, service::Logger& log, const sockaddr_in& database, std::size_t max_connections);
   ~DatabaseClient() override;
   void begin(service::Service& service) { service_ = &service; }
-  // It is to be reached elsewhere from now on. Calls that are out end where they are.
+  // Sets the address for new connections. Pending calls stay on their connections.
   void move(const sockaddr_in& database);
 
-  void call(service::ServerRequest& request, std::string_view body, Nanos longest) override;
+  void call(service::ServerRequest& request, std::string_view body, Nanos timeout) override;
   void abandon_call(service::ServerRequest& request) override;
 
  private:
   class Channel;
 
   Channel* channel_for(const std::string& id);
-  void tell_unreachable();
+  void report_unreachable_calls();
 
   Loop& loop_;
   service::Logger& log_;
@@ -37,9 +40,9 @@
   std::size_t max_connections_;
   service::Service* service_ = nullptr;
   std::vector<std::unique_ptr<Channel>> channels_;
-  Channel* ending_ = nullptr;                         // the one that has ended, while its calls are told
-  std::vector<service::ServerRequest*> unreachable_;  // to be told from the loop
-  Timer tell_;
+  Channel* ending_channel_ = nullptr;                          // has ended; its calls are being completed
+  std::vector<service::ServerRequest*> unreachable_requests_;  // completed from the event loop
+  Timer report_timer_;
 };
 
 }  // namespace myrtlecroft::net
--- a/src/net/database_codec.cpp
+++ b/src/net/database_codec.cpp
@@ -6,9 +6,9 @@
 namespace myrtlecroft::net {
 namespace {
 
-constexpr std::string_view kEnd = "\r\n";
-constexpr std::size_t kLongestLine = 512;
-constexpr std::size_t kLongestBody = std::size_t{1} << 16;
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::size_t kMaxLineBytes = 512;  // with its line end
+constexpr std::size_t kMaxBodyBytes = std::size_t{1} << 16;
 
 std::string_view next_word(std::string_view& line) {
   std::size_t space = line.find(' ');
@@ -20,56 +20,56 @@
 }  // namespace
 
 LineState read_database_reply(std::string_view bytes, DatabaseReply& out) {
-  std::size_t end = bytes.substr(0, kLongestLine).find(kEnd);
+  std::size_t end = bytes.substr(0, kMaxLineBytes).find(kLineEnd);
   if (end == std::string_view::npos) {
-    return bytes.size() < kLongestLine ? LineState::kPartial : LineState::kMalformed;
+    return bytes.size() < kMaxLineBytes ? LineState::kPartial : LineState::kMalformed;
   }
   std::string_view line = bytes.substr(0, end);
   out = DatabaseReply{};
   out.id = next_word(line);
-  out.size = end + kEnd.size();
-  std::string_view word = next_word(line);
+  out.size = end + kLineEnd.size();
+  std::string_view status = next_word(line);
   if (out.id.empty()) return LineState::kMalformed;
-  if (word != "ROWS") {
+  if (status != "ROWS") {
     using service::CallResult;
     constexpr std::pair<std::string_view, CallResult> kResults[] = {{"FULL", CallResult::kAtCapacity},
                                                                     {"FAIL", CallResult::kFailed},
                                                                     {"TIMEOUT", CallResult::kTimedOut},
                                                                     {"NONE", CallResult::kNotExecuted}};
-    for (const auto& [name, reply] : kResults) {
-      if (name != word) continue;
-      out.reply = reply;
+    for (const auto& [name, result] : kResults) {
+      if (name != status) continue;
+      out.result = result;
       return LineState::kComplete;
     }
     return LineState::kMalformed;
   }
   std::string_view digits = next_word(line);
   std::size_t length = 0;
-  auto [past, error] = std::from_chars(digits.data(), digits.data() + digits.size(), length);
-  if (error != std::errc() || past != digits.data() + digits.size() || length > kLongestBody) {
+  auto [parsed_end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), length);
+  if (error != std::errc() || parsed_end != digits.data() + digits.size() || length > kMaxBodyBytes) {
     return LineState::kMalformed;
   }
-  if (bytes.size() < out.size + length + kEnd.size()) return LineState::kPartial;
+  if (bytes.size() < out.size + length + kLineEnd.size()) return LineState::kPartial;
   out.body = bytes.substr(out.size, length);
-  out.size += length + kEnd.size();
-  return bytes.substr(out.size - kEnd.size(), kEnd.size()) == kEnd ? LineState::kComplete
-                                                                   : LineState::kMalformed;
+  out.size += length + kLineEnd.size();
+  return bytes.substr(out.size - kLineEnd.size(), kLineEnd.size()) == kLineEnd ? LineState::kComplete
+                                                                               : LineState::kMalformed;
 }
 
-std::string query_line(std::string_view id, std::int64_t longest_ms, std::string_view body) {
+std::string encode_query(std::string_view id, std::int64_t timeout_ms, std::string_view body) {
   std::string line = "Q ";
   line += id;
-  line += ' ' + std::to_string(longest_ms) + ' ' + std::to_string(body.size());
-  line += kEnd;
+  line += ' ' + std::to_string(timeout_ms) + ' ' + std::to_string(body.size());
+  line += kLineEnd;
   line += body;
-  line += kEnd;
+  line += kLineEnd;
   return line;
 }
 
-std::string give_up_line(std::string_view id) {
+std::string encode_cancel(std::string_view id) {
   std::string line = "X ";
   line += id;
-  line += kEnd;
+  line += kLineEnd;
   return line;
 }
 
--- a/src/net/database_codec.h
+++ b/src/net/database_codec.h
@@ -1,4 +1,4 @@
-// The database's lines. No I/O.
+// Encodes and decodes the lines of the database protocol. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,19 @@
 
 struct DatabaseReply {
   std::string_view id;
-  service::CallResult reply = service::CallResult::kSucceeded;
-  std::string_view body;  // of ROWS
-  std::size_t size = 0;   // bytes it took of the input
+  service::CallResult result = service::CallResult::kSucceeded;
+  std::string_view body;  // only for ROWS
+  std::size_t size = 0;   // length of the encoded reply in bytes
 };
 
 enum class LineState { kComplete, kPartial, kMalformed };
 
-// Reads one reply from the front of the bytes; what it names points into them.
+// Parses the reply at the front of the bytes. The views in `out` point into `bytes`.
 LineState read_database_reply(std::string_view bytes, DatabaseReply& out);
 
-std::string query_line(std::string_view id, std::int64_t longest_ms, std::string_view body);
-std::string give_up_line(std::string_view id);
+// A call with its time limit and body.
+std::string encode_query(std::string_view id, std::int64_t timeout_ms, std::string_view body);
+// Cancels the call of that request.
+std::string encode_cancel(std::string_view id);
 
 }  // namespace myrtlecroft::net
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -1,4 +1,5 @@
-// The link to the engine on this machine. Comes back by itself; what a break leaves open is EngineSession's.
+// Connection to the engine on this machine. It reconnects by itself; EngineSession resolves the runs and
+// replies that a lost connection leaves in doubt.
 #pragma once
 
 #include <memory>
@@ -9,29 +10,31 @@
 
 namespace myrtlecroft::net {
 
+// Belongs to the loop's thread.
 class EngineClient final : public service::Engine, public ConnectionOwner {
  public:
-  static constexpr Nanos kSilence = 3'000 * kMs;
+  static constexpr Nanos kSilenceTimeout = 3'000 * kMs;
 
-  // Commands that the engine does not take wait here, `max_unsent` bytes of them; then the link is ended,
-  // and attached again it is told anew what it doesn't know. A link on which nothing comes for `silence` is
-  // given up and made anew: gauges are asked for at every beat, and before its HELLO a new link costs
-  // nothing.
+  // Up to `max_unsent` bytes of commands wait for the engine to read them. Beyond that the link ends, and
+  // after the next attach the commands that the engine does not know are sent again. A link that receives
+  // nothing for `silence_timeout` is closed and connected anew: gauges are queried at every tick, so a
+  // working engine is never silent for so long, and giving up a new link before its HELLO costs nothing.
   EngineClient(Loop& loop, service::Logger& log, const sockaddr_in& engine,
-               std::size_t max_unsent = Connection::kMaxUnsentBelow, Nanos silence = kSilence);
+               std::size_t max_unsent = Connection::kMaxUnsentOutgoing,
+               Nanos silence_timeout = kSilenceTimeout);
   void begin(service::EngineSession& session);
-  // The engine is to be reached elsewhere from now on. The old link stays until the new one is open and all
-  // that was sent on the old is known to have arrived.
+  // Sets a new address of the engine. The old link stays until the new one is established and all commands
+  // sent on the old one are confirmed, or until a short timeout.
   void move(const sockaddr_in& engine);
 
-  void attach(std::uint64_t last_notice) override { send(attach_line(last_notice)); }
+  void attach(std::uint64_t last_notice) override { send(encode_attach(last_notice)); }
   void run(std::string_view id, std::string_view request_class, std::string_view body) override {
-    send(run_line(id, request_class, body));
+    send(encode_run(id, request_class, body));
   }
-  void deliver_reply(std::string_view id, std::string_view reply) override { send(feed_line(id, reply)); }
-  void skip(std::string_view id, std::uint64_t notice) override { send(skip_line(id, notice)); }
-  void query_gauges(std::uint64_t token) override { send(stat_line(token)); }
-  void test(std::uint64_t token) override { send(test_line(token)); }
+  void deliver_reply(std::string_view id, std::string_view reply) override { send(encode_feed(id, reply)); }
+  void skip(std::string_view id, std::uint64_t notice) override { send(encode_skip(id, notice)); }
+  void query_gauges(std::uint64_t token) override { send(encode_stat(token)); }
+  void test(std::uint64_t token) override { send(encode_test(token)); }
 
   void opened(Connection&) override;
   std::size_t bytes_received(Connection&, std::string_view bytes) override;
@@ -40,9 +43,9 @@
  private:
   void connect();
   void hand_over();
-  void heard() { silent_.set(silence_); }
-  void fell_silent();
-  bool take(std::string_view line);  // false: not a line of the protocol
+  void restart_silence_timer() { silence_timer_.set(silence_timeout_); }
+  void handle_silence();
+  bool handle_line(std::string_view line);  // returns false for a malformed line
   void send(const std::string& line);
 
   Loop& loop_;
@@ -51,16 +54,16 @@
   std::size_t max_unsent_;
   service::EngineSession* session_ = nullptr;
   std::unique_ptr<Connection> connection_;
-  std::unique_ptr<Connection> next_;  // to where the engine has moved
-  std::unique_ptr<Connection> old_;   // left behind, about to end
-  Timer again_;
-  Timer hand_over_;
-  Timer silent_;
-  Nanos silence_;
-  Nanos wait_;
-  bool paused_ = false;          // nothing is sent until the new link takes over
-  bool skipping_ = false;        // within a line that is too long to keep
-  std::uint64_t bad_after_ = 0;  // 1 + the notice after which a line could not be read
+  std::unique_ptr<Connection> next_connection_;  // to the engine's new address
+  std::unique_ptr<Connection> old_connection_;   // to the former address, about to end
+  Timer reconnect_timer_;
+  Timer hand_over_timer_;
+  Timer silence_timer_;
+  Nanos silence_timeout_;
+  Nanos reconnect_delay_;
+  bool sending_paused_ = false;        // nothing is sent until the new link replaces the old one
+  bool skipping_line_ = false;         // discards the rest of a line that exceeds the limit
+  std::uint64_t malformed_after_ = 0;  // 1 + the last notice before the latest malformed line; 0: none
 };
 
 }  // namespace myrtlecroft::net
--- a/src/net/engine_codec.h
+++ b/src/net/engine_codec.h
@@ -1,4 +1,4 @@
-// The engine's lines: JSON objects, one a line. No I/O.
+// Encodes and decodes the lines of the engine protocol: one JSON object a line. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace myrtlecroft::net {
 
-// What a line of the engine may hold; what is absent stays as it is here.
+// The known fields of a line from the engine. An absent field keeps its default.
 struct EngineLine {
   std::string cmd;
   std::string req;
@@ -21,14 +21,15 @@
   std::vector<double> load;
 };
 
-// Nothing for what is no JSON object, or has a known field of another kind. Unknown fields are skipped.
+// Returns nothing when the line is not a JSON object or a known field has the wrong type. Unknown fields are
+// skipped.
 std::optional<EngineLine> read_engine_line(std::string_view line);
 
-std::string attach_line(std::uint64_t last_notice);
-std::string run_line(std::string_view id, std::string_view request_class, std::string_view body);
-std::string feed_line(std::string_view id, std::string_view reply);
-std::string skip_line(std::string_view id, std::uint64_t notice);
-std::string stat_line(std::uint64_t token);
-std::string test_line(std::uint64_t token);
+std::string encode_attach(std::uint64_t last_notice);
+std::string encode_run(std::string_view id, std::string_view request_class, std::string_view body);
+std::string encode_feed(std::string_view id, std::string_view reply);
+std::string encode_skip(std::string_view id, std::uint64_t notice);
+std::string encode_stat(std::uint64_t token);
+std::string encode_test(std::uint64_t token);
 
 }  // namespace myrtlecroft::net
--- a/src/net/fastcgi_server.h
+++ b/src/net/fastcgi_server.h
@@ -1,4 +1,4 @@
-// The server side: balancers' connections, their requests as requests, answers and health.
+// FastCGI server for balancers: their connections, requests, answers and health checks.
 #pragma once
 
 #include <event2/listener.h>
@@ -15,18 +15,19 @@
 
 namespace myrtlecroft::net {
 
+// Belongs to the loop's thread.
 class FastCgiServer final : public service::Listener {
  public:
-  // Listens from here on, and holds at most about so many connections, and bytes for all of them together.
-  // Throws std::runtime_error when the address can't be had.
+  // Binds the address; connections are accepted after serve(). `max_connections` and `max_bytes` (for all
+  // connections together) are approximate limits. Throws std::runtime_error when the address can't be bound.
   FastCgiServer(Loop& loop, service::Logger& log, const sockaddr_in& listen, std::size_t max_connections,
                 std::size_t max_bytes, const peers::SlowClientOptions& config = {});
   ~FastCgiServer() override;
-  // `finished` is told once, after finish(), when no connection is left and none waits to be accepted.
-  void serve(service::Service& service, std::function<void()> finished);
-  std::size_t connections() const { return peers_.size(); }
-  peers::SlowClientPolicy& slow_client_policy() { return pacing_; }
-  std::uint64_t ended(CloseReason reason) const { return ended_[static_cast<std::size_t>(reason)]; }
+  // Calls `on_finished` once, after finish(), when no connection is left and none waits to be accepted.
+  void serve(service::Service& service, std::function<void()> on_finished);
+  std::size_t connections() const { return connections_.size(); }
+  peers::SlowClientPolicy& slow_client_policy() { return slow_client_policy_; }
+  std::uint64_t ended(CloseReason reason) const { return ended_counts_[static_cast<std::size_t>(reason)]; }
 
   void close_idle(Nanos after) override;
   void finish() override;
@@ -35,55 +36,58 @@
   class BalancerConnection;
   struct OpenRequest;
 
-  static void accepted(evconnlistener*, evutil_socket_t socket, sockaddr* from, int size, void* self);
-  static void accept_failed(evconnlistener*, void* self);
-  void add(evutil_socket_t socket, std::uint32_t address);
-  void remove(BalancerConnection& peer);
-  void drain();
-  bool take_backlog();
-  void place(BalancerConnection& peer);
-  bool make_room();
-  void count(BalancerConnection& peer);
-  void leave_list(BalancerConnection& peer);
-  void sweep();
-  void set_sweep();
-  void watch(BalancerConnection& peer);
-  void pace();
-  void tell();
-  std::unique_ptr<service::ServerRequest> request_of(CgiRequest& request, std::int64_t& client) const;
-  // Parts of it. False where a field is missing or makes no sense.
-  bool read_class_and_tenant(const CgiRequest& request, service::ServerRequest& out) const;
-  bool read_times_and_costs(const CgiRequest& request, service::ServerRequest& out,
-                            std::int64_t& client) const;
-  bool read_key(const CgiRequest& request, service::ServerRequest& out) const;
+  static void connection_accepted(evconnlistener*, evutil_socket_t socket, sockaddr* from, int size,
+                                  void* self);
+  static void accept_failed(evconnlistener*, void* context);
+  void add_connection(evutil_socket_t socket, std::uint32_t address);
+  void remove_connection(BalancerConnection& peer);
+  void drain_backlog();
+  bool accept_backlog();
+  void update_list_membership(BalancerConnection& peer);
+  bool evict_connection();
+  void update_memory_use(BalancerConnection& peer);
+  void remove_from_list(BalancerConnection& peer);
+  void close_idle_connections();
+  void schedule_sweep();
+  void schedule_slow_client_check(BalancerConnection& peer);
+  void evaluate_slow_clients();
+  void log_slow_client_summary();
+  std::unique_ptr<service::ServerRequest> parse_request(FastCgiRequest& request,
+                                                        std::int64_t& client_number) const;
+  // Parts of parse_request(). Return false when a parameter is missing or invalid.
+  bool read_class_and_tenant(const FastCgiRequest& request, service::ServerRequest& out) const;
+  bool read_times_and_costs(const FastCgiRequest& request, service::ServerRequest& out,
+                            std::int64_t& client_number) const;
+  bool read_key(const FastCgiRequest& request, service::ServerRequest& out) const;
 
-  struct ListenerFreer {
-    void operator()(evconnlistener* one) const { evconnlistener_free(one); }
+  struct ListenerDeleter {
+    void operator()(evconnlistener* listener) const { evconnlistener_free(listener); }
   };
 
   Loop& loop_;
   service::Logger& log_;
   service::Service* service_ = nullptr;
-  std::function<void()> finished_;
-  std::unique_ptr<evconnlistener, ListenerFreer> listener_;
-  Timer accept_again_;
-  Timer sweep_;
-  Timer pace_;
-  Timer finish_;
-  peers::SlowClientPolicy pacing_;  // before its peers, which leave it when they go
-  std::list<std::unique_ptr<BalancerConnection>> peers_;
-  std::list<BalancerConnection*> closing_;  // answered, and closed from here, longest so first
-  std::list<BalancerConnection*> idle_;     // nothing open, longest idle first
-  std::list<BalancerConnection*> begun_;    // none open, the first or a next one not whole, longest so first
+  std::function<void()> on_finished_;
+  std::unique_ptr<evconnlistener, ListenerDeleter> listener_;
+  Timer accept_timer_;
+  Timer sweep_timer_;
+  Timer slow_client_timer_;
+  Timer finished_timer_;
+  peers::SlowClientPolicy slow_client_policy_;  // before connections_: their destructors use it
+  std::list<std::unique_ptr<BalancerConnection>> connections_;
+  std::list<BalancerConnection*> closing_connections_;  // closing on this side, the longest first
+  std::list<BalancerConnection*> idle_connections_;     // without an open request, the longest idle first
+  std::list<BalancerConnection*>
+      unfinished_connections_;  // awaiting the rest of a request or the first one, the longest first
   std::size_t max_connections_;
-  Nanos idle_limit_ = 0;  // 0 = none
+  Nanos idle_limit_ = 0;  // 0: idle connections stay open
   bool finishing_ = false;
-  bool handshakes_over_ = false;  // finishing, the backlog was emptied once with no new ones let in
-  bool short_ = false;            // of room, so that slow callers are given less
-  Nanos told_at_ = 0;
-  std::uint64_t told_ = 0;  // ends told so far that peers brought on themselves
-  std::uint64_t count_ = 0;
-  std::uint64_t ended_[static_cast<std::size_t>(CloseReason::kDrained) + 1] = {};
+  bool handshakes_finished_ = false;  // the backlog was emptied once after new handshakes were refused
+  bool under_pressure_ = false;       // memory or connections are short, and slow clients get less time
+  Nanos last_summary_at_ = 0;
+  std::uint64_t summarized_ends_ = 0;  // ends for slowness that the last summary counted
+  std::uint64_t accepted_count_ = 0;
+  std::uint64_t ended_counts_[static_cast<std::size_t>(CloseReason::kDrained) + 1] = {};
 };
 
 }  // namespace myrtlecroft::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -12,30 +12,30 @@
 namespace myrtlecroft::net {
 namespace {
 
-constexpr Nanos kLate = 50'000'000;
+constexpr Nanos kLateThreshold = 50'000'000;
 
 event_base* new_base() {
-  std::unique_ptr<event_config, decltype(&event_config_free)> wanted(event_config_new(), event_config_free);
-  if (wanted) event_config_set_flag(wanted.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
-  event_base* base = wanted ? event_base_new_with_config(wanted.get()) : nullptr;
+  std::unique_ptr<event_config, decltype(&event_config_free)> config(event_config_new(), event_config_free);
+  if (config) event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
+  event_base* base = config ? event_base_new_with_config(config.get()) : nullptr;
   if (!base || event_base_priority_init(base, 2) != 0) {
-    throw std::runtime_error("the event loop can't be set up");
+    throw std::runtime_error("cannot create the event loop");
   }
   return base;
 }
 
 }  // namespace
 
-Timer::Timer(event_base* base, std::function<void()> expired)
-    : expired_(std::move(expired)), event_(event_new(base, -1, 0, timer_expired, this)) {}
+Timer::Timer(event_base* base, std::function<void()> callback)
+    : callback_(std::move(callback)), event_(event_new(base, -1, 0, timer_expired, this)) {}
 
-Timer::Timer(event_base* base, int signal, std::function<void()> expired)
-    : expired_(std::move(expired)),
+Timer::Timer(event_base* base, int signal, std::function<void()> callback)
+    : callback_(std::move(callback)),
       event_(event_new(base, signal, EV_SIGNAL | EV_PERSIST, timer_expired, this)) {
   event_add(event_.get(), nullptr);
 }
 
-void Timer::timer_expired(evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->expired_(); }
+void Timer::timer_expired(evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->callback_(); }
 
 void Timer::set(Nanos delay) {
   Nanos micros = std::max<Nanos>(0, (delay + 999) / 1000);
@@ -44,11 +44,11 @@
   event_add(event_.get(), &wait);
 }
 
-CrossThreadWakeup::CrossThreadWakeup(event_base* base, std::function<void()> woken)
-    : woken_(std::move(woken)), descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+CrossThreadWakeup::CrossThreadWakeup(event_base* base, std::function<void()> callback)
+    : callback_(std::move(callback)), descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (descriptor_ < 0)
-    throw std::runtime_error(std::string("no event between threads: ") + std::strerror(errno));
-  event_.reset(event_new(base, descriptor_, EV_READ | EV_PERSIST, came, this));
+    throw std::runtime_error(std::string("cannot create an eventfd: ") + std::strerror(errno));
+  event_.reset(event_new(base, descriptor_, EV_READ | EV_PERSIST, on_readable, this));
   event_add(event_.get(), nullptr);
 }
 
@@ -59,14 +59,14 @@
 
 void CrossThreadWakeup::notify() {
   std::uint64_t one = 1;
-  if (::write(descriptor_, &one, sizeof one) < 0) return;  // full: it is awake
+  if (::write(descriptor_, &one, sizeof one) < 0) return;  // the counter is full: a call is pending
 }
 
-void CrossThreadWakeup::came(evutil_socket_t, short, void* given) {
-  auto* self = static_cast<CrossThreadWakeup*>(given);
+void CrossThreadWakeup::on_readable(evutil_socket_t, short, void* context) {
+  auto* self = static_cast<CrossThreadWakeup*>(context);
   std::uint64_t count = 0;
   if (::read(self->descriptor_, &count, sizeof count) < 0) return;
-  self->woken_();
+  self->callback_();
 }
 
 Loop::Loop() : base_(new_base()), timer_(base_.get(), [this] { timer_expired(); }) {}
@@ -78,16 +78,16 @@
 }
 
 void Loop::wake_at(Nanos when) {
-  wanted_ = when;
+  wake_time_ = when;
   timer_.set(when - now());
 }
 
-// A timer that is this late expires in a process that stood still. What came meanwhile is looked at first, or
-// the beat would take work for stalled whose end waits to be read. Harm: the beat is a turn of the loop
-// later.
+// A timer that expires later than kLateThreshold shows that the process was paused. Waiting input is then
+// handled first, or the tick would treat runs as stalled whose completion waits to be read. The cost: the
+// tick comes one iteration of the loop later.
 void Loop::timer_expired() {
-  waived_ = !waived_ && now() - wanted_ > kLate;
-  if (waived_) return timer_.set(0);
+  wake_deferred_ = !wake_deferred_ && now() - wake_time_ > kLateThreshold;
+  if (wake_deferred_) return timer_.set(0);
   wake_();
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The event loop, and the clock and timer that it gives to the core.
+// The event loop, with its timers and the clock of the core.
 #pragma once
 
 #include <event2/event.h>
@@ -10,16 +10,16 @@
 
 namespace myrtlecroft::net {
 
-struct Freer {
-  void operator()(event* one) const { event_free(one); }
+struct EventDeleter {
+  void operator()(event* timer_event) const { event_free(timer_event); }
   void operator()(event_base* base) const { event_base_free(base); }
 };
 
-// A timer of its own, or a signal, that calls what it was made with.
+// Calls a function on the loop's thread when its time is over, or each time a signal arrives.
 class Timer {
  public:
-  Timer(event_base* base, std::function<void()> expired);
-  Timer(event_base* base, int signal, std::function<void()> expired);
+  Timer(event_base* base, std::function<void()> callback);
+  Timer(event_base* base, int signal, std::function<void()> callback);
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
   void set(Nanos delay);
@@ -28,27 +28,29 @@
 
  private:
   static void timer_expired(evutil_socket_t, short, void* self);
-  std::function<void()> expired_;
-  std::unique_ptr<event, Freer> event_;
+  std::function<void()> callback_;
+  std::unique_ptr<event, EventDeleter> event_;
 };
 
-// Another thread's word that there is something to do. Many that come together are one.
+// Lets other threads call a function on the loop's thread. Several notifications before the call are merged
+// into one.
 class CrossThreadWakeup {
  public:
-  // Throws std::runtime_error where no descriptor is left.
-  CrossThreadWakeup(event_base* base, std::function<void()> woken);
+  // Throws std::runtime_error when the eventfd can't be created, for lack of descriptors.
+  CrossThreadWakeup(event_base* base, std::function<void()> callback);
   ~CrossThreadWakeup();
   CrossThreadWakeup(const CrossThreadWakeup&) = delete;
   CrossThreadWakeup& operator=(const CrossThreadWakeup&) = delete;
-  void notify();  // from any thread
+  void notify();  // callable from any thread
 
  private:
-  static void came(evutil_socket_t, short, void* self);
-  std::function<void()> woken_;
+  static void on_readable(evutil_socket_t, short, void* context);
+  std::function<void()> callback_;
   int descriptor_;
-  std::unique_ptr<event, Freer> event_;
+  std::unique_ptr<event, EventDeleter> event_;
 };
 
+// The event loop of a thread. Construction throws std::runtime_error when libevent can't create it.
 class Loop final : public service::Clock {
  public:
   Loop();
@@ -59,16 +61,16 @@
 
   Nanos now() const override;
   void wake_at(Nanos when) override;
-  static Nanos unix_now();
+  static Nanos unix_now();  // system clock, since the Unix epoch
 
  private:
   void timer_expired();
 
-  std::unique_ptr<event_base, Freer> base_;
+  std::unique_ptr<event_base, EventDeleter> base_;
   std::function<void()> wake_;
   Timer timer_;
-  Nanos wanted_ = 0;
-  bool waived_ = false;
+  Nanos wake_time_ = 0;
+  bool wake_deferred_ = false;
 };
 
 }  // namespace myrtlecroft::net
--- a/src/net/membership_client.cpp
+++ b/src/net/membership_client.cpp
@@ -8,40 +8,40 @@
 namespace myrtlecroft::net {
 namespace {
 
-constexpr Nanos kEvery = 500'000'000;  // an entry lapses after 3 s
-constexpr Nanos kSoon = 100'000'000;   // a change is repeated at once: its datagram may be lost
-constexpr int kRepeats = 3;
+constexpr Nanos kReportInterval = 500'000'000;        // the service drops an entry after 3 s
+constexpr Nanos kChangeReportInterval = 100'000'000;  // repeats of a change, whose datagram may be lost
+constexpr int kChangeRepeats = 3;
 
 }  // namespace
 
 MembershipClient::MembershipClient(Loop& loop, std::string name, const sockaddr_in& service)
-    : name_(std::move(name)), service_(service), again_(loop.base(), [this] { send(); }) {}
+    : name_(std::move(name)), service_(service), report_timer_(loop.base(), [this] { send(); }) {}
 
 MembershipClient::~MembershipClient() {
   if (socket_ >= 0) ::close(socket_);
 }
 
-void MembershipClient::report(bool good) {
-  good_ = good;
-  is_retry_ = kRepeats;
+void MembershipClient::report(bool healthy) {
+  healthy_ = healthy;
+  repeats_left_ = kChangeRepeats;
   send();
 }
 
 void MembershipClient::move(const sockaddr_in& service) {
   service_ = service;
-  is_retry_ = kRepeats;
-  if (again_.is_set()) send();
+  repeats_left_ = kChangeRepeats;
+  if (report_timer_.is_set()) send();
 }
 
-// No word of a failed send reaches us in time to matter: the next report follows anyway. A socket that could
-// not be made is made then.
+// Send errors are ignored, as the next report follows soon. It also retries a socket that could not be
+// created.
 void MembershipClient::send() {
   if (socket_ < 0) socket_ = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  std::string line = "HB " + name_ + (good_ ? " UP" : " OUT");
+  std::string line = "HB " + name_ + (healthy_ ? " UP" : " OUT");
   ::sendto(socket_, line.data(), line.size(), MSG_DONTWAIT, reinterpret_cast<const sockaddr*>(&service_),
            sizeof service_);
-  again_.set(is_retry_ > 0 ? kSoon : kEvery);
-  if (is_retry_ > 0) --is_retry_;
+  report_timer_.set(repeats_left_ > 0 ? kChangeReportInterval : kReportInterval);
+  if (repeats_left_ > 0) --repeats_left_;
 }
 
 }  // namespace myrtlecroft::net
--- a/src/net/membership_client.h
+++ b/src/net/membership_client.h
@@ -1,4 +1,5 @@
-// Reports to the membership service: one datagram each, over and over. One that is lost harms nothing.
+// Reports the server's health to the membership service, in one datagram each, at intervals. The next report
+// makes up for a lost one.
 #pragma once
 
 #include <netinet/in.h>
@@ -9,11 +10,12 @@
 
 namespace myrtlecroft::net {
 
+// Belongs to the loop's thread.
 class MembershipClient final : public service::HealthReporter {
  public:
   MembershipClient(Loop& loop, std::string name, const sockaddr_in& service);
   ~MembershipClient() override;
-  void report(bool good) override;
+  void report(bool healthy) override;
   void move(const sockaddr_in& service);
 
  private:
@@ -22,9 +24,9 @@
   std::string name_;
   sockaddr_in service_;
   int socket_ = -1;
-  bool good_ = false;
-  int is_retry_ = 0;
-  Timer again_;
+  bool healthy_ = false;
+  int repeats_left_ = 0;
+  Timer report_timer_;
 };
 
 }  // namespace myrtlecroft::net
--- a/src/net/reporter.cpp
+++ b/src/net/reporter.cpp
@@ -10,13 +10,14 @@
 namespace myrtlecroft::net {
 namespace {
 
-constexpr Nanos kFirstWait = 200 * kMs;
-constexpr Nanos kLongestWait = 2'000 * kMs;
-constexpr Nanos kFresh = 1'000 * kMs;
-constexpr std::size_t kMaxSent = 64;                         // reports that are remembered
-constexpr std::size_t kMaxWaiting = std::size_t{16} * 1024;  // bytes a control service may leave unread
-
-std::string written(const sockaddr_in& address) {
+constexpr Nanos kMinReconnectDelay = 200 * kMs;
+constexpr Nanos kMaxReconnectDelay = 2'000 * kMs;
+constexpr Nanos kMaxReportAge = 1'000 * kMs;
+constexpr std::size_t kMaxRememberedReports = 64;  // for was_sent_recently()
+// Beyond this, reports to a control service are skipped.
+constexpr std::size_t kMaxUnsentBytes = std::size_t{16} * 1024;
+
+std::string format_address(const sockaddr_in& address) {
   char host[INET_ADDRSTRLEN] = "";
   inet_ntop(AF_INET, &address.sin_addr, host, sizeof host);
   return std::string(host) + ":" + std::to_string(ntohs(address.sin_port));
@@ -26,58 +27,59 @@
 
 class LoadReporter::Link final : public ConnectionOwner {
  public:
-  Link(LoadReporter& reporter, const sockaddr_in& to)
+  Link(LoadReporter& reporter, const sockaddr_in& address)
       : reporter_(reporter),
         loop_(reporter.loop_),
         log_(reporter.log_),
-        to_(to),
-        again_(loop_.base(), [this] { connect(); }) {
+        address_(address),
+        reconnect_timer_(loop_.base(), [this] { connect(); }) {
     connect();
   }
 
-  const sockaddr_in& to() const { return to_; }
-  std::size_t bytes_held() const { return connection_ ? connection_->bytes_held() : 0; }
+  const sockaddr_in& to() const { return address_; }
+  std::size_t buffered_bytes() const { return connection_ ? connection_->buffered_bytes() : 0; }
 
   void send(const std::string& frame) {
-    if (!connection_ || !connection_->was_open() || connection_->bytes_held() > kMaxWaiting) return;
+    if (!connection_ || !connection_->was_open() || connection_->buffered_bytes() > kMaxUnsentBytes) return;
     connection_->write(frame);
   }
 
-  void opened(Connection&) override { wait_ = kFirstWait; }
+  void opened(Connection&) override { reconnect_delay_ = kMinReconnectDelay; }
   std::size_t bytes_received(Connection& connection, std::string_view bytes) override {
     report::FrameError malformed = report::FrameError::kInvalidBody;
-    std::size_t taken = bytes.size();
-    if (reporter_.next_.accepts_assignments)
-      taken = report::decode(bytes, {.report = {}, .order = reporter_.ordered_}, malformed);
+    std::size_t consumed = bytes.size();
+    if (reporter_.next_report_.accepts_assignments)
+      consumed = report::decode(bytes, {.report = {}, .order = reporter_.assignment_handler_}, malformed);
     if (malformed != report::FrameError::kNone) connection.end(CloseReason::kMalformed);
-    return taken;
+    return consumed;
   }
   void ended(Connection&, CloseReason) override {
     connection_.reset();
-    again_.set(wait_);
-    wait_ = std::min(kLongestWait, 2 * wait_);
+    reconnect_timer_.set(reconnect_delay_);
+    reconnect_delay_ = std::min(kMaxReconnectDelay, 2 * reconnect_delay_);
   }
 
  private:
   void connect() {
-    connection_ = std::make_unique<Connection>(loop_.base(), to_, *this, log_, "reports to " + written(to_));
+    connection_ = std::make_unique<Connection>(loop_.base(), address_, *this, log_,
+                                               "reports to " + format_address(address_));
   }
 
   LoadReporter& reporter_;
   Loop& loop_;
   service::Logger& log_;
-  sockaddr_in to_;
-  Nanos wait_ = kFirstWait;
+  sockaddr_in address_;
+  Nanos reconnect_delay_ = kMinReconnectDelay;
   std::unique_ptr<Connection> connection_;
-  Timer again_;
+  Timer reconnect_timer_;
 };
 
 LoadReporter::LoadReporter(Loop& loop, service::Logger& log, const service::Service& service,
                            std::string name, const sockaddr_in& listen)
-    : loop_(loop), log_(log), service_(service), again_(loop.base(), [this] { send(); }) {
-  next_.node = std::move(name);
-  next_.address = written(listen);
-  next_.incarnation = static_cast<std::uint64_t>(Loop::unix_now());
+    : loop_(loop), log_(log), service_(service), report_timer_(loop.base(), [this] { send(); }) {
+  next_report_.node = std::move(name);
+  next_report_.address = format_address(listen);
+  next_report_.incarnation = static_cast<std::uint64_t>(Loop::unix_now());
 }
 
 LoadReporter::~LoadReporter() = default;
@@ -94,53 +96,54 @@
     }
   }
   links_ = std::move(links);
-  every_ = settings.report_interval;
-  next_.accepts_assignments = settings.follows_control_service;
-  links_.empty() ? again_.clear() : again_.set(every_);
+  report_interval_ = settings.report_interval;
+  next_report_.accepts_assignments = settings.follows_control_service;
+  links_.empty() ? report_timer_.clear() : report_timer_.set(report_interval_);
 }
 
 std::size_t LoadReporter::bytes_waiting() const {
   std::size_t out = 0;
-  for (const auto& link : links_) out += link->bytes_held();
+  for (const auto& link : links_) out += link->buffered_bytes();
   return out;
 }
 
 void LoadReporter::send() {
   std::string frame = report::encode(report());
-  sent_.push_back(loop_.now());
-  if (sent_.size() > kMaxSent) sent_.pop_front();
+  sent_at_.push_back(loop_.now());
+  if (sent_at_.size() > kMaxRememberedReports) sent_at_.pop_front();
   for (auto& link : links_) link->send(frame);
-  again_.set(every_);
+  report_timer_.set(report_interval_);
 }
 
 bool LoadReporter::was_sent_recently(std::uint64_t sequence) const {
-  std::uint64_t ago = next_.sequence - sequence;
-  return ago < sent_.size() &&
-         loop_.now() - sent_[sent_.size() - 1 - static_cast<std::size_t>(ago)] <= kFresh;
+  std::uint64_t ago = next_report_.sequence - sequence;
+  return ago < sent_at_.size() &&
+         loop_.now() - sent_at_[sent_at_.size() - 1 - static_cast<std::size_t>(ago)] <= kMaxReportAge;
 }
 
 report::LoadReport LoadReporter::report() {
-  ++next_.sequence;
-  next_.sent_unix = Loop::unix_now();
+  ++next_report_.sequence;
+  next_report_.sent_unix = Loop::unix_now();
   std::optional<ControllerStats> stats = service_.stats();
-  next_.engine_up = stats.has_value();
-  next_.draining = service_.draining();
+  next_report_.engine_up = stats.has_value();
+  next_report_.draining = service_.draining();
   if (stats) {
-    next_.mode = stats->mode;
-    next_.warming_up = stats->warming_up;
-    next_.window = static_cast<std::uint32_t>(stats->window);
-    next_.limit = stats->limit;
-    next_.queued_requests = static_cast<std::uint32_t>(stats->queued_requests);
-    next_.running = static_cast<std::uint32_t>(stats->running);
+    next_report_.mode = stats->mode;
+    next_report_.warming_up = stats->warming_up;
+    next_report_.window = static_cast<std::uint32_t>(stats->window);
+    next_report_.limit = stats->limit;
+    next_report_.queued_requests = static_cast<std::uint32_t>(stats->queued_requests);
+    next_report_.running = static_cast<std::uint32_t>(stats->running);
   }
-  next_.core_time = static_cast<std::uint64_t>(service_.core_time());
-  next_.request_classes.clear();
+  next_report_.core_time = static_cast<std::uint64_t>(service_.core_time());
+  next_report_.request_classes.clear();
   for (std::size_t i = 0; i < service_.counts().size(); ++i) {
     const service::Service::Counts& counts = service_.counts()[i];
-    next_.request_classes.push_back({service_.config().request_classes[i].name, counts.read, counts.rejected,
-                                     counts.completed, counts.in_time, counts.terminated});
+    next_report_.request_classes.push_back({service_.config().request_classes[i].name, counts.read,
+                                            counts.rejected, counts.completed, counts.in_time,
+                                            counts.terminated});
   }
-  return next_;
+  return next_report_;
 }
 
 }  // namespace myrtlecroft::net
--- a/src/net/reporter.h
+++ b/src/net/reporter.h
@@ -1,5 +1,5 @@
-// Tells control services how this server fares, over and over. A control service that is dead or slow costs a
-// few kilobytes and no time: what it does not take is left out, as the next report says it all again.
+// Sends load reports of this server to control services at intervals. A control service that is down or slow
+// costs a few kilobytes and no time: while it does not read, reports are skipped, as each report is complete.
 #pragma once
 
 #include <deque>
@@ -14,24 +14,25 @@
 
 namespace myrtlecroft::net {
 
+// Belongs to the loop's thread.
 class LoadReporter {
  public:
   LoadReporter(Loop& loop, service::Logger& log, const service::Service& service, std::string name,
                const sockaddr_in& listen);
   ~LoadReporter();
-  // From now on to these. Those already connected stay so.
+  // Replaces the addresses and the interval. Connections to addresses that remain are kept.
   void set_report_settings(const settings::ReportSettings& settings);
-  // Orders that come where the settings say that they are heeded; otherwise nothing is taken on these
-  // connections.
-  using Ordered = std::function<void(const fencing::ShardAssignment&)>;
-  void on_assignment(Ordered ordered) { ordered_ = std::move(ordered); }
-  void set_assignment_epoch(fencing::Epoch epoch) { next_.epoch = epoch; }
-  void set_version(std::uint8_t version) { next_.version = version; }
-  // Whether that report was sent not long ago, by our own clock: an answer to it is no older. What lay in a
-  // socket while a link stood still would pass for news otherwise.
+  // Handles a shard assignment from a control service. Without ReportSettings::follows_control_service all
+  // input on these connections is discarded.
+  using AssignmentHandler = std::function<void(const fencing::ShardAssignment&)>;
+  void on_assignment(AssignmentHandler handler) { assignment_handler_ = std::move(handler); }
+  void set_assignment_epoch(fencing::Epoch epoch) { next_report_.epoch = epoch; }
+  void set_version(std::uint8_t version) { next_report_.version = version; }
+  // Whether that report was sent recently by this server's clock, so that an answer to it is recent too. An
+  // answer that was held up in a stalled connection would otherwise pass for a new one.
   bool was_sent_recently(std::uint64_t sequence) const;
-  std::uint64_t incarnation() const { return next_.incarnation; }
-  std::size_t bytes_waiting() const;  // of all control services, not yet sent
+  std::uint64_t incarnation() const { return next_report_.incarnation; }
+  std::size_t bytes_waiting() const;  // buffered for all control services
 
  private:
   class Link;
@@ -41,12 +42,12 @@
   Loop& loop_;
   service::Logger& log_;
   const service::Service& service_;
-  report::LoadReport next_;  // name, address, life and sequence are kept in it
-  Nanos every_ = 0;
-  std::deque<Nanos> sent_;  // when the last reports were
-  Ordered ordered_;
+  report::LoadReport next_report_;  // its name, address, incarnation and sequence stay between reports
+  Nanos report_interval_ = 0;
+  std::deque<Nanos> sent_at_;  // times of the latest reports, the oldest first
+  AssignmentHandler assignment_handler_;
   std::vector<std::unique_ptr<Link>> links_;
-  Timer again_;
+  Timer report_timer_;
 };
 
 }  // namespace myrtlecroft::net
--- a/tests/engine_link_test.cpp
+++ b/tests/engine_link_test.cpp
@@ -1,4 +1,4 @@
-// Runs and replies over breaks of the link to the engine.
+// What happens to runs and dependency replies when the link to the engine breaks.
 #include <gtest/gtest.h>
 
 #include "fakes.h"
@@ -47,12 +47,12 @@
 TEST(EngineLinkTest, RunInDoubtThatNeverEndsIsAnsweredInTimeAndFreesItsSlot) {
   FakeWorld world;
   world.engine_up();
-  Caller& one = world.read("a", kWriteClass, "key", 500 * kMs);
-  Caller& two = world.read("b", kWriteClass, "other", 500 * kMs);
+  Caller& first = world.read("a", kWriteClass, "key", 500 * kMs);
+  Caller& second = world.read("b", kWriteClass, "other", 500 * kMs);
   world.relink();
   world.pass(500 * kMs);
-  EXPECT_EQ(one.only(), "terminated");
-  EXPECT_EQ(two.only(), "terminated");
+  EXPECT_EQ(first.only(), "terminated");
+  EXPECT_EQ(second.only(), "terminated");
   EXPECT_EQ(world.read("c", kWriteClass, "key").only(), "terminated");
   world.pass(4 * kSecond);
   world.read("d");
@@ -62,11 +62,11 @@
 TEST(EngineLinkTest, RunInDoubtFreesItsSlotWhenItsCallerDisconnects) {
   FakeWorld world;
   world.engine_up();
-  Caller& before = world.read("a", kWriteClass, "key");
-  Caller& after = world.read("b", kWriteClass, "other");
-  world.service.caller_disconnected(*before.request);
+  Caller& before_break = world.read("a", kWriteClass, "key");
+  Caller& after_break = world.read("b", kWriteClass, "other");
+  world.service.caller_disconnected(*before_break.request);
   world.relink();
-  world.service.caller_disconnected(*after.request);
+  world.service.caller_disconnected(*after_break.request);
   world.read("c");
   world.read("d");
   EXPECT_EQ(world.count("run c"), 1);
@@ -74,7 +74,7 @@
   EXPECT_EQ(world.read("e", kWriteClass, "key").only(), "terminated");
 }
 
-TEST(EngineLinkTest, BacklogEndsRunsAndIsProcessedOnce) {
+TEST(EngineLinkTest, NoticeInBacklogCompletesItsRunOnce) {
   FakeWorld world;
   world.engine_up();
   Caller& caller = world.read("a", kWriteClass, "key");
@@ -89,7 +89,7 @@
   EXPECT_EQ(world.count("run a"), 1);
 }
 
-TEST(EngineLinkTest, ReplyInDoubtIsNotFedToTheNextCall) {
+TEST(EngineLinkTest, ReplyInDoubtIsNotSentAgain) {
   FakeWorld world;
   world.engine_up();
   Caller& caller = world.read("a", kCallerClass, "key");
@@ -102,7 +102,8 @@
   EXPECT_EQ(caller.only(), "terminated");
 }
 
-// Otherwise runs and replies that may not be sent twice wait for their deadline after each break of the link.
+// Without this rule, runs and replies that must not be sent twice wait for their deadline after each break of
+// the link.
 TEST(EngineLinkTest, RunAndReplyInDoubtAreSentAgainIfRunsMakeExactlyOneCall) {
   FakeWorld world;
   world.engine_up();
@@ -115,9 +116,9 @@
     world.done(id);
   }
   world.pass(kSecond);
-  Caller& called = world.read("a", kCallerClass, "key");
+  Caller& last_caller = world.read("a", kCallerClass, "key");
   world.need("a");
-  world.service.call_completed(*called.request, CallResult::kSucceeded, "rows");
+  world.service.call_completed(*last_caller.request, CallResult::kSucceeded, "rows");
   world.read("b", kCallerClass, "other");
   world.relink();
   EXPECT_EQ(world.count("feed a rows"), 2);
--- a/tests/net_story.h
+++ b/tests/net_story.h
@@ -1,4 +1,5 @@
-// The adapters on loopback sockets: what stories share. They play the peers with plain sockets.
+// Fixtures for tests of the network adapters on loopback sockets. The tests act as the peers with plain
+// sockets.
 #pragma once
 
 #include <arpa/inet.h>
@@ -25,7 +26,7 @@
 
 inline sockaddr_in at_port(int port) { return loopback(static_cast<std::uint16_t>(port)); }
 
-// A plain socket that never blocks.
+// A non-blocking TCP socket. Errors of its calls are ignored, except by write().
 class Plain {
  public:
   explicit Plain(int socket = ::socket(AF_INET, SOCK_STREAM, 0)) : socket_(socket) {
@@ -42,9 +43,9 @@
     if (socket_ >= 0) ::close(std::exchange(socket_, -1));
   }
   int descriptor() const { return socket_; }
-  int listen(int receive_at_most_bytes = 0) {
+  int listen(int receive_buffer_bytes = 0) {
     sockaddr_in address = at_port(0);
-    if (receive_at_most_bytes) receive_at_most(receive_at_most_bytes);
+    if (receive_buffer_bytes) receive_at_most(receive_buffer_bytes);
     socklen_t size = sizeof address;
     ::bind(socket_, reinterpret_cast<sockaddr*>(&address), size);
     ::listen(socket_, 16);
@@ -62,52 +63,54 @@
   void offer(const std::string& bytes) {
     if (::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) return;
   }
-  // As much as the kernel takes; how much that was.
+  // Sends as much as the kernel accepts and returns the number of bytes.
   std::size_t send_some(const std::string& bytes) {
     ssize_t sent = ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     return sent > 0 ? static_cast<std::size_t>(sent) : 0;
   }
-  // The kernel keeps about so much for us unread. To be said before a connection is made.
+  // Sets the size of the receive buffer in bytes; call it before the connection is made.
   void receive_at_most(int bytes) { ::setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
   void shut_sending() { ::shutdown(socket_, SHUT_WR); }
   void reset() {
-    linger at_once{.l_onoff = 1, .l_linger = 0};
-    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    linger zero_linger{.l_onoff = 1, .l_linger = 0};
+    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
     close();
   }
-  // What has come since the last look; "(end)" once the peer has closed.
+  // Returns the bytes available, up to `max`; "(end)" once the peer has closed.
   std::string read(std::size_t max = 65'536) {
     char bytes[65'536];
-    ssize_t got = ::read(socket_, bytes, std::min(max, sizeof bytes));
-    return got > 0 ? std::string(bytes, static_cast<std::size_t>(got)) : got == 0 ? "(end)" : "";
+    ssize_t bytes_read = ::read(socket_, bytes, std::min(max, sizeof bytes));
+    return bytes_read > 0    ? std::string(bytes, static_cast<std::size_t>(bytes_read))
+           : bytes_read == 0 ? "(end)"
+                             : "";
   }
 
  private:
   int socket_;
 };
 
-// While it stands, this process gets no further descriptor.
+// Lowers the descriptor limit, so that the process gets no further descriptor while this object exists.
 class NoDescriptors {
  public:
   NoDescriptors() {
-    getrlimit(RLIMIT_NOFILE, &whole_);
+    getrlimit(RLIMIT_NOFILE, &original_limit_);
     int highest = dup(0);
     ::close(highest);
-    rlimit few = {.rlim_cur = static_cast<rlim_t>(highest), .rlim_max = whole_.rlim_max};
-    setrlimit(RLIMIT_NOFILE, &few);
+    rlimit lowered = {.rlim_cur = static_cast<rlim_t>(highest), .rlim_max = original_limit_.rlim_max};
+    setrlimit(RLIMIT_NOFILE, &lowered);
   }
-  ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &whole_); }
+  ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &original_limit_); }
   NoDescriptors(const NoDescriptors&) = delete;
   NoDescriptors& operator=(const NoDescriptors&) = delete;
 
  private:
-  rlimit whole_;
+  rlimit original_limit_;
 };
 
-inline int times(const std::string& all, const std::string& part) {
-  int n = 0;
-  for (std::size_t at = 0; (at = all.find(part, at)) != std::string::npos; ++at) ++n;
-  return n;
+inline int times(const std::string& text, const std::string& part) {
+  int count = 0;
+  for (std::size_t at = 0; (at = text.find(part, at)) != std::string::npos; ++at) ++count;
+  return count;
 }
 
 inline int free_port() { return Plain().listen(); }
@@ -123,31 +126,33 @@
   void write_rate_limited(const std::string& text) override { lines.push_back(text); }
   void write_routine(const std::string& text) override { lines.push_back(text); }
   bool logged(const std::string& part) const {
-    for (const std::string& each : lines) {
-      if (each.find(part) != std::string::npos) return true;
+    for (const std::string& line_text : lines) {
+      if (line_text.find(part) != std::string::npos) return true;
     }
     return false;
   }
-  // Turns the loop until it holds, for two seconds at most.
-  bool until(const std::function<bool()>& holds) {
+  // Runs the loop until the condition holds, for two seconds at most. Returns whether it holds.
+  bool until(const std::function<bool()>& condition) {
     for (Nanos end = loop.now() + 2 * kSecond; loop.now() < end;) {
-      if (holds()) return true;
+      if (condition()) return true;
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
       usleep(200);
     }
-    return holds();
+    return condition();
   }
+  // Whether the peer receives a text, within two seconds.
   bool comes(Plain& peer, const std::string& part) {
-    std::string all;
-    return until([&] { return (all += peer.read()).find(part) != std::string::npos; });
+    std::string received;
+    return until([&] { return (received += peer.read()).find(part) != std::string::npos; });
   }
   Plain accepted_by(Plain& listener) {
     int socket = -1;
     EXPECT_TRUE(until([&] { return (socket = listener.accept()) >= 0; }));
     return Plain(socket);
   }
-  void turn(Nanos how_long) {
-    until([&, end = loop.now() + how_long] { return loop.now() >= end; });
+  // Runs the loop for that time.
+  void turn(Nanos duration) {
+    until([&, end = loop.now() + duration] { return loop.now() >= end; });
   }
 
   explicit NetTest(std::size_t max_result_bytes = 1'000) : world(calling_much(), max_result_bytes) {
@@ -176,23 +181,23 @@
     return out + std::string(2, '\0') + content;
   }
   using Pairs = std::vector<std::pair<std::string, std::string>>;
-  // What is given last stands.
-  static std::string request(int id, const std::string& script, const std::string& trace, int flags = 1,
-                             const Pairs& more = {}) {
-    std::string fields;
+  // Encodes a complete request. A parameter in `extra_params` overrides the default of the same name.
+  static std::string request(int id, const std::string& script, const std::string& trace_id, int flags = 1,
+                             const Pairs& extra_params = {}) {
+    std::string params;
     auto add = [&](const std::string& name, const std::string& value) {
-      fields += static_cast<char>(name.size());
-      fields += static_cast<char>(value.size());
-      fields += name + value;
+      params += static_cast<char>(name.size());
+      params += static_cast<char>(value.size());
+      params += name + value;
     };
     add("SCRIPT_NAME", script);
-    add("QUERY_STRING", trace);
-    add("HTTP_TRACE_ID", trace);
+    add("QUERY_STRING", trace_id);
+    add("HTTP_TRACE_ID", trace_id);
     add("HTTP_ACCEPTED_AT_MS", std::to_string(Loop::unix_now() / kMs));
     add("HTTP_MAX_WAIT_MS", "60000");
     add("HTTP_RESERVE_KB", "24.5");
-    for (const auto& [name, value] : more) add(name, value);
-    return record(1, id, {0, 1, static_cast<char>(flags), 0, 0, 0, 0, 0}) + record(4, id, fields) +
+    for (const auto& [name, value] : extra_params) add(name, value);
+    return record(1, id, {0, 1, static_cast<char>(flags), 0, 0, 0, 0, 0}) + record(4, id, params) +
            record(4, id, "") + record(5, id, "body") + record(5, id, "");
   }
   Plain connected() {
