--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -40,7 +40,7 @@
   void append(evbuffer* from);
   std::string_view bytes() const { return {data_.data() + begin_, end_ - begin_}; }
   void consume(std::size_t count);
-  std::size_t size() const { return data_.size(); }
+  std::size_t size() const { return data_.size(); }  // allocated bytes
 
  private:
   std::vector<char> data_;
@@ -81,6 +81,7 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
+  // Queues the bytes for sending. Ends the connection with kUnread when more than the limit is unsent.
   void write(std::string_view bytes);
   // Closes at once and discards unsent bytes. ended() follows from the event loop.
   void end(CloseReason reason);
@@ -106,6 +107,7 @@
   std::size_t unsent() const;          // bytes not yet passed to the kernel
   std::uint64_t bytes_in() const { return bytes_in_; }
   std::uint64_t bytes_sent() const { return bytes_out_ - unsent(); }
+  // Whether the connection was ever established.
   bool was_open() const { return was_open_; }
 
  private:
--- a/src/net/database_client.h
+++ b/src/net/database_client.h
@@ -21,6 +21,7 @@
   // Port 0 in `database` means that no database is configured: every call then fails as unreachable.
   DatabaseClient(Loop& loop, service::Logger& log, const sockaddr_in& database, std::size_t max_connections);
   ~DatabaseClient() override;
+  // Sets the service that receives the results. Call it before call().
   void begin(service::Service& service) { service_ = &service; }
   // Sets the address for new connections. Pending calls stay on their connections.
   void move(const sockaddr_in& database);
--- a/src/net/database_codec.h
+++ b/src/net/database_codec.h
@@ -16,9 +16,11 @@
   std::size_t size = 0;   // length of the encoded reply in bytes
 };
 
+// Whether the input begins with a complete reply, a part of one, or neither.
 enum class LineState { kComplete, kPartial, kMalformed };
 
-// Parses the reply at the front of the bytes. The views in `out` point into `bytes`.
+// Parses the reply at the front of the bytes. `out` is complete only for kComplete; the views in `out` point
+// into `bytes`.
 LineState read_database_reply(std::string_view bytes, DatabaseReply& out);
 
 // A call with its time limit and body.
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -22,6 +22,7 @@
   EngineClient(Loop& loop, service::Logger& log, const sockaddr_in& engine,
                std::size_t max_unsent = Connection::kMaxUnsentOutgoing,
                Nanos silence_timeout = kSilenceTimeout);
+  // Connects, and passes what the engine sends to `session`.
   void begin(service::EngineSession& session);
   // Sets a new address of the engine. The old link stays until the new one is established and all commands
   // sent on the old one are confirmed, or until a short timeout.
--- a/src/net/engine_codec.h
+++ b/src/net/engine_codec.h
@@ -25,11 +25,17 @@
 // skipped.
 std::optional<EngineLine> read_engine_line(std::string_view line);
 
+// Asks for the notices after `last_notice`.
 std::string encode_attach(std::uint64_t last_notice);
+// Starts a run; the body is sent as base64.
 std::string encode_run(std::string_view id, std::string_view request_class, std::string_view body);
+// Passes the reply of a dependency call to its run.
 std::string encode_feed(std::string_view id, std::string_view reply);
+// Answers the NEED with that notice number: the run continues without its dependency call.
 std::string encode_skip(std::string_view id, std::uint64_t notice);
+// Queries the gauges; the engine returns the token with them.
 std::string encode_stat(std::uint64_t token);
+// Starts a health test; the engine returns the token with the result.
 std::string encode_test(std::uint64_t token);
 
 }  // namespace myrtlecroft::net
--- a/src/net/fastcgi.h
+++ b/src/net/fastcgi.h
@@ -27,10 +27,13 @@
 class FastCgiRequestHandler {
  public:
   virtual ~FastCgiRequestHandler() = default;
+  // A request is complete.
   virtual void handle_request(FastCgiRequest request) = 0;
+  // The client no longer wants the answer of an unanswered request; it must still be ended.
   virtual void handle_abort(std::uint16_t id) = 0;
   virtual bool is_unanswered(std::uint16_t id) const = 0;  // passed to handle_request() and not yet answered
   virtual std::size_t unanswered_count() const = 0;
+  // Sends encoded records to the client.
   virtual void reply(std::string_view bytes) = 0;
 };
 
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -137,7 +137,9 @@
   }
   ~BalancerConnection() override { server_.slow_client_policy_.remove_connection(account); }
 
+  // Whether complete requests wait for their answers.
   bool has_open_requests() const { return !open_requests_.empty(); }
+  // Whether a request or a record is incomplete.
   bool is_assembling() const { return reader_.is_assembling() || has_partial_record_; }
   // Whether the caller has begun a request, or has not sent its first one yet.
   bool expects_request() const { return is_assembling() || !received_request_; }
@@ -175,21 +177,21 @@
     ++server_.ended_counts_[static_cast<std::size_t>(reason)];
     std::map<std::uint16_t, std::unique_ptr<OpenRequest>> abandoned = std::move(open_requests_);
     open_requests_.clear();
-    for (auto& [id, open] : abandoned) caller_disconnected(*open);
+    for (auto& [id, open_request] : abandoned) caller_disconnected(*open_request);
     server_.remove_connection(*this);
   }
 
   void handle_request(FastCgiRequest request) override;
   void handle_abort(std::uint16_t id) override {
-    OpenRequest& open = *open_requests_.at(id);
-    caller_disconnected(open);
-    send_answer(open, {});
+    OpenRequest& open_request = *open_requests_.at(id);
+    caller_disconnected(open_request);
+    send_answer(open_request, {});
   }
-  void caller_disconnected(OpenRequest& open) {
-    if (open.server_request) {
-      server_.service_->caller_disconnected(*open.server_request);
+  void caller_disconnected(OpenRequest& open_request) {
+    if (open_request.server_request) {
+      server_.service_->caller_disconnected(*open_request.server_request);
     } else {
-      server_.service_->health_check_disconnected(open);
+      server_.service_->health_check_disconnected(open_request);
     }
   }
   peers::ConnectionProgress current_progress() const override {
@@ -210,7 +212,7 @@
         if (!server_.finishing_) connection_.pause_reading();
         return;
       case Effect::kCancelRequest:
-        if (reader_.cancel_oldest_partial()) return;
+        if (reader_.cancel_oldest_partial()) return;  // else the first request or a record is incomplete
         [[fallthrough]];
       case Effect::kCloseSlowSender:
         return close(CloseReason::kSlow, 0);
@@ -247,12 +249,12 @@
   std::size_t unanswered_count() const override { return open_requests_.size(); }
   void reply(std::string_view bytes) override { connection_.write(bytes); }
 
-  void send_answer(OpenRequest& open, const service::FinalAnswer& answer) {
-    extend_answer_read_deadline(open.server_request);
-    open.server_request = nullptr;
-    connection_.write(encode_answer(open.id, encode_cgi_output(answer), ProtocolStatus::kComplete));
-    bool keep_connection = open.keep_connection;
-    open_requests_.erase(open.id);
+  void send_answer(OpenRequest& open_request, const service::FinalAnswer& answer) {
+    extend_answer_read_deadline(open_request.server_request);
+    open_request.server_request = nullptr;
+    connection_.write(encode_answer(open_request.id, encode_cgi_output(answer), ProtocolStatus::kComplete));
+    bool keep_connection = open_request.keep_connection;
+    open_requests_.erase(open_request.id);
     if (answer.kind == service::Answer::kCompleted) unrecognized_count_ = 0;
     if (answer.unrecognized && ++unrecognized_count_ >= kMaxUnrecognized)
       close_ignoring_input(CloseReason::kMalformed);
@@ -281,12 +283,12 @@
   void extend_answer_read_deadline(const service::ServerRequest* server_request) {
     has_answered_ = true;
     Nanos now = server_.loop_.now();
-    Nanos until = now + kDefaultAnswerWait;
+    Nanos deadline = now + kDefaultAnswerWait;
     if (server_request)
-      until = server_request->client_deadline
-                  ? server_request->client_deadline
-                  : server_request->arrived + server_request->request_class->client_timeout;
-    answer_read_deadline_ = std::max(answer_read_deadline_, std::min(until, now + kMaxAnswerWait));
+      deadline = server_request->client_deadline
+                     ? server_request->client_deadline
+                     : server_request->arrived + server_request->request_class->client_timeout;
+    answer_read_deadline_ = std::max(answer_read_deadline_, std::min(deadline, now + kMaxAnswerWait));
   }
 
   // Begins the lingering close when nothing is left to do, or schedules it. A client whose input was rejected
@@ -327,12 +329,12 @@
 
 void FastCgiServer::BalancerConnection::handle_request(FastCgiRequest request) {
   received_request_ = true;
-  OpenRequest& open =
+  OpenRequest& open_request =
       *open_requests_.emplace(request.id, std::make_unique<OpenRequest>(*this, request)).first->second;
   std::string_view script_name = request.param("SCRIPT_NAME");
   if (script_name == kHealthPath) {
     std::string query = "&" + std::string(request.param("QUERY_STRING")) + "&";
-    server_.service_->health_check(open, query.find("&probe=1&") != std::string::npos);
+    server_.service_->health_check(open_request, query.find("&probe=1&") != std::string::npos);
     return;
   }
   std::int64_t client_number = -1;  // not given
@@ -341,13 +343,13 @@
     server_.log_.write_rate_limited("exchange malformed: path '" + std::string(script_name.substr(0, 60)) +
                                     "', id '" + std::string(request.param("HTTP_TRACE_ID").substr(0, 20)) +
                                     "'");
-    send_answer(open, {.unrecognized = true});
+    send_answer(open_request, {.unrecognized = true});
     return;
   }
   if (client_number >= 0)
     server_.slow_client_policy_.set_balancer(account, {.address = address_, .number = client_number});
-  server_request->sink = &open;
-  open.server_request = server_request.get();
+  server_request->sink = &open_request;
+  open_request.server_request = server_request.get();
   server_.service_->request_received(std::move(server_request));
 }
 
--- a/src/net/fastcgi_server.h
+++ b/src/net/fastcgi_server.h
@@ -27,6 +27,7 @@
   void serve(service::Service& service, std::function<void()> on_finished);
   std::size_t connections() const { return connections_.size(); }
   peers::SlowClientPolicy& slow_client_policy() { return slow_client_policy_; }
+  // Number of connections that ended for that reason so far.
   std::uint64_t ended(CloseReason reason) const { return ended_counts_[static_cast<std::size_t>(reason)]; }
 
   void close_idle(Nanos after) override;
@@ -77,15 +78,15 @@
   std::list<std::unique_ptr<BalancerConnection>> connections_;
   std::list<BalancerConnection*> closing_connections_;  // closing on this side, the longest first
   std::list<BalancerConnection*> idle_connections_;     // without an open request, the longest idle first
-  std::list<BalancerConnection*>
-      unfinished_connections_;  // awaiting the rest of a request or the first one, the longest first
+  // Without an open request, awaiting the rest of a request or the first one, the longest first.
+  std::list<BalancerConnection*> unfinished_connections_;
   std::size_t max_connections_;
   Nanos idle_limit_ = 0;  // 0: idle connections stay open
   bool finishing_ = false;
   bool handshakes_finished_ = false;  // the backlog was emptied once after new handshakes were refused
   bool under_pressure_ = false;       // memory or connections are short, and slow clients get less time
   Nanos last_summary_at_ = 0;
-  std::uint64_t summarized_ends_ = 0;  // ends for slowness that the last summary counted
+  std::uint64_t summarized_ends_ = 0;  // ended as slow, unread or crowded at the last summary
   std::uint64_t accepted_count_ = 0;
   std::uint64_t ended_counts_[static_cast<std::size_t>(CloseReason::kDrained) + 1] = {};
 };
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -22,6 +22,7 @@
   Timer(event_base* base, int signal, std::function<void()> callback);
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
+  // Calls after `delay`, at once if that is not positive. Replaces a delay that is still pending.
   void set(Nanos delay);
   void clear() { event_del(event_.get()); }
   bool is_set() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr); }
@@ -55,6 +56,7 @@
  public:
   Loop();
   event_base* base() const { return base_.get(); }
+  // Sets the function called when the time given to wake_at() has come.
   void on_wake(std::function<void()> wake) { wake_ = std::move(wake); }
   void run();
   void stop() { event_base_loopbreak(base_.get()); }
--- a/src/net/membership_client.cpp
+++ b/src/net/membership_client.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 MembershipClient::MembershipClient(Loop& loop, std::string name, const sockaddr_in& service)
-    : name_(std::move(name)), service_(service), report_timer_(loop.base(), [this] { send(); }) {}
+    : name_(std::move(name)), service_(service), report_timer_(loop.base(), [this] { send_report(); }) {}
 
 MembershipClient::~MembershipClient() {
   if (socket_ >= 0) ::close(socket_);
@@ -24,18 +24,18 @@
 void MembershipClient::report(bool healthy) {
   healthy_ = healthy;
   repeats_left_ = kChangeRepeats;
-  send();
+  send_report();
 }
 
 void MembershipClient::move(const sockaddr_in& service) {
   service_ = service;
   repeats_left_ = kChangeRepeats;
-  if (report_timer_.is_set()) send();
+  if (report_timer_.is_set()) send_report();
 }
 
 // Send errors are ignored, as the next report follows soon. It also retries a socket that could not be
 // created.
-void MembershipClient::send() {
+void MembershipClient::send_report() {
   if (socket_ < 0) socket_ = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   std::string line = "HB " + name_ + (healthy_ ? " UP" : " OUT");
   ::sendto(socket_, line.data(), line.size(), MSG_DONTWAIT, reinterpret_cast<const sockaddr*>(&service_),
--- a/src/net/membership_client.h
+++ b/src/net/membership_client.h
@@ -15,11 +15,13 @@
  public:
   MembershipClient(Loop& loop, std::string name, const sockaddr_in& service);
   ~MembershipClient() override;
+  // Sends the new state at once and repeats it a few times quickly, then at the regular interval.
   void report(bool healthy) override;
+  // Sets the address of the membership service.
   void move(const sockaddr_in& service);
 
  private:
-  void send();
+  void send_report();
 
   std::string name_;
   sockaddr_in service_;
--- a/src/net/reporter.cpp
+++ b/src/net/reporter.cpp
@@ -76,7 +76,7 @@
 
 LoadReporter::LoadReporter(Loop& loop, service::Logger& log, const service::Service& service,
                            std::string name, const sockaddr_in& listen)
-    : loop_(loop), log_(log), service_(service), report_timer_(loop.base(), [this] { send(); }) {
+    : loop_(loop), log_(log), service_(service), report_timer_(loop.base(), [this] { send_report(); }) {
   next_report_.node = std::move(name);
   next_report_.address = format_address(listen);
   next_report_.incarnation = static_cast<std::uint64_t>(Loop::unix_now());
@@ -107,8 +107,8 @@
   return out;
 }
 
-void LoadReporter::send() {
-  std::string frame = report::encode(report());
+void LoadReporter::send_report() {
+  std::string frame = report::encode(build_report());
   sent_at_.push_back(loop_.now());
   if (sent_at_.size() > kMaxRememberedReports) sent_at_.pop_front();
   for (auto& link : links_) link->send(frame);
@@ -121,7 +121,7 @@
          loop_.now() - sent_at_[sent_at_.size() - 1 - static_cast<std::size_t>(ago)] <= kMaxReportAge;
 }
 
-report::LoadReport LoadReporter::report() {
+report::LoadReport LoadReporter::build_report() {
   ++next_report_.sequence;
   next_report_.sent_unix = Loop::unix_now();
   std::optional<ControllerStats> stats = service_.stats();
--- a/src/net/reporter.h
+++ b/src/net/reporter.h
@@ -26,6 +26,7 @@
   // input on these connections is discarded.
   using AssignmentHandler = std::function<void(const fencing::ShardAssignment&)>;
   void on_assignment(AssignmentHandler handler) { assignment_handler_ = std::move(handler); }
+  // Both are sent with the next reports.
   void set_assignment_epoch(fencing::Epoch epoch) { next_report_.epoch = epoch; }
   void set_version(std::uint8_t version) { next_report_.version = version; }
   // Whether that report was sent recently by this server's clock, so that an answer to it is recent too. An
@@ -36,8 +37,8 @@
 
  private:
   class Link;
-  void send();
-  report::LoadReport report();
+  void send_report();
+  report::LoadReport build_report();
 
   Loop& loop_;
   service::Logger& log_;
