--- a/src/fencing/epoch.h
+++ b/src/fencing/epoch.h
@@ -1,4 +1,4 @@
-// The number of an agreed decision, by which a receiver tells an old one from a new one.
+// Epochs order the decisions of the control service, so that a receiver recognizes an outdated one.
 //
 // Used by agreement, report and fencing_guard.h. Plain data.
 #pragma once
@@ -8,11 +8,11 @@
 
 namespace myrtlecroft::fencing {
 
-// Later decisions compare greater, whichever instance led.
+// Identifies one committed decision. A later decision compares greater, whichever replica was the leader.
 struct Epoch {
-  std::uint64_t term = 0;                          // of the leader
+  std::uint64_t term = 0;                          // of the leader that made the decision
   std::uint64_t number = 0;                        // of the decision
-  auto operator<=>(const Epoch&) const = default;  // NOLINT(modernize-use-nullptr): of clang-tidy 14 alone
+  auto operator<=>(const Epoch&) const = default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 only
 };
 
 }  // namespace myrtlecroft::fencing
--- a/src/fencing/fencing_guard.cpp
+++ b/src/fencing/fencing_guard.cpp
@@ -1,4 +1,4 @@
-// Which assignment is in force, and the shard of a key.
+// Accepts shard assignments in epoch order and maps idempotency keys to shards.
 #include "fencing/fencing_guard.h"
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 
 std::optional<std::uint16_t> shard_of(std::string_view key, int digits) {
   auto count = static_cast<std::size_t>(digits);
-  std::uint16_t out = 0;
+  std::uint16_t parsed_shard = 0;
   if (key.size() < count) return std::nullopt;
-  auto [past, error] = std::from_chars(key.data(), key.data() + count, out, 16);
-  if (error != std::errc() || past != key.data() + count) return std::nullopt;
-  return out;
+  auto [end, error] = std::from_chars(key.data(), key.data() + count, parsed_shard, 16);
+  if (error != std::errc() || end != key.data() + count) return std::nullopt;
+  return parsed_shard;
 }
 
 FencingGuard::Verdict FencingGuard::accept(const ShardAssignment& assignment, std::uint64_t own_incarnation) {
@@ -20,9 +20,9 @@
   if (assignment_ && assignment.epoch == assignment_->epoch) return Verdict::kDuplicate;
   if (assignment.incarnation != own_incarnation) return Verdict::kIncarnationMismatch;
   assignment_ = assignment;
-  own_.assign(std::size_t{1} << (4 * assignment.shard_digits), false);
+  owned_shards_.assign(std::size_t{1} << (4 * assignment.shard_digits), false);
   for (std::uint16_t shard : assignment.shards) {
-    if (shard < own_.size()) own_[shard] = true;
+    if (shard < owned_shards_.size()) owned_shards_[shard] = true;
   }
   return Verdict::kAccepted;
 }
@@ -30,7 +30,7 @@
 bool FencingGuard::admits(std::string_view key) const {
   if (!assignment_) return false;
   std::optional<std::uint16_t> shard = shard_of(key, assignment_->shard_digits);
-  return shard && *shard < own_.size() && own_[*shard];
+  return shard && *shard < owned_shards_.size() && owned_shards_[*shard];
 }
 
 }  // namespace myrtlecroft::fencing
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -1,4 +1,4 @@
-// Look-ups in a fleet.
+// Queries on a fleet description.
 #include "fleet/fleet.h"
 
 #include <algorithm>
--- a/src/fleet/fleet_file.cpp
+++ b/src/fleet/fleet_file.cpp
@@ -1,4 +1,4 @@
-// One function for each part of the file but the request classes.
+// Parses all sections of the fleet file except the request classes.
 #include "fleet/fleet_file.h"
 
 #include <optional>
@@ -16,25 +16,25 @@
 constexpr std::size_t kMaxTenants = 200;
 constexpr std::int64_t kMaxProxies = 100'000;
 constexpr int kMaxPriority = 7;
-constexpr double kRounding = 1e-9;  // of a sum of quotas
+constexpr double kRounding = 1e-9;  // tolerance for rounding errors in a sum of quotas
 
-Node read_node(Section part) {
+Node read_node(Section section) {
   Node node;
-  node.name = read_name(part);
-  node.zone = part.text_or("zone", "default");
-  std::optional<settings::HostAndPort> address = settings::parse_address(part.text("address"));
-  if (!address) part.fail("address", "is not an address like 127.0.0.1:4100");
+  node.name = read_name(section);
+  node.zone = section.text_or("zone", "default");
+  std::optional<settings::HostAndPort> address = settings::parse_address(section.text("address"));
+  if (!address) section.fail("address", "is not an address like 127.0.0.1:4100");
   node.host = address->host;
   node.port = address->port;
-  node.capacity = part.number_or("capacity", 1, 0.01, 10'000);
-  node.priority = static_cast<int>(part.integer_or("priority", 0, 0, kMaxPriority));
-  part.reject_unknown_fields();
+  node.capacity = section.number_or("capacity", 1, 0.01, 10'000);
+  node.priority = static_cast<int>(section.integer_or("priority", 0, 0, kMaxPriority));
+  section.reject_unknown_fields();
   return node;
 }
 
 std::vector<Node> read_nodes(Section& root) {
   std::vector<Node> nodes = read_list<Node>(root, "nodes", kMaxNodes, read_node);
-  if (nodes.empty()) root.fail("nodes", "names no node");
+  if (nodes.empty()) root.fail("nodes", "lists no nodes");
   std::set<std::string> addresses;
   for (const Node& node : nodes) {
     if (!addresses.insert(node.address()).second) {
@@ -44,11 +44,11 @@
   return nodes;
 }
 
-Tenant read_tenant(Section part) {
+Tenant read_tenant(Section section) {
   Tenant tenant;
-  tenant.name = read_name(part);
-  tenant.quota = part.number("share", 0, 1);
-  part.reject_unknown_fields();
+  tenant.name = read_name(section);
+  tenant.quota = section.number("share", 0, 1);
+  section.reject_unknown_fields();
   return tenant;
 }
 
@@ -56,20 +56,20 @@
   std::vector<Tenant> tenants = read_list<Tenant>(root, "customers", kMaxTenants, read_tenant);
   double quotas = 0;
   for (const Tenant& tenant : tenants) quotas += tenant.quota;
-  if (quotas > 1 + kRounding) root.fail("customers", "have shares of more than 1 together");
+  if (quotas > 1 + kRounding) root.fail("customers", "have shares that add up to more than 1");
   return tenants;
 }
 
-Service read_service(Section part) {
+Service read_service(Section section) {
   Service service;
-  service.name = read_name(part);
-  service.used_by = part.text_list("used_by");
-  service.max_unavailable = read_max_unavailable(part, "most_out", {.by_count = true, .max = 1});
-  part.reject_unknown_fields();
+  service.name = read_name(section);
+  service.used_by = section.text_list("used_by");
+  service.max_unavailable = read_max_unavailable(section, "most_out", {.by_count = true, .max = 1});
+  section.reject_unknown_fields();
   return service;
 }
 
-// Replaces names of servers and zones by the names of the servers, each once.
+// Expands zones in `used_by` to the names of their servers and removes duplicates.
 void resolve_used_by(const Section& root, const NodeIndex& nodes, Service& service) {
   std::vector<std::string> names;
   std::set<std::uint32_t> listed;
@@ -79,47 +79,47 @@
       root.fail("services", "'" + service.name + "' is used by '" + used_by +
                                 "', which is neither a node nor 'zone NAME'");
     }
-    for (std::uint32_t place : *found) {
-      if (listed.insert(place).second) names.push_back(nodes.node(place).name);
+    for (std::uint32_t server_index : *found) {
+      if (listed.insert(server_index).second) names.push_back(nodes.node(server_index).name);
     }
   }
   service.used_by = std::move(names);
 }
 
-MaintenanceOptions read_maintenance(Section part) {
+MaintenanceOptions read_maintenance(Section section) {
   MaintenanceOptions out;
-  out.max_unavailable = read_max_unavailable(part, "most_out", out.max_unavailable);
-  out.zone_max_unavailable = read_max_unavailable(part, "zone_most_out", out.zone_max_unavailable);
-  out.reserve = part.number_or("reserve", out.reserve, 0, 0.9);
-  out.lease_duration = part.milliseconds_or("permit_lasts_ms", out.lease_duration, 1000, kMaxTimeMs);
-  part.reject_unknown_fields();
+  out.max_unavailable = read_max_unavailable(section, "most_out", out.max_unavailable);
+  out.zone_max_unavailable = read_max_unavailable(section, "zone_most_out", out.zone_max_unavailable);
+  out.reserve = section.number_or("reserve", out.reserve, 0, 0.9);
+  out.lease_duration = section.milliseconds_or("permit_lasts_ms", out.lease_duration, 1000, kMaxTimeMs);
+  section.reject_unknown_fields();
   return out;
 }
 
-Bounds read_bounds(Section part) {
+Bounds read_bounds(Section section) {
   Bounds out;
-  out.lost_after = part.milliseconds_or("silent_ms", out.lost_after, 100, 60'000);
-  out.unresponsive_after = part.milliseconds_or("mute_ms", out.unresponsive_after, 100, 60'000);
+  out.lost_after = section.milliseconds_or("silent_ms", out.lost_after, 100, 60'000);
+  out.unresponsive_after = section.milliseconds_or("mute_ms", out.unresponsive_after, 100, 60'000);
   out.min_time_out_of_rotation =
-      part.milliseconds_or("dwell_ms", out.min_time_out_of_rotation, 0, kMaxTimeMs);
-  out.slow_start = part.milliseconds_or("ramp_ms", out.slow_start, 0, kMaxTimeMs);
-  out.initial_slow_start_factor = part.number_or("ramp_from", out.initial_slow_start_factor, 0.01, 1);
-  out.max_unavailable = part.number_or("most_out", out.max_unavailable, 0, 0.9);
-  out.partition_threshold = part.number_or("isolated_at", out.partition_threshold, 0.1, 1);
+      section.milliseconds_or("dwell_ms", out.min_time_out_of_rotation, 0, kMaxTimeMs);
+  out.slow_start = section.milliseconds_or("ramp_ms", out.slow_start, 0, kMaxTimeMs);
+  out.initial_slow_start_factor = section.number_or("ramp_from", out.initial_slow_start_factor, 0.01, 1);
+  out.max_unavailable = section.number_or("most_out", out.max_unavailable, 0, 0.9);
+  out.partition_threshold = section.number_or("isolated_at", out.partition_threshold, 0.1, 1);
   out.max_weight_change_per_second =
-      part.number_or("weight_step", out.max_weight_change_per_second, 0.01, 10);
-  out.min_weight = part.number_or("least_weight", out.min_weight, 0.01, 1);
-  out.max_shed_change_per_second = part.number_or("shed_step", out.max_shed_change_per_second, 0.01, 10);
-  out.min_admitted = part.number_or("least_admitted", out.min_admitted, 0, 1);
-  out.retry_budget = part.number_or("retry_budget", out.retry_budget, 0, 1);
-  out.max_retries = static_cast<int>(part.integer_or("most_retries", out.max_retries, 0, 10));
-  out.shard_digits = static_cast<int>(part.integer_or("shard_digits", out.shard_digits, 1, 3));
-  out.max_migrating = part.number_or("most_moving", out.max_migrating, 0, 1);
+      section.number_or("weight_step", out.max_weight_change_per_second, 0.01, 10);
+  out.min_weight = section.number_or("least_weight", out.min_weight, 0.01, 1);
+  out.max_shed_change_per_second = section.number_or("shed_step", out.max_shed_change_per_second, 0.01, 10);
+  out.min_admitted = section.number_or("least_admitted", out.min_admitted, 0, 1);
+  out.retry_budget = section.number_or("retry_budget", out.retry_budget, 0, 1);
+  out.max_retries = static_cast<int>(section.integer_or("most_retries", out.max_retries, 0, 10));
+  out.shard_digits = static_cast<int>(section.integer_or("shard_digits", out.shard_digits, 1, 3));
+  out.max_migrating = section.number_or("most_moving", out.max_migrating, 0, 1);
   out.disconnected_proxy_expiry =
-      part.milliseconds_or("forget_proxies_ms", out.disconnected_proxy_expiry, 0, kMaxTimeMs);
-  out.clock_skew = part.milliseconds_or("clock_skew_ms", out.clock_skew, 1, kMaxTimeMs);
-  out.publish_interval = part.milliseconds_or("settle_ms", out.publish_interval, 10, 10'000);
-  part.reject_unknown_fields();
+      section.milliseconds_or("forget_proxies_ms", out.disconnected_proxy_expiry, 0, kMaxTimeMs);
+  out.clock_skew = section.milliseconds_or("clock_skew_ms", out.clock_skew, 1, kMaxTimeMs);
+  out.publish_interval = section.milliseconds_or("settle_ms", out.publish_interval, 10, 10'000);
+  section.reject_unknown_fields();
   return out;
 }
 
--- a/src/fleet/fleet_file.h
+++ b/src/fleet/fleet_file.h
@@ -9,7 +9,8 @@
 
 namespace myrtlecroft::fleet {
 
-// Throws settings::DocumentError, which names file, line and field.
+// Reads and validates the fleet file at `path`. Throws settings::DocumentError, which names the file, line
+// and field.
 Fleet read_fleet(const std::string& path);
 
 }  // namespace myrtlecroft::fleet
--- a/src/fleet/request_class_file.cpp
+++ b/src/fleet/request_class_file.cpp
@@ -1,4 +1,4 @@
-// One function for each part of a request class.
+// Parses the request classes of the fleet file, one function for each group of fields.
 #include "fleet/request_class_file.h"
 
 #include <algorithm>
@@ -14,102 +14,104 @@
 
 constexpr double kMaxPriorityWeight = 1e6;
 
-// What the request classes of one file have in common.
+// State shared by the request classes of one file.
 struct Context {
   const NodeIndex& nodes;
   std::string listener;
-  std::uint32_t subset_size = 0;  // of classes that name none
+  std::uint32_t subset_size = 0;  // default for request classes without one
   bool service_listeners = false;
   std::map<ServerList::ServerIndices, std::shared_ptr<const ServerList::ServerIndices>>
-      lists;  // equal ones are shared
+      lists;  // equal server lists are shared
 };
 
-Idempotency read_idempotency(Section& part) {
-  std::string value = part.text("repeats");
+Idempotency read_idempotency(Section& section) {
+  std::string value = section.text("repeats");
   if (value == "repeatable") return Idempotency::kIdempotent;
   if (value == "deduplicated") return Idempotency::kKeyed;
   if (value == "mutating") return Idempotency::kNone;
-  part.fail("repeats", "is none of repeatable, deduplicated, mutating");
+  section.fail("repeats", "is not one of repeatable, deduplicated, mutating");
 }
 
-ServerList read_servers(Section& part, Context& context) {
-  std::vector<std::string> names = part.text_list("servers");
-  if (!part.has("servers")) return {};
-  if (names.empty()) part.fail("servers", "names no server");
+ServerList read_servers(Section& section, Context& context) {
+  std::vector<std::string> names = section.text_list("servers");
+  if (!section.has("servers")) return {};
+  if (names.empty()) section.fail("servers", "lists no servers");
   std::set<std::uint32_t> listed;
   for (const std::string& name : names) {
     const ServerList::ServerIndices* found = context.nodes.find(name);
-    if (!found) part.fail("servers", "'" + name + "' is neither a node nor 'zone NAME'");
-    for (std::uint32_t place : *found) {
-      if (listed.insert(place).second) continue;
-      part.fail("servers", "names '" + context.nodes.node(place).name + "' twice, with '" + name + "'");
+    if (!found) section.fail("servers", "'" + name + "' is neither a node nor 'zone NAME'");
+    for (std::uint32_t server_index : *found) {
+      if (listed.insert(server_index).second) continue;
+      section.fail("servers", "lists '" + context.nodes.node(server_index).name +
+                                  "' twice, the second time through '" + name + "'");
     }
   }
-  ServerList::ServerIndices places(listed.begin(), listed.end());
-  auto& shared = context.lists[places];
-  if (!shared) shared = std::make_shared<const ServerList::ServerIndices>(places);
+  ServerList::ServerIndices indices(listed.begin(), listed.end());
+  auto& shared = context.lists[indices];
+  if (!shared) shared = std::make_shared<const ServerList::ServerIndices>(indices);
   return {shared};
 }
 
-// 0 where the class has no more servers than a subset: then each caller gets all of them.
-std::uint32_t read_subset_size(Section& part, const ServerList& servers, const Context& context) {
+// Returns 0 if the class has no more servers than a subset: each caller then gets all of them.
+std::uint32_t read_subset_size(Section& section, const ServerList& servers, const Context& context) {
   std::size_t all = servers.all() ? context.nodes.size() : servers.places->size();
-  auto size = static_cast<std::uint32_t>(part.integer_or("subset_size", context.subset_size, 1, kMaxNodes));
-  if (part.has("subset_size") && size > all) {
-    part.fail("subset_size", "is larger than the service, which has " + std::to_string(all) + " servers");
+  auto size =
+      static_cast<std::uint32_t>(section.integer_or("subset_size", context.subset_size, 1, kMaxNodes));
+  if (section.has("subset_size") && size > all) {
+    section.fail("subset_size", "is larger than the service, which has " + std::to_string(all) + " servers");
   }
   return size < all ? size : 0;
 }
 
-void read_placement(Section& part, Context& context, RequestClass& out) {
+void read_placement(Section& section, Context& context, RequestClass& out) {
   if (context.service_listeners && out.name == context.listener) {
-    part.fail("name", "is the name of the listener, which callers ask for the whole fleet by");
+    section.fail("name", "is the name of the listener, which stands for the whole fleet");
   }
   if (out.idempotency == Idempotency::kKeyed) {
     for (const char* field : {"servers", "subset_size"}) {
-      if (!part.has(field)) continue;
-      part.fail(field, "has no use in a deduplicated group: each of its keys has one owner among all nodes");
+      if (!section.has(field)) continue;
+      section.fail(field, "is not allowed in a deduplicated group: each key has one owner among all nodes");
     }
     return;
   }
-  out.servers = read_servers(part, context);
-  out.subset_size = read_subset_size(part, out.servers, context);
+  out.servers = read_servers(section, context);
+  out.subset_size = read_subset_size(section, out.servers, context);
 }
 
-void read_times(Section& part, RequestClass& out) {
-  out.client_timeout = part.milliseconds("timeout_ms", 1, kMaxTimeMs);
-  out.latency_objective = part.milliseconds_or("slo_ms", out.client_timeout, 1, kMaxTimeMs);
-  if (out.latency_objective > out.client_timeout) part.fail("slo_ms", "is longer than timeout_ms");
+void read_times(Section& section, RequestClass& out) {
+  out.client_timeout = section.milliseconds("timeout_ms", 1, kMaxTimeMs);
+  out.latency_objective = section.milliseconds_or("slo_ms", out.client_timeout, 1, kMaxTimeMs);
+  if (out.latency_objective > out.client_timeout) section.fail("slo_ms", "is longer than timeout_ms");
   if (out.idempotency == Idempotency::kKeyed)
-    out.deduplication_window = part.milliseconds("window_ms", 1, kMaxTimeMs);
+    out.deduplication_window = section.milliseconds("window_ms", 1, kMaxTimeMs);
 }
 
-RequestClass read_request_class(Section part, Context& context) {
+RequestClass read_request_class(Section section, Context& context) {
   RequestClass out;
-  out.name = read_name(part);
-  out.path = part.text_or("path", "/api/v2/" + out.name);
-  if (out.path.front() != '/') part.fail("path", "does not begin with '/'");
-  out.idempotency = read_idempotency(part);
-  out.priority_weight = part.number_or("benefit", 1, 0, kMaxPriorityWeight);
-  read_times(part, out);
-  out.key_header = part.text_or("key_header", out.idempotency == Idempotency::kKeyed ? "Replay-Key" : "");
+  out.name = read_name(section);
+  out.path = section.text_or("path", "/api/v2/" + out.name);
+  if (out.path.front() != '/') section.fail("path", "does not begin with '/'");
+  out.idempotency = read_idempotency(section);
+  out.priority_weight = section.number_or("benefit", 1, 0, kMaxPriorityWeight);
+  read_times(section, out);
+  out.key_header = section.text_or("key_header", out.idempotency == Idempotency::kKeyed ? "Replay-Key" : "");
   if (out.idempotency == Idempotency::kNone && !out.key_header.empty()) {
-    part.fail("key_header", "has no use in a mutating group");
+    section.fail("key_header", "is not allowed in a mutating group");
   }
-  out.max_unavailable = read_max_unavailable(part, "most_out", {});
-  read_placement(part, context, out);
-  part.reject_unknown_fields();
+  out.max_unavailable = read_max_unavailable(section, "most_out", {});
+  read_placement(section, context, out);
+  section.reject_unknown_fields();
   return out;
 }
 
-// The subset size of request classes that name none; 0: they have no subsets.
+// Returns the default subset size of request classes; 0: those without a size of their own have no subsets.
 std::uint32_t read_subsetting(Section& root, std::size_t nodes) {
-  auto part = root.optional_section("subsetting");
-  if (!part) return 0;
-  auto size = static_cast<std::uint32_t>(part->integer("size", 1, kMaxNodes));
+  auto section = root.optional_section("subsetting");
+  if (!section) return 0;
+  auto size = static_cast<std::uint32_t>(section->integer("size", 1, kMaxNodes));
   if (size > nodes)
-    part->fail("size", "is larger than the fleet, which has " + std::to_string(nodes) + " nodes");
-  part->reject_unknown_fields();
+    section->fail("size", "is larger than the fleet, which has " + std::to_string(nodes) + " nodes");
+  section->reject_unknown_fields();
   return size;
 }
 
@@ -119,15 +121,15 @@
   Context context{
       .nodes = nodes, .listener = out.listener, .subset_size = 0, .service_listeners = false, .lists = {}};
   context.subset_size = read_subsetting(root, nodes.size());
-  std::vector<Section> parts = root.list("groups");
-  context.service_listeners =
-      context.subset_size > 0 ||
-      std::any_of(parts.begin(), parts.end(), [](const Section& part) { return part.has("subset_size"); });
+  std::vector<Section> sections = root.list("groups");
+  context.service_listeners = context.subset_size > 0 ||
+                              std::any_of(sections.begin(), sections.end(),
+                                          [](const Section& section) { return section.has("subset_size"); });
   out.service_listeners = context.service_listeners;
-  out.request_classes = read_list<RequestClass>(root, "groups", kMaxRequestClasses, [&](Section part) {
-    return read_request_class(std::move(part), context);
+  out.request_classes = read_list<RequestClass>(root, "groups", kMaxRequestClasses, [&](Section section) {
+    return read_request_class(std::move(section), context);
   });
-  if (out.request_classes.empty()) root.fail("groups", "names no endpoint group");
+  if (out.request_classes.empty()) root.fail("groups", "lists no endpoint groups");
   std::set<std::string> paths;
   for (const RequestClass& request_class : out.request_classes) {
     if (!paths.insert(request_class.path).second)
--- a/src/fleet/request_class_file.h
+++ b/src/fleet/request_class_file.h
@@ -7,7 +7,7 @@
 
 namespace myrtlecroft::fleet {
 
-// Sets request_classes and service_listeners of a fleet whose listener is known. Throws
+// Sets `out.request_classes` and `out.service_listeners`; `out.listener` must be set before. Throws
 // settings::DocumentError.
 void read_request_classes(settings::Section& root, const NodeIndex& nodes, Fleet& out);
 
--- a/src/fleet/server_list.h
+++ b/src/fleet/server_list.h
@@ -1,6 +1,6 @@
-// The servers that a request class runs on.
+// The list of servers that run a request class.
 //
-// Part of the fleet file and of snapshots. Plain data; shared between threads, as it never changes.
+// Part of the fleet description and of snapshots. Immutable, so it may be shared between threads.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,13 @@
 
 namespace myrtlecroft::fleet {
 
-// Places in the fleet's list of servers, in ascending order. Shared and never changed: thousands of request
-// classes may name the same zone.
+// Indices into the fleet's list of servers, in ascending order. Equal lists share one vector, because
+// thousands of request classes may name the same zone.
 struct ServerList {
   using ServerIndices = std::vector<std::uint32_t>;
   std::shared_ptr<const ServerIndices> places;  // null: all servers
 
+  // Whether the list stands for all servers of the fleet.
   bool all() const { return !places; }
   bool operator==(const ServerList& other) const {
     return places == other.places || (places && other.places && *places == *other.places);
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,9 +1,10 @@
-// What share of each request class proxies admit, while the whole fleet rejects much.
+// The share of each request class that proxies admit while the fleet rejects a large part of its load.
 //
-// Each server decides for itself what it admits. But receiving what it then rejects costs it CPU time, and
-// with most of the fleet's load rejected that is what its cores do. So the classes of the lowest priority are
-// shed at the proxies, in part, for as long as servers reject much. Requests with an idempotency key never
-// are: whether one has run is known at its server alone. Owned by Router, called on its thread. No I/O.
+// Each server decides which requests it admits. But a request that the server rejects still costs it CPU
+// time, and if most of the fleet's load is rejected, the cores do little else. Proxies therefore shed part of
+// the classes with the lowest priority for as long as servers reject much. Requests with an idempotency key
+// are never shed: only their server knows whether they have run. Owned by Router, called on its thread. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +15,15 @@
 
 namespace myrtlecroft::routing {
 
+// Computes the admitted share of each request class from the recent rejections of the servers.
 class Admission {
  public:
-  // Looks at what servers in service have rejected lately; several times a second. True where the admitted
-  // share of a class changed.
+  // Adjusts the shares to the recent rejections of the servers in service; to be called several times a
+  // second. Returns whether the admitted share of a class changed.
   bool step(const fleet::Fleet& fleet, const ServerRegistry& registry, Nanos now);
-  // Of ten thousand, in the order of the fleet's request classes; empty before the first step.
+  // Admitted shares in ten-thousandths, in the order of the fleet's classes; empty before the first step.
   const std::vector<std::uint32_t>& admitted() const { return admitted_; }
-  // The share of the fleet's load that proxies are to shed.
+  // The share of the fleet's load that proxies are to shed, from 0 to 1.
   double shed() const { return shed_; }
 
  private:
@@ -30,17 +32,17 @@
     const ServerRegistry& registry;
     Nanos now;
   };
-  void adjust_shed(const Inputs& inputs, double passed_seconds);
-  std::vector<std::uint32_t> shares(const Inputs& inputs);
-  std::vector<double> offered_by_class(const Inputs& inputs) const;
+  void adjust_shed(const Inputs& inputs, double elapsed_seconds);
+  std::vector<std::uint32_t> compute_shares(const Inputs& inputs);
+  std::vector<double> estimate_offered_load(const Inputs& inputs) const;
   void order_by_priority(const Inputs& inputs);
 
   double shed_ = 0;
   Nanos last_step_at_ = 0;
-  bool stepped_ = false;
+  bool has_stepped_ = false;
   std::vector<std::uint32_t> admitted_;
-  std::vector<std::size_t> order_;  // of the request classes, from the lowest priority weight
-  std::uint64_t layout_ = 0;        // of the registry, when `order_` was made
+  std::vector<std::size_t> order_;       // indices of the request classes by ascending priority weight
+  std::uint64_t layout_generation_ = 0;  // layout generation of the registry when `order_` was computed
 };
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/connectivity.cpp
+++ b/src/routing/connectivity.cpp
@@ -1,4 +1,4 @@
-// The table of views and the shares of the fleet that its conditions look at.
+// The transition table of the connectivity states and the shares of the fleet that its conditions use.
 #include "routing/connectivity.h"
 
 #include <algorithm>
@@ -6,19 +6,21 @@
 namespace myrtlecroft::routing {
 namespace {
 
-// A partition is looked for at this part of the time after which a server is lost, so that none is put out
-// before it is seen that most are silent. Harm: a fleet that truly loses most servers at once keeps its old
-// snapshot; what is sent to the dead servers is refused there and retried elsewhere.
-constexpr Nanos kEarlyDivisor = 2;
+// A partition is detected at this fraction of the time after which a server is lost, so that no server is
+// taken out of rotation before most are known to be silent. Drawback: a fleet that really loses most servers
+// at once keeps its old snapshot; requests to the dead servers are refused and retried at other servers.
+constexpr Nanos kPartitionDetectionDivisor = 2;
 
-// The share of the capacity in rotation that has reported within this time; 1 where nothing is in rotation.
-double reporting_share(const std::vector<ServerStatus>& servers, Nanos time, Nanos now) {
+// Returns the share of the capacity in rotation whose last report is at most `max_report_age` old; 1 if no
+// server is in rotation.
+double reporting_share(const std::vector<ServerStatus>& servers, Nanos max_report_age, Nanos now) {
   double all = 0;
   double reporting = 0;
   for (const ServerStatus& server : servers) {
     if (!server.in_service()) continue;
     all += server.node.capacity;
-    if (server.last_report_at > 0 && now - server.last_report_at <= time) reporting += server.node.capacity;
+    if (server.last_report_at > 0 && now - server.last_report_at <= max_report_age)
+      reporting += server.node.capacity;
   }
   return all > 0 ? reporting / all : 1;
 }
@@ -48,19 +50,19 @@
                                       [](const ServerStatus& one) { return one.last_report_at > 0; });
   const Inputs inputs{
       .reporting_share = reporting_share(servers, bounds.lost_after, now),
-      .recent_reporting_share = reporting_share(servers, bounds.lost_after / kEarlyDivisor, now),
+      .recent_reporting_share = reporting_share(servers, bounds.lost_after / kPartitionDetectionDivisor, now),
       .any_report = any_report,
-      .settled = now - since_ >= bounds.lost_after,
+      .settled = now - view_since_ >= bounds.lost_after,
       .partition_threshold = bounds.partition_threshold};
   for (const Row& row : kRows) {
     if (row.view != view_ || !row.condition(inputs)) continue;
     view_ = row.next;
-    since_ = now;
+    view_since_ = now;
     return Change{row.view, row.next, row.reason, inputs.recent_reporting_share};
   }
   return std::nullopt;
 }
 
-void Connectivity::excuse_pause(Nanos pause, Nanos now) { since_ = std::min(now, since_ + pause); }
+void Connectivity::exclude_pause(Nanos pause, Nanos now) { view_since_ = std::min(now, view_since_ + pause); }
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/connectivity.h
+++ b/src/routing/connectivity.h
@@ -1,7 +1,7 @@
-// Whether this control service itself is cut off from the servers, by how many of them report.
+// Detects from the share of reporting servers whether this control service itself is cut off from them.
 //
-// When most servers fall silent at once, it is more likely that this process lost its network than that they
-// all died: nothing is then changed for missing reports. Called by ServerRegistry once a step. No I/O.
+// If most servers fall silent at once, this process has more likely lost its network than all servers have
+// died. Missing reports then change nothing. Called by ServerRegistry once in each step. No I/O.
 #pragma once
 
 #include <optional>
@@ -11,41 +11,42 @@
 
 namespace myrtlecroft::routing {
 
-// What this control service sees of the fleet.
+// How this control service is connected to the fleet.
 enum class ConnectivityState {
-  kRestoring,   // just started, too few servers have reported: what was served before is served on
+  kRestoring,   // just started, too few servers have reported: the restored snapshot is served
   kConnected,   // decisions follow the reports
-  kPartitioned  // too many servers fell silent at once: no server is put out for missing reports
+  kPartitioned  // too many servers fell silent at once: missing reports take no server out of rotation
 };
-// The wording of log lines; routing_state::stored_name() has the names that are sent.
+// Returns the name used in log lines; routing_state::stored_name() returns the one in admin answers.
 const char* name_of(ConnectivityState view);
 
+// The state machine of ConnectivityState.
 class Connectivity {
  public:
-  explicit Connectivity(Nanos now) : since_(now) {}
+  explicit Connectivity(Nanos now) : view_since_(now) {}
 
   struct Change {
     ConnectivityState from;
     ConnectivityState to;
     const char* reason;
-    double reporting_share;  // of the capacity in rotation
+    double reporting_share;  // share of the capacity in rotation that reported recently
   };
-  // Follows the reports of the servers. The change, where there is one.
+  // Evaluates the age of the servers' reports. Returns the change of state, if any.
   std::optional<Change> step(const std::vector<ServerStatus>& servers, const fleet::Bounds& bounds,
                              Nanos now);
-  // Leaves a pause of this process out of account, in which no report could be read.
-  void excuse_pause(Nanos pause, Nanos now);
+  // Excludes a pause of this process, in which no report could be read, from the current state's duration.
+  void exclude_pause(Nanos pause, Nanos now);
 
   ConnectivityState view() const { return view_; }
-  // When the view last changed, pauses of this process left out.
-  Nanos since() const { return since_; }
+  // The time of the last change, moved forward by the pauses of this process.
+  Nanos view_since() const { return view_since_; }
 
  private:
   struct Inputs {
-    double reporting_share;         // within Bounds::lost_after, of the capacity in rotation
-    double recent_reporting_share;  // within half of that
-    bool any_report;                // since this process started
-    bool settled;                   // the view has lasted for Bounds::lost_after
+    double reporting_share;         // of the capacity in rotation, within Bounds::lost_after
+    double recent_reporting_share;  // the same, within half of that time
+    bool any_report;                // any server has reported since this process started
+    bool settled;                   // the state has lasted for Bounds::lost_after
     double partition_threshold;
   };
   struct Row {
@@ -57,7 +58,7 @@
   static const std::vector<Row> kRows;
 
   ConnectivityState view_ = ConnectivityState::kRestoring;
-  Nanos since_;
+  Nanos view_since_;
 };
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/panic_threshold.cpp
+++ b/src/routing/panic_threshold.cpp
@@ -1,10 +1,10 @@
-// The count of the capacity that is out.
+// Sums the capacity out of rotation.
 #include "routing/panic_threshold.h"
 
 namespace myrtlecroft::routing {
 namespace {
 
-constexpr double kRounding = 1e-9;  // of a sum of capacities
+constexpr double kRounding = 1e-9;  // tolerance for rounding errors in a sum of capacities
 
 }  // namespace
 
--- a/src/routing/rendezvous.h
+++ b/src/routing/rendezvous.h
@@ -1,9 +1,9 @@
-// Weighted rendezvous hashing of the shards over the servers that may own them, updated by what changes.
+// Weighted rendezvous hashing of shards to the servers that may own them, updated incrementally.
 //
-// Each server draws a score for each shard, and the highest score wins it; servers of a higher priority
-// number compete only where there are no others. When a server stops competing, only the shards that it had
-// won are drawn again; one that starts competes once for each shard. Owned by Shards, called on its thread.
-// No I/O.
+// Each server has a score for each shard, and the server with the highest score wins the shard; servers with
+// a higher priority number compete only if there are no others. When a server stops competing, only the
+// shards that it had won are recomputed; a server that starts competing is compared with the winner of each
+// shard. Owned by Shards, called on its thread. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,20 +15,21 @@
 
 namespace myrtlecroft::routing {
 
-constexpr int kNoServer = -1;  // in place of a server's place in the registry
+constexpr int kNoServer = -1;  // stands for no server where an index into the registry is expected
 
+// The winner of each shard.
 class Rendezvous {
  public:
   explicit Rendezvous(std::size_t shards) : winners_(shards) {}
 
-  // Brings the winners up to date with these servers. Costs what changed since the last call, and one look at
-  // each server.
-  void follow(const ServerRegistry& registry);
-  // The place of a shard's winner among the servers of the last follow(), or kNoServer.
-  int winner(std::size_t shard) const { return winners_[shard].place; }
+  // Updates the winners to the current servers. Checks each server once and recomputes only what changed
+  // since the last call.
+  void update(const ServerRegistry& registry);
+  // Returns the index of a shard's winner among the servers of the last update(), or kNoServer.
+  int winner(std::size_t shard) const { return winners_[shard].server_index; }
 
  private:
-  // What a server competed with at the last follow().
+  // The properties of a server at the last update().
   struct Candidate {
     std::string name;
     double capacity = 0;
@@ -36,18 +37,18 @@
     bool competes = false;
   };
   struct Winner {
-    int place = kNoServer;
+    int server_index = kNoServer;
     double score = 0;
   };
 
-  static Candidate candidate_of(const ServerStatus& server);
-  void follow_layout(const ServerRegistry& registry);
-  void redraw(std::size_t shard);
-  void compete(int place, std::size_t shard);
+  static Candidate make_candidate(const ServerStatus& server);
+  void update_layout(const ServerRegistry& registry);
+  void recompute_winner(std::size_t shard);
+  void compete(int server_index, std::size_t shard);
 
-  std::vector<Candidate> candidates_;  // in the order of the registry
-  std::vector<Winner> winners_;        // of each shard
-  std::uint64_t layout_ = 0;           // of the registry; 0: none was followed yet
+  std::vector<Candidate> candidates_;    // indexed like the servers of the registry
+  std::vector<Winner> winners_;          // indexed by shard
+  std::uint64_t layout_generation_ = 0;  // of the registry at the last update(); 0: none yet
 };
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -1,4 +1,4 @@
-// One retry policy for each kind of idempotency.
+// Derives the retry policy from the idempotency and the times of a request class.
 #include "routing/retry_policy.h"
 
 #include <algorithm>
@@ -8,12 +8,13 @@
 
 constexpr Nanos kBackoffMin = 25 * kMs;
 constexpr Nanos kBackoffMax = 250 * kMs;
-// A short client timeout shortens the backoff to these parts of it.
+// The backoff is at most the client timeout divided by these numbers.
 constexpr Nanos kBackoffMinDivisor = 10;
 constexpr Nanos kBackoffMaxDivisor = 4;
 
-// An attempt gets at least its latency objective: cut shorter, work that is merely slow would be done several
-// times. 0 where it would get the whole timeout.
+// Returns the time limit of one attempt, which is at least the latency objective: with a shorter limit,
+// requests that are merely slow would be run several times. 0 if one attempt may take the whole client
+// timeout.
 Nanos per_attempt_timeout(const fleet::RequestClass& request_class, int retries) {
   if (retries == 0) return 0;
   Nanos even = request_class.client_timeout / (1 + retries);
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,17 +1,18 @@
-// The order of the decisions within a step, and what survives a restart or a change of the leader.
+// Runs the decisions of a step in order and restores state after a restart or a change of the leader.
 #include "routing/router.h"
 
 namespace myrtlecroft::routing {
 namespace {
 
-Shard shard_of(const PersistedState::Owner& owner) {
+Shard restored_shard(const PersistedState::Owner& owner) {
   return {.state = owner.open ? ShardState::kOwned : ShardState::kClosing,
           .owner = owner.node,
           .incarnation = owner.incarnation};
 }
 
-// The restored snapshot over the fleet file as it is now: servers that it doesn't name get no requests.
-void fit(Snapshot& restored, const ServerRegistry& registry) {
+// Takes servers out of a restored snapshot's rotation that the current fleet file does not name, or names
+// with another address.
+void exclude_unknown_servers(Snapshot& restored, const ServerRegistry& registry) {
   for (NodeRoute& node : restored.nodes) {
     const ServerStatus* server = registry.server(node.name);
     const fleet::Node* known = server ? &server->node : nullptr;
@@ -34,18 +35,18 @@
     return;
   }
   for (const PersistedState::Node& node : persisted->nodes) registry_.restore(node);
-  // With another number of shards nobody knows who ran what: they close for a window.
+  // With another number of shards it is unknown which server ran which key: all shards close for a window.
   if (persisted->shards.size() == fleet_.shards()) {
     for (std::size_t at = 0; at < persisted->shards.size(); ++at)
-      shards_.restore(at, shard_of(persisted->shards[at]));
+      shards_.restore(at, restored_shard(persisted->shards[at]));
   }
   if (std::optional<SnapshotError> error = restore_snapshot(std::move(persisted->snapshot))) {
-    log_("restored snapshot does not fit the fleet file and is dropped: " + error->message());
+    log_("restored snapshot is invalid with the current fleet file and is discarded: " + error->message());
   }
 }
 
 std::optional<SnapshotError> Router::restore_snapshot(Snapshot snapshot) {
-  fit(snapshot, registry_);
+  exclude_unknown_servers(snapshot, registry_);
   std::optional<SnapshotError> error = find_error(snapshot);
   if (!error) restored_ = std::move(snapshot);
   restored_published_ = false;
@@ -78,13 +79,13 @@
     const ServerStatus* known = registry_.server(node.name);
     if (known && known->last_report_at == 0) registry_.restore(node);
   }
-  // With another number of shards nobody knows who ran what.
+  // With another number of shards it is unknown which server ran which key.
   bool same_shards = shards.size() == fleet_.shards();
   shards_.reset(fleet_.shards());
   for (std::size_t at = 0; same_shards && at < shards.size(); ++at)
     shards_.restore(at, std::move(shards[at]));
   published_ = std::move(published);
-  published_layout_ = 0;
+  published_layout_generation_ = 0;
   restored_.reset();
   last_error_.reset();
   if (!same_shards || !published_ || registry_.view() != ConnectivityState::kRestoring) return;
@@ -108,28 +109,29 @@
     decide(now, agreed_now);
   }
   if (serves_restored ? restored_published_ : publication_is_current()) {
-    shards_.published(published_->number);
+    shards_.record_publication(published_->number);
     return nullptr;
   }
   const Snapshot* before = published_ ? &published_->snapshot : nullptr;
   return publish(serves_restored ? *restored_ : build_snapshot(inputs(), before), now);
 }
 
-// With the layout the fleet file is the same, and all that a snapshot takes from it.
+// The same layout generation means the same fleet file, and so the same settings in the snapshot.
 bool Router::publication_is_current() const {
-  return published_ && published_layout_ == registry_.layout_generation() &&
+  return published_ && published_layout_generation_ == registry_.layout_generation() &&
          published_admitted_ == admission_.admitted() && is_current(published_->snapshot, inputs());
 }
 
 std::shared_ptr<const PublishedSnapshot> Router::publish(Snapshot next, Nanos now) {
   if (published_ && next == published_->snapshot) {
-    note_inputs();
-    shards_.published(published_->number);
+    record_published_inputs();
+    shards_.record_publication(published_->number);
     return nullptr;
   }
   if (published_ && now - published_at_ < fleet_.bounds.publish_interval) return nullptr;
   if (std::optional<SnapshotError> error = find_error(next)) {
-    if (error != last_error_) log_("snapshot rejected, the last one stays in force: " + error->message());
+    if (error != last_error_)
+      log_("snapshot rejected, the last publication stays in use: " + error->message());
     last_error_ = std::move(error);
     return nullptr;
   }
@@ -137,14 +139,14 @@
   published_at_ = now;
   std::uint64_t number = published_ ? published_->number + 1 : 1;
   published_ = std::make_shared<const PublishedSnapshot>(PublishedSnapshot{number, std::move(next)});
-  note_inputs();
-  if (!restored_) shards_.published(number);
+  record_published_inputs();
+  if (!restored_) shards_.record_publication(number);
   return published_;
 }
 
-void Router::note_inputs() {
+void Router::record_published_inputs() {
   restored_published_ = restored_.has_value();
-  published_layout_ = restored_ ? 0 : registry_.layout_generation();
+  published_layout_generation_ = restored_ ? 0 : registry_.layout_generation();
   published_admitted_ = admission_.admitted();
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,8 +1,8 @@
-// Puts the decisions together: from the fleet file, the reports of servers and proxies and the time, one
-// snapshot after another.
+// Combines all routing decisions: computes snapshots from the fleet file, the reports of servers and proxies,
+// and the time.
 //
-// Owned by the control service (alone) or by a ControlReplica (one of several); called on its loop's thread.
-// No I/O, no clock of its own.
+// Owned by the control service if it runs alone, or by ControlReplica if it is replicated; called on its
+// loop's thread. No I/O; the time is passed in.
 #pragma once
 
 #include <algorithm>
@@ -22,13 +22,15 @@
 
 namespace myrtlecroft::routing {
 
+// Publishes a new snapshot whenever a decision changes.
 class Router {
  public:
-  // `persisted`: what persisted_state() was before a restart, if known. `first_start`: no proxy was ever
-  // served for this fleet, so that no key can have run anywhere.
+  // `persisted`: the result of persisted_state() before a restart, if known. `first_start`: no proxy has ever
+  // been served for this fleet, so no key can have run anywhere.
   Router(fleet::Fleet fleet, std::optional<PersistedState> persisted, bool first_start, Nanos now,
          ServerRegistry::Log log);
 
+  // Replaces the fleet description after a reload of the fleet file.
   void update_fleet(fleet::Fleet fleet, Nanos now);
   ServerRegistry::Verdict handle_report(const report::LoadReport& report, Nanos now, std::int64_t unix_now) {
     return registry_.handle_report(report, now, unix_now);
@@ -39,36 +41,39 @@
   void handle_proxy_counts(const ProxyCounts& counts, Nanos now) {
     registry_.handle_proxy_counts(counts, now);
   }
-  // Exactly these servers are out for maintenance, as agreed.
+  // Sets the complete list of servers that are out for maintenance.
   void set_out_for_maintenance(const std::set<std::string>& nodes) {
     registry_.set_out_for_maintenance(nodes);
   }
-  // Every proxy that may still send has applied this publication or a later one.
+  // Reports that every proxy that may still send requests has applied publication `number` or a later one.
   void set_applied_by_all_proxies(std::uint64_t number) { applied_ = number; }
 
   struct QuarantineOptions {
-    Nanos min = 0;           // however short the deduplication windows are
-    Nanos clock_margin = 0;  // added to the longest window: what a clock may be wrong by
+    Nanos min = 0;           // lower limit, for short deduplication windows
+    Nanos clock_margin = 0;  // added to the longest window, for clock errors
   };
   void set_quarantine(const QuarantineOptions& options) { quarantine_ = options; }
-  // How long a closed shard stays in quarantine; 0: no request class needs owners.
+  // Returns how long a closed shard stays in quarantine; 0 if no request class needs shard owners.
   Nanos quarantine() const;
 
-  // Decides; to be called several times a second. A new publication where the snapshot has changed, else
-  // null. What must be on disk before it is served is in persisted_state(). `agreed_now`: the time that
-  // quarantines are counted in, where several instances agree on one.
+  // Makes all decisions; to be called several times a second. Returns a new publication if the snapshot has
+  // changed, else nullptr. persisted_state() has what must be on disk before the publication is served.
+  // `agreed_now`: the clock of the quarantines, on which replicas agree.
   std::shared_ptr<const PublishedSnapshot> step(Nanos now, Nanos agreed_now);
   std::shared_ptr<const PublishedSnapshot> step(Nanos now) { return step(now, now); }
-  // Follows the reports without deciding: another instance decides.
+  // Evaluates the reports without making decisions, while another replica is the leader.
   void observe(Nanos now) { registry_.step(now); }
-  // From here on it decides, and nothing was agreed yet: forgets its own decisions, not the reports.
+  // Starts to decide as the first leader, when nothing has been committed yet: drops earlier decisions, but
+  // not the reports.
   void reset(bool first_start);
-  // From here on it decides, and goes on from what the instances have agreed on. A server that has not
-  // reported here yet gets its agreed state. `published`: nullptr where nothing was ever published.
+  // Starts to decide as a new leader, from the committed state. A server that has not reported to this
+  // replica yet gets its committed state. `published`: the last publication, or nullptr if there was none.
   void resume(const std::vector<PersistedState::Node>& nodes, std::vector<Shard> shards,
               std::shared_ptr<const PublishedSnapshot> published);
 
+  // The last publication; nullptr before the first.
   const std::shared_ptr<const PublishedSnapshot>& published() const { return published_; }
+  // The state to store or replicate for a restart.
   PersistedState persisted_state() const;
   const fleet::Fleet& fleet() const { return fleet_; }
   const ServerRegistry& registry() const { return registry_; }
@@ -79,15 +84,15 @@
   SnapshotInputs inputs() const {
     return {.fleet = fleet_, .registry = registry_, .shards = shards_, .admitted = admission_.admitted()};
   }
-  // Serves this snapshot, fitted to the fleet file as it is, until enough servers have reported. Returns what
-  // makes it unfit; then it is dropped.
+  // Serves this snapshot, adapted to the current fleet file, until enough servers have reported. If the
+  // adapted snapshot is invalid, drops it and returns the error.
   std::optional<SnapshotError> restore_snapshot(Snapshot snapshot);
   void decide(Nanos now, Nanos agreed_now);
   bool publication_is_current() const;
-  // Publishes what differs from the last publication, unless it is unfit or comes too soon.
+  // Publishes `next` if it differs from the last publication, is valid and does not come too soon.
   std::shared_ptr<const PublishedSnapshot> publish(Snapshot next, Nanos now);
-  // Notes what the last publication was built from.
-  void note_inputs();
+  // Records the inputs of the last publication, for publication_is_current().
+  void record_published_inputs();
 
   fleet::Fleet fleet_;
   ServerRegistry registry_;
@@ -95,15 +100,16 @@
   Admission admission_;
   std::uint64_t applied_ = 0;
   std::shared_ptr<const PublishedSnapshot> published_;
-  // The registry's layout and what was admitted when `published_` was built here; layout 0: it was not.
-  std::uint64_t published_layout_ = 0;
+  // The registry's layout generation and the admitted shares when this process built `published_`; generation
+  // 0 if it did not build it.
+  std::uint64_t published_layout_generation_ = 0;
   std::vector<std::uint32_t> published_admitted_;
   std::optional<Snapshot> restored_;  // served until enough servers have reported
-  bool restored_published_ = false;   // `published_` is `restored_`
+  bool restored_published_ = false;   // `published_` has the content of `restored_`
   Nanos published_at_ = 0;
   QuarantineOptions quarantine_;
   ServerRegistry::Log log_;
-  std::optional<SnapshotError> last_error_;  // logged last
+  std::optional<SnapshotError> last_error_;  // the last one logged, to log each error once
 };
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/server_registry.cpp
+++ b/src/routing/server_registry.cpp
@@ -1,4 +1,4 @@
-// Inputs from the fleet file, servers and proxies, and the step that carries out what its parts decide.
+// Handles input from the fleet file, servers and proxies, and applies the state changes of each step.
 #include "routing/server_registry.h"
 
 #include <algorithm>
@@ -8,12 +8,12 @@
 namespace myrtlecroft::routing {
 namespace {
 
-// Between two steps: three intervals of whoever calls them. A longer pause is this process's own.
+// Three intervals of the caller's step timer. A longer time between two steps is a pause of this process.
 constexpr Nanos kMaxStepInterval = 300 * kMs;
-constexpr std::size_t kMaxLine = 320;  // bytes of a log line
+constexpr std::size_t kMaxLogLineBytes = 320;  // of a log line
 
-std::string line_of(const ServerStatus& server, const StateChange& change, Nanos now) {
-  char line[kMaxLine];
+std::string format_state_change(const ServerStatus& server, const StateChange& change, Nanos now) {
+  char line[kMaxLogLineBytes];
   const report::LoadReport& report = server.report;
   double report_age_ms = server.last_report_at > 0
                              ? static_cast<double>(now - server.last_report_at) / static_cast<double>(kMs)
@@ -23,7 +23,7 @@
                 "unanswered %llu, weight %.2f, flaps %d",
                 server.node.name.c_str(), name_of(server.state), name_of(change.next), change.reason,
                 report_age_ms, report.window, report.limit, report.queued_requests,
-                static_cast<unsigned long long>(unanswered(report)), server.weight, server.flaps);
+                static_cast<unsigned long long>(count_unanswered(report)), server.weight, server.flaps);
   return line;
 }
 
@@ -52,51 +52,53 @@
       next.push_back(std::move(*old));
       next.back().node = node;
       next.back().request_class_shares.clear();
-      note_request_classes(next.back(), next.back().report);
+      update_request_class_shares(next.back(), next.back().report);
       continue;
     }
-    // At another address it is another server. One that is added while others are known starts from nothing:
-    // it gets requests once it reports.
+    // A server at another address is a different server. A server added while others are known starts without
+    // history and gets requests once it reports.
     ServerStatus server{.node = node, .state_since = now_};
     if (view() != ConnectivityState::kRestoring) server.state = ServerState::kLost;
     next.push_back(std::move(server));
   }
   servers_ = std::move(next);
   index_servers();
-  ++layout_;
+  ++layout_generation_;
 }
 
 void ServerRegistry::index_servers() {
-  places_.clear();
-  places_by_address_.clear();
-  for (std::size_t place = 0; place < servers_.size(); ++place) {
-    places_.emplace(servers_[place].node.name, static_cast<int>(place));
-    places_by_address_.emplace(servers_[place].node.address(), static_cast<int>(place));
+  indices_by_name_.clear();
+  indices_by_address_.clear();
+  for (std::size_t server_index = 0; server_index < servers_.size(); ++server_index) {
+    indices_by_name_.emplace(servers_[server_index].node.name, static_cast<int>(server_index));
+    indices_by_address_.emplace(servers_[server_index].node.address(), static_cast<int>(server_index));
   }
 }
 
 int ServerRegistry::index_of(const std::string& name) const {
-  auto found = places_.find(name);
-  return found == places_.end() ? -1 : found->second;
+  auto found = indices_by_name_.find(name);
+  return found == indices_by_name_.end() ? -1 : found->second;
 }
 
 const ServerStatus* ServerRegistry::server_at_address(const std::string& address) const {
-  auto found = places_by_address_.find(address);
-  return found == places_by_address_.end() ? nullptr : &servers_[static_cast<std::size_t>(found->second)];
+  auto found = indices_by_address_.find(address);
+  return found == indices_by_address_.end() ? nullptr : &servers_[static_cast<std::size_t>(found->second)];
 }
 
 const ServerStatus* ServerRegistry::server(const std::string& name) const {
-  int place = index_of(name);
-  return place < 0 ? nullptr : &servers_[static_cast<std::size_t>(place)];
+  int server_index = index_of(name);
+  return server_index < 0 ? nullptr : &servers_[static_cast<std::size_t>(server_index)];
 }
 
 ServerStatus* ServerRegistry::find(const std::string& name) {
-  int place = index_of(name);
-  return place < 0 ? nullptr : &servers_[static_cast<std::size_t>(place)];
+  int server_index = index_of(name);
+  return server_index < 0 ? nullptr : &servers_[static_cast<std::size_t>(server_index)];
 }
 
-// A server names the same classes in each report: they are looked up only where a name differs from before.
-void ServerRegistry::note_request_classes(ServerStatus& server, const report::LoadReport& report) const {
+// A server lists the same classes in each report, so a class is looked up only if its name differs from the
+// previous report's.
+void ServerRegistry::update_request_class_shares(ServerStatus& server,
+                                                 const report::LoadReport& report) const {
   double all = 0;
   for (const report::RequestClassCounts& counts : report.request_classes)
     all += static_cast<double>(counts.read);
@@ -134,21 +136,21 @@
     server->incarnation = report.incarnation;
     server->last_progress_at = now_;
   }
-  ReportTotals before = same_incarnation ? totals_of(server->report) : ReportTotals{};
-  ReportTotals totals = totals_of(report);
+  ReportTotals before = same_incarnation ? compute_totals(server->report) : ReportTotals{};
+  ReportTotals totals = compute_totals(report);
   if (same_incarnation) add_counts(server->reported, before, totals);
   server->version = report.version;
   server->reported.occupancy.add(report.running + report.queued_requests, now_);
   server->reported.reports.add(1, now_);
   if (totals.answered > before.answered || totals.answered >= totals.received)
     server->last_progress_at = now_;
-  note_request_classes(*server, report);
+  update_request_class_shares(*server, report);
   server->report = report;
   server->last_report_at = now_;
   return Verdict::kAccepted;
 }
 
-// Counts only grow within an incarnation; a report whose counts went back adds nothing.
+// Counts never decrease within an incarnation; a report with lower counts than the previous one adds nothing.
 void ServerRegistry::add_counts(ReportedSums& sums, const ReportTotals& before,
                                 const ReportTotals& totals) const {
   if (totals.received < before.received || totals.rejected < before.rejected) return;
@@ -184,29 +186,30 @@
   server->incarnation = node.incarnation;
   server->weight = std::clamp(node.weight, bounds_.min_weight, 1.0);
   server->flaps = std::clamp(node.flaps, 0, kMaxFlaps);
-  bool was_in = node.state == ServerState::kAssumedHealthy || node.state == ServerState::kSlowStart ||
-                node.state == ServerState::kServing;
-  server->state = was_in ? ServerState::kAssumedHealthy : node.state;
+  bool was_in_service = node.state == ServerState::kAssumedHealthy || node.state == ServerState::kSlowStart ||
+                        node.state == ServerState::kServing;
+  server->state = was_in_service ? ServerState::kAssumedHealthy : node.state;
 }
 
 void ServerRegistry::set_out_for_maintenance(const std::set<std::string>& nodes) {
   for (ServerStatus& server : servers_) {
     bool out = nodes.contains(server.node.name);
     if (out == server.out_for_maintenance) continue;
-    bool was_in = server.in_service();
+    bool was_in_service = server.in_service();
     server.out_for_maintenance = out;
-    if (!was_in && server.in_service()) returned(server);
+    if (!was_in_service && server.in_service()) handle_return(server);
   }
 }
 
-// While this process stood still, reports waited unread: that time counts as no server's silence. Without it,
-// one publication that took longer than half of lost_after had the whole fleet taken for silent. Harm: a
-// server that falls silent in such a time is out later by as much.
-void ServerRegistry::excuse_own_pause() {
+// While this process was paused, reports waited unread, so the pause does not count as silence of the
+// servers. Otherwise, a single publication that takes longer than half of lost_after makes the whole fleet
+// seem silent. Drawback: a server that falls silent during a pause leaves rotation later by the length of the
+// pause.
+void ServerRegistry::exclude_own_pause() {
   const Nanos before = std::exchange(last_step_at_, now_);
   const Nanos pause = now_ - before;
   if (before == 0 || pause <= kMaxStepInterval) return;
-  connectivity_.excuse_pause(pause, now_);
+  connectivity_.exclude_pause(pause, now_);
   for (ServerStatus& server : servers_) {
     for (Nanos* at : {&server.last_report_at, &server.last_progress_at, &server.proxies.last_success_at}) {
       if (*at > 0) *at = std::min(now_, *at + pause);
@@ -214,11 +217,12 @@
   }
 }
 
-void ServerRegistry::follow_connectivity() {
+void ServerRegistry::update_connectivity() {
   std::optional<Connectivity::Change> change = connectivity_.step(servers_, bounds_, now_);
   if (!change) return;
-  char line[kMaxLine];
-  std::snprintf(line, sizeof line, "view %s -> %s: %s; %.2f of the capacity in rotation reported lately",
+  char line[kMaxLogLineBytes];
+  std::snprintf(line, sizeof line,
+                "connectivity %s -> %s: %s; %.2f of the capacity in rotation reported recently",
                 name_of(change->from), name_of(change->to), change->reason, change->reporting_share);
   log_(line);
   changed_ = true;
@@ -226,9 +230,9 @@
 
 bool ServerRegistry::step(Nanos now) {
   now_ = std::max(now_, now);
-  excuse_own_pause();
+  exclude_own_pause();
   changed_ = false;
-  follow_connectivity();
+  update_connectivity();
   if (view() != ConnectivityState::kRestoring) {
     panic_threshold_.recount(servers_);
     for (ServerStatus& server : servers_) {
@@ -243,33 +247,34 @@
 }
 
 void ServerRegistry::change_state(ServerStatus& server, const StateChange& change) {
-  const bool was_in = server.in_service();
-  log_(line_of(server, change, now_));
+  const bool was_in_service = server.in_service();
+  log_(format_state_change(server, change, now_));
   panic_threshold_.remove(server);
   server.state = change.next;
   server.state_since = now_;
   server.stable_since = now_;
-  server.kept_in_rotation =
-      was_in && has_failed(change.next) && !panic_threshold_.may_be_out(server, bounds_.max_unavailable);
+  server.kept_in_rotation = was_in_service && has_failed(change.next) &&
+                            !panic_threshold_.may_be_out(server, bounds_.max_unavailable);
   panic_threshold_.add(server);
   if (server.kept_in_rotation) {
-    log_("server " + server.node.name + " is kept in rotation: more than the panic threshold would be out");
+    log_("server " + server.node.name +
+         " is kept in rotation: more capacity than the panic threshold allows would be out");
   }
   changed_ = true;
   if (change.next == ServerState::kSlowStart) server.slow_start_factor = bounds_.initial_slow_start_factor;
   if (change.next == ServerState::kServing) server.slow_start_factor = 1;
-  if (was_in && has_failed(change.next)) count_flap(server);
-  if (!was_in && server.in_service()) returned(server);
+  if (was_in_service && has_failed(change.next)) count_flap(server);
+  if (!was_in_service && server.in_service()) handle_return(server);
 }
 
 void ServerRegistry::count_flap(ServerStatus& server) const {
-  bool soon =
-      server.returned_at > 0 && now_ - server.returned_at < kFlapDwells * bounds_.min_time_out_of_rotation;
+  bool soon = server.returned_at > 0 &&
+              now_ - server.returned_at < kFlapWindowMultiplier * bounds_.min_time_out_of_rotation;
   if (soon) server.flaps = std::min(kMaxFlaps, server.flaps + 1);
 }
 
-// What was seen before a return says nothing about what comes after it.
-void ServerRegistry::returned(ServerStatus& server) {
+// Discards observations from before the return, which say nothing about the server's current health.
+void ServerRegistry::handle_return(ServerStatus& server) {
   server.returned_at = now_;
   server.last_progress_at = now_;
   server.proxies = ProxySums{.last_success_at = now_};
@@ -285,7 +290,7 @@
     panic_threshold_.add(server);
     if (stays) continue;
     changed_ = true;
-    log_("server " + server.node.name + " left rotation: the panic threshold allows it now");
+    log_("server " + server.node.name + " left rotation: the panic threshold now allows it");
   }
 }
 
--- a/src/routing/server_states.cpp
+++ b/src/routing/server_states.cpp
@@ -1,4 +1,4 @@
-// The table of states, above it the conditions that it names.
+// The transition table of server states, and the conditions that it refers to.
 #include "routing/server_states.h"
 
 #include <algorithm>
@@ -7,12 +7,14 @@
 namespace myrtlecroft::routing {
 namespace {
 
-constexpr Nanos kBrokenConnectionDivisor = 4;  // of Bounds::lost_after, where the report connection broke
-constexpr std::uint64_t kMinUnanswered = 3;    // requests, as the server counts them
-constexpr double kMinIssued = 8;               // requests lately, as proxies count them
-constexpr double kMaxAnsweredShare = 0.02;     // of these
-constexpr double kMinObjectiveShare = 0.5;     // of the latency objective: a shorter pause proves nothing
-constexpr double kMaxRejectedShare = 0.5;      // of what it received; above it, proxies see only rejections
+constexpr Nanos kBrokenConnectionDivisor = 4;  // of Bounds::lost_after, if the report connection broke
+constexpr std::uint64_t kMinUnanswered = 3;    // requests, as counted by the server
+constexpr double kMinIssued = 8;               // recent requests, as counted by proxies
+constexpr double kMaxAnsweredShare = 0.02;     // of the issued requests
+// Of the latency objective: a shorter time without answers is not significant.
+constexpr double kMinObjectiveShare = 0.5;
+// Of the received requests: above this, proxies see little but rejections.
+constexpr double kMaxRejectedShare = 0.5;
 
 bool is_draining(const ServerStatus& server, const StateContext&) { return server.report.draining; }
 
@@ -25,14 +27,15 @@
   return std::max(context.bounds.unresponsive_after, static_cast<Nanos>(kMinObjectiveShare * objective));
 }
 
-// The server hangs in a way that it does not detect itself: it goes on to report, and to receive requests.
+// The server hangs without detecting it: it still reports and receives requests.
 bool is_unresponsive_by_reports(const ServerStatus& server, const StateContext& context) {
-  return unanswered(server.report) >= kMinUnanswered &&
+  return count_unanswered(server.report) >= kMinUnanswered &&
          server.last_report_at - server.last_progress_at > unresponsive_after(context);
 }
 
-// Its reports show progress, but no answer reaches the proxies. A server that rejects almost everything looks
-// the same to proxies that count rejections as errors; its own count of rejections tells these cases apart.
+// The server's reports show progress, but no answer reaches the proxies. To proxies that count rejections as
+// errors, a server that rejects almost everything looks the same; its own count of rejections distinguishes
+// the two cases.
 bool is_unresponsive_by_proxies(const ServerStatus& server, const StateContext& context) {
   const Nanos now = context.now;
   double issued = server.proxies.issued.read(now);
@@ -65,19 +68,19 @@
   return server.slow_start_factor >= 1 && !server.report.warming_up;
 }
 
-// A server that flaps stays out for longer each time.
-bool has_dwelt(const ServerStatus& server, const StateContext& context) {
+// The time out of rotation doubles with each flap of the server.
+bool has_been_out_long_enough(const ServerStatus& server, const StateContext& context) {
   Nanos min_time_out_of_rotation = context.bounds.min_time_out_of_rotation
                                    << std::min(server.flaps, kMaxFlaps);
   return context.now - server.state_since >= min_time_out_of_rotation;
 }
 
 bool may_return(const ServerStatus& server, const StateContext& context) {
-  return is_healthy(server, context) && has_dwelt(server, context);
+  return is_healthy(server, context) && has_been_out_long_enough(server, context);
 }
 
 bool may_return_warming_up(const ServerStatus& server, const StateContext& context) {
-  return is_warming_up(server, context) && has_dwelt(server, context);
+  return is_warming_up(server, context) && has_been_out_long_enough(server, context);
 }
 
 struct Row {
@@ -87,55 +90,56 @@
   const char* reason;
 };
 
-constexpr const char* kDrains = "reports that it is draining";
+constexpr const char* kReportsDraining = "reports that it is draining";
 constexpr const char* kNoReport = "no report";
 constexpr const char* kReportsFault = "reports that it is stalled or its engine is down";
 constexpr const char* kNoAnswers = "accepts requests and answers none";
 
-// The first row that applies is taken: what a server reports of itself first, then what is observed of it.
+// The first matching row applies. For each state, the server's own reports come before observations of it.
 using enum ServerState;
 constexpr std::array kRows = {
-    Row{kAssumedHealthy, is_draining, kDraining, kDrains},
+    Row{kAssumedHealthy, is_draining, kDraining, kReportsDraining},
     Row{kAssumedHealthy, reports_overdue, kLost, kNoReport},
     Row{kAssumedHealthy, is_unhealthy, kUnhealthy, kReportsFault},
-    Row{kAssumedHealthy, is_warming_up, kSlowStart, "reports, and is warming up"},
+    Row{kAssumedHealthy, is_warming_up, kSlowStart, "reports, is warming up"},
     Row{kAssumedHealthy, is_healthy, kServing, "reports"},
 
-    Row{kSlowStart, is_draining, kDraining, kDrains},
+    Row{kSlowStart, is_draining, kDraining, kReportsDraining},
     Row{kSlowStart, reports_overdue, kLost, kNoReport},
     Row{kSlowStart, is_unhealthy, kUnhealthy, kReportsFault},
     Row{kSlowStart, is_unresponsive, kUnresponsive, kNoAnswers},
-    Row{kSlowStart, has_finished_slow_start, kServing, "slow start is over, and it is warmed up"},
+    Row{kSlowStart, has_finished_slow_start, kServing, "slow start and warm-up are complete"},
 
-    Row{kServing, is_draining, kDraining, kDrains},
+    Row{kServing, is_draining, kDraining, kReportsDraining},
     Row{kServing, reports_overdue, kLost, kNoReport},
     Row{kServing, is_unhealthy, kUnhealthy, kReportsFault},
     Row{kServing, is_unresponsive, kUnresponsive, kNoAnswers},
-    Row{kServing, has_restarted_warm_up, kSlowStart, "came back warming up"},
+    Row{kServing, has_restarted_warm_up, kSlowStart, "warm-up has started again"},
 
     Row{kDraining, reports_overdue, kLost, "no report after its drain"},
-    Row{kDraining, may_return, kSlowStart, "no longer draining, or another incarnation"},
+    Row{kDraining, may_return, kSlowStart, "no longer draining, or restarted"},
 
-    Row{kUnhealthy, is_draining, kDraining, kDrains},
+    Row{kUnhealthy, is_draining, kDraining, kReportsDraining},
     Row{kUnhealthy, reports_overdue, kLost, kNoReport},
     Row{kUnhealthy, may_return, kSlowStart, "reports that it is healthy"},
 
-    Row{kUnresponsive, is_draining, kDraining, kDrains},
+    Row{kUnresponsive, is_draining, kDraining, kReportsDraining},
     Row{kUnresponsive, reports_overdue, kLost, kNoReport},
     Row{kUnresponsive, is_unhealthy, kUnhealthy, kReportsFault},
-    Row{kUnresponsive, may_return, kSlowStart, "time out is over, tried again"},
+    Row{kUnresponsive, may_return, kSlowStart, "minimum time out of rotation is over"},
 
-    Row{kLost, is_reporting_drain, kDraining, "reports again, and is draining"},
-    Row{kLost, may_return_warming_up, kSlowStart, "reports again, and is warming up"},
+    Row{kLost, is_reporting_drain, kDraining, "reports again, is draining"},
+    Row{kLost, may_return_warming_up, kSlowStart, "reports again, is warming up"},
     Row{kLost, may_return, kServing, "reports again"},
 };
 
 }  // namespace
 
-// Before the first report, the time runs from when reports could be received.
+// Before a server's first report, the time counts from when reports could be received.
 bool reports_overdue(const ServerStatus& server, const StateContext& context) {
-  bool usual = server.connected || server.last_report_at == 0;
-  Nanos limit = usual ? context.bounds.lost_after : context.bounds.lost_after / kBrokenConnectionDivisor;
+  bool has_full_limit = server.connected || server.last_report_at == 0;
+  Nanos limit =
+      has_full_limit ? context.bounds.lost_after : context.bounds.lost_after / kBrokenConnectionDivisor;
   return context.now - std::max(server.last_report_at, context.reports_due_since) > limit;
 }
 
--- a/src/routing/server_states.h
+++ b/src/routing/server_states.h
@@ -1,6 +1,6 @@
-// The state machine of one server: which condition leads from which state to which.
+// The state machine of one server: its transitions and their conditions.
 //
-// Called by ServerRegistry for each server in each step; pure functions, on the thread of the registry.
+// Called by ServerRegistry for each server in each step. Pure functions on the registry's thread.
 #pragma once
 
 #include <optional>
@@ -9,31 +9,32 @@
 
 namespace myrtlecroft::routing {
 
-// A flap counts up to this; each doubles the time that the server stays out.
+// Highest count of flaps; each flap doubles the time that the server stays out of rotation.
 constexpr int kMaxFlaps = 4;
 
-// What the conditions need besides the server itself.
+// Input of the conditions besides the server itself.
 struct StateContext {
   const fleet::Bounds& bounds;
   Nanos now = 0;
-  Nanos reports_due_since = 0;  // a server that has sent no report since then counts as silent from then on
-  Nanos longest_latency_objective = 0;
+  Nanos reports_due_since = 0;          // the silence of a server without a report counts from this time
+  Nanos longest_latency_objective = 0;  // of all request classes
 };
 
-// Where a server goes, and why, in the wording of log lines.
+// A transition to another state, with the reason for the log.
 struct StateChange {
   ServerState next;
   const char* reason;
 };
 
-// The first change whose condition holds; nothing where the server stays. `allow_lost`: false while this
-// control service is partitioned itself, so that missing reports put nobody out.
+// Returns the first transition whose condition holds, or std::nullopt if the server stays in its state.
+// `allow_lost`: false while this control service itself is partitioned, so that missing reports take no
+// server out of rotation.
 std::optional<StateChange> next_state(const ServerStatus& server, const StateContext& context,
                                       bool allow_lost);
 
-// No report for too long; sooner where its report connection is down.
+// Whether the server has sent no report for too long; the limit is shorter if its report connection is down.
 bool reports_overdue(const ServerStatus& server, const StateContext& context);
-// It has reported, and not too long ago.
+// Whether the server has reported and its next report is not overdue.
 bool is_reporting(const ServerStatus& server, const StateContext& context);
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/server_status.cpp
+++ b/src/routing/server_status.cpp
@@ -1,4 +1,4 @@
-// The wording of server states, and sums over one report.
+// Names of server states, and sums over the request classes of a report.
 #include "routing/server_status.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
   return kNames[static_cast<std::size_t>(state)];
 }
 
-ReportTotals totals_of(const report::LoadReport& report) {
+ReportTotals compute_totals(const report::LoadReport& report) {
   ReportTotals out;
   for (const report::RequestClassCounts& counts : report.request_classes) {
     out.received += counts.read;
@@ -22,8 +22,8 @@
   return out;
 }
 
-std::uint64_t unanswered(const report::LoadReport& report) {
-  ReportTotals totals = totals_of(report);
+std::uint64_t count_unanswered(const report::LoadReport& report) {
+  ReportTotals totals = compute_totals(report);
   return totals.received - std::min(totals.received, totals.answered);
 }
 
--- a/src/routing/snapshot.cpp
+++ b/src/routing/snapshot.cpp
@@ -1,4 +1,4 @@
-// The check of a snapshot before it is served, and the wording of its errors.
+// Validation of snapshots, and the error messages.
 #include "routing/snapshot.h"
 
 #include <algorithm>
@@ -30,10 +30,11 @@
     return Kind::kKeyedClassWithServers;
   }
   if (request_class.servers.all()) return std::nullopt;
-  const fleet::ServerList::ServerIndices& places = *request_class.servers.places;
-  if (places.empty()) return Kind::kRequestClassWithoutServers;
-  bool ascending = std::adjacent_find(places.begin(), places.end(), std::greater_equal<>()) == places.end();
-  if (!ascending || places.back() >= nodes) return Kind::kUnknownServer;
+  const fleet::ServerList::ServerIndices& indices = *request_class.servers.places;
+  if (indices.empty()) return Kind::kRequestClassWithoutServers;
+  bool ascending =
+      std::adjacent_find(indices.begin(), indices.end(), std::greater_equal<>()) == indices.end();
+  if (!ascending || indices.back() >= nodes) return Kind::kUnknownServer;
   return std::nullopt;
 }
 
@@ -91,11 +92,11 @@
     case Kind::kServerWithoutAddress:
       return server + " has no address";
     case Kind::kServerWithoutWeight:
-      return server + " is healthy and has no weight";
+      return server + " is healthy but has no weight";
     case Kind::kDuplicateRequestClass:
       return request_class + " is listed twice";
     case Kind::kKeyedClassWithServers:
-      return request_class + " has key owners, and servers or subsets of its own";
+      return request_class + " is keyed, but lists servers or has subsets";
     case Kind::kRequestClassWithoutServers:
       return request_class + " has no servers";
     case Kind::kUnknownServer:
@@ -111,7 +112,7 @@
     case Kind::kMissingShards:
       return "shards are missing";
     case Kind::kUnknownShardOwner:
-      return "the owner of a shard is not a server";
+      return "the owner of a shard is not a known server";
   }
   return "unknown error";
 }
--- a/src/routing/snapshot.h
+++ b/src/routing/snapshot.h
@@ -1,6 +1,6 @@
-// Where requests go and how many: one complete, consistent snapshot, never changed once it is made.
+// A complete, consistent and immutable description of how proxies route requests.
 //
-// Made by Router, served by xds, stored and agreed on through routing_state. Plain data; shared between
+// Built by Router, served by xds, stored and replicated through routing_state. Plain data; shared between
 // threads as `std::shared_ptr<const PublishedSnapshot>`.
 #pragma once
 
@@ -14,10 +14,12 @@
 
 namespace myrtlecroft::routing {
 
-// Whether proxies send a server requests; a draining one finishes those it has.
+// Whether proxies send requests to a server. A draining server finishes the requests that it has.
 enum class Health { kHealthy, kDraining, kOutOfRotation };
+// Returns a short name, which is also part of the endpoint fingerprints in xds.
 const char* name_of(Health health);
 
+// How requests are routed to one server.
 struct NodeRoute {
   std::string name;
   std::string zone;
@@ -25,26 +27,27 @@
   std::uint16_t port = 0;
   int priority = 0;
   Health health = Health::kOutOfRotation;
-  std::uint32_t weight = 0;     // relative; above 0 where healthy
-  std::uint32_t in_flight = 0;  // requests that each proxy may have in flight there; 0 = not known
+  std::uint32_t weight = 0;     // relative to other servers; greater than 0 if healthy
+  std::uint32_t in_flight = 0;  // requests that each proxy may have in flight to it; 0 = not known
 
   bool operator==(const NodeRoute&) const = default;
 };
 
-// After which failures a proxy may retry a request. The numbers are stored.
+// The failures after which a proxy may retry a request. The numeric values are stored and must not change.
 enum class RetryOn {
   kNeverSent,      // no connection, or the server refused the stream
-  kRejected,       // the server answered that it never ran
-  kReset,          // the connection broke, or the server sent no answer: it may have run
-  kAttemptTimeout  // the time limit of one attempt is over: it may have run
+  kRejected,       // the server answered that the request never ran
+  kReset,          // the connection broke, or the server sent no answer: the request may have run
+  kAttemptTimeout  // the time limit of one attempt is over: the request may have run
 };
 
+// When and how often proxies retry the requests of a class.
 struct RetryPolicy {
   std::vector<RetryOn> on;
-  int retries = 0;                // of one request, beside the first attempt
-  bool same_node = false;         // only at the server of the first attempt
-  Nanos per_attempt_timeout = 0;  // 0 = as long as the whole request
-  Nanos backoff_min = 0;          // before a retry
+  int retries = 0;                // of one request, in addition to the first attempt
+  bool same_node = false;         // retries go to the server of the first attempt
+  Nanos per_attempt_timeout = 0;  // 0 = no limit but the timeout of the whole request
+  Nanos backoff_min = 0;          // delay before a retry, from backoff_min to backoff_max
   Nanos backoff_max = 0;
 
   bool operator==(const RetryPolicy&) const = default;
@@ -58,62 +61,64 @@
   std::string key_header;
   Nanos timeout = 0;  // of the whole request
   RetryPolicy retry_policy;
-  std::uint32_t admitted = 10'000;  // of ten thousand; the proxies reject the rest, which never runs
+  std::uint32_t admitted = 10'000;  // in ten-thousandths; proxies reject the rest, which never runs
   Nanos retry_after = 0;            // sent with such a rejection
-  fleet::ServerList servers = {};   // places in Snapshot::nodes
-  std::uint32_t subset_size = 0;    // servers that each caller gets (routing/subsets.h); 0: all of them
+  fleet::ServerList servers = {};   // indices into Snapshot::nodes
+  std::uint32_t subset_size = 0;    // number of servers that each caller gets (routing/subsets.h); 0: all
 
   bool operator==(const RequestClassRoute&) const = default;
 };
 
+// The guaranteed share of one tenant.
 struct TenantQuota {
   std::string name;
-  std::uint32_t quota = 0;  // share of the fleet, of ten thousand
+  std::uint32_t quota = 0;  // share of the fleet in ten-thousandths
 
   bool operator==(const TenantQuota&) const = default;
 };
 
-// In place of an owner: no server may run requests with a key of this shard.
+// Stands for the owner of a closed shard: no server may run requests with its keys.
 constexpr int kClosed = -1;
 
+// All routing decisions at one point in time.
 struct Snapshot {
   std::string listener;
   int shard_digits = 2;
-  double retry_budget = 0;  // retries, as a share of what is in flight
+  double retry_budget = 0;  // retries as a share of the requests in flight
   int expected_proxies = 1;
-  Nanos closed_retry_after = 0;  // how long a closed shard may stay so: the hold-off of answers for its keys
+  Nanos closed_retry_after = 0;  // sent with rejections for closed shards: how long one may stay closed
   std::vector<NodeRoute> nodes;
   std::vector<RequestClassRoute> request_classes;
   std::vector<TenantQuota> tenants;
-  std::vector<int> shards;         // place in `nodes` of the owner, or kClosed
-  bool service_listeners = false;  // each request class has a listener and routes of its own, by its name
+  std::vector<int> shards;         // owner of each shard as an index into `nodes`, or kClosed
+  bool service_listeners = false;  // each request class has its own listener and routes under its name
 
   bool operator==(const Snapshot&) const = default;
 };
 
-// A snapshot as it was published. Numbers grow by one with each that differs from the one before.
+// A published snapshot. The number increases by one with each snapshot that differs from the previous one.
 struct PublishedSnapshot {
   std::uint64_t number = 0;
   Snapshot snapshot;
 };
 
-// Why a snapshot may not be served.
+// The reason why a snapshot must not be served.
 struct SnapshotError {
   enum class Kind {
     kNoListener,
     kNoRequestClass,
     kNoHealthyServer,
-    kDuplicateServer,        // `subject` is a server
+    kDuplicateServer,        // `subject` is the server
     kServerWithoutAddress,   // the same
-    kServerWithoutWeight,    // the same; it is healthy
-    kDuplicateRequestClass,  // `subject` is a request class, here and below
-    kKeyedClassWithServers,  // its keys have owners among all servers, and it names servers or a subset size
+    kServerWithoutWeight,    // the same; the server is healthy
+    kDuplicateRequestClass,  // `subject` is the request class, here and for the kinds below
+    kKeyedClassWithServers,  // any server may own its keys, yet it names servers or a subset size
     kRequestClassWithoutServers,
-    kUnknownServer,  // its server list has a place that is no server's, or is not ascending
+    kUnknownServer,  // its server list has an index out of range or is not in ascending order
     kNamedLikeListener,
     kNoTimeout,
-    kUnsafeRetry,           // it would retry a request that may have run, and is not idempotent
-    kRetryAtAnotherServer,  // it has owners, and would retry at a server that is not the key's owner
+    kUnsafeRetry,           // not idempotent, yet it would retry requests that may have run
+    kRetryAtAnotherServer,  // keyed, yet it would retry at a server that does not own the key
     kMissingShards,
     kUnknownShardOwner,
   };
@@ -121,11 +126,11 @@
   std::string subject = {};  // a name, or empty
 
   bool operator==(const SnapshotError&) const = default;
-  // One line for the log.
+  // Returns the error as a log message.
   std::string message() const;
 };
 
-// The first error found; nothing where the snapshot may be served.
+// Validates a snapshot. Returns the first error, or std::nullopt if the snapshot may be served.
 std::optional<SnapshotError> find_error(const Snapshot& snapshot);
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/snapshot_builder.h
+++ b/src/routing/snapshot_builder.h
@@ -1,5 +1,5 @@
-// Makes a snapshot from the state of the servers, the shards and admission, and tells whether it would
-// differ.
+// Builds a snapshot from the state of the servers, the shards and admission, and detects whether a new one
+// would differ from the published one.
 //
 // Called by Router in each step. Pure functions; any thread.
 #pragma once
@@ -13,19 +13,21 @@
 
 namespace myrtlecroft::routing {
 
+// The decisions that a snapshot is built from.
 struct SnapshotInputs {
   const fleet::Fleet& fleet;
   const ServerRegistry& registry;
   const Shards& shards;
-  const std::vector<std::uint32_t>& admitted;  // of ten thousand, by request class; may be empty
+  const std::vector<std::uint32_t>& admitted;  // in ten-thousandths, by request class; may be empty
 };
 
-// `before`: what is published, or nullptr. A figure that differs from it by little stays as it was: each
-// change is sent to every proxy.
-Snapshot build_snapshot(const SnapshotInputs& inputs, const Snapshot* before);
+// `previous`: the published snapshot, or nullptr. Values that differ little from it are left unchanged,
+// because each change is sent to every proxy.
+Snapshot build_snapshot(const SnapshotInputs& inputs, const Snapshot* previous);
 
-// Whether build_snapshot() over `published` would make the same again. Cheaper than making it, as most steps
-// change nothing. Only for one that was built from the same fleet file and the same `admitted`.
+// Returns whether build_snapshot() with `published` as the previous snapshot would produce an equal one.
+// Cheaper than building it, as most steps change nothing. Requires a snapshot that was built from the same
+// fleet file and the same `admitted`.
 bool is_current(const Snapshot& published, const SnapshotInputs& inputs);
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/weights.h
+++ b/src/routing/weights.h
@@ -1,7 +1,8 @@
-// Moves weight from servers under more pressure than the others to those under less, at a bounded speed.
+// Moves weight at a limited rate from servers under high pressure to servers under lower pressure.
 //
-// What a server admits stays its own decision: this only evens out what reaches it. Slow start and the
-// forgiving of flaps go by the same clock. Called by ServerRegistry once a step. No I/O.
+// Each server still decides which requests it admits; weights only balance the load that reaches the servers.
+// Also advances slow start and reduces flap counts over time. Called by ServerRegistry once in each step. No
+// I/O.
 #pragma once
 
 #include <vector>
@@ -10,15 +11,16 @@
 
 namespace myrtlecroft::routing {
 
-// Out again within so many dwells of its return, a server flaps; calm for twice as many, one flap is
-// forgiven.
-constexpr Nanos kFlapDwells = 5;
+// In multiples of Bounds::min_time_out_of_rotation: a failure within this time after a return counts as a
+// flap, and twice this time without a failure removes one flap.
+constexpr Nanos kFlapWindowMultiplier = 5;
 
+// Adjusts ServerStatus::weight, slow_start_factor and flaps.
 class WeightAdjuster {
  public:
   explicit WeightAdjuster(Nanos now) : last_step_at_(now) {}
 
-  // `frozen`: nothing is changed, but the time counts as passed.
+  // `frozen`: leaves all servers unchanged, but still counts the time as elapsed.
   void step(std::vector<ServerStatus>& servers, const StateContext& context, bool frozen);
 
  private:
--- a/src/routing_state/saved_state.cpp
+++ b/src/routing_state/saved_state.cpp
@@ -1,4 +1,4 @@
-// The conversions of servers, shards and the record as one message.
+// Conversion between the saved state and its protobuf messages.
 #include "routing_state/saved_state.h"
 
 #include "routing_state/stored_names.h"
--- a/src/routing_state/saved_state.h
+++ b/src/routing_state/saved_state.h
@@ -1,8 +1,8 @@
-// What a control service that decides alone must know again after a restart, as the bytes of one store record
+// The state that an unreplicated control service needs after a restart, encoded as one store record
 // (docs/design/control-xds.md).
 //
-// Called by control, before a snapshot is served and at start; agreement uses the conversion of one server.
-// No state; any thread.
+// Called by control before it serves a snapshot and at start; agreement uses the conversion of a single
+// server. Stateless; any thread.
 #pragma once
 
 #include <optional>
@@ -15,16 +15,19 @@
 
 namespace myrtlecroft::routing_state {
 
+// The content of the store record.
 struct SavedState {
   routing::PersistedState routing;
-  std::vector<std::string> proxies;  // ids of those that may still send by a snapshot they were served
+  std::vector<std::string> proxies;  // ids of proxies that may still route by a snapshot they were served
 };
 
+// Conversion of one server. An unknown state name in the message becomes kLost.
 PersistedNode to_proto(const routing::PersistedState::Node& node);
 routing::PersistedState::Node from_proto(const PersistedNode& message);
 
+// Encodes the state as the bytes of a store record.
 std::string serialize(const SavedState& state);
-// Nothing where the bytes are not a state that this version can read.
+// Decodes the result of serialize(). Returns std::nullopt if this version can't read the bytes.
 std::optional<SavedState> parse_saved_state(const std::string& bytes);
 
 }  // namespace myrtlecroft::routing_state
--- a/src/routing_state/snapshot_codec.cpp
+++ b/src/routing_state/snapshot_codec.cpp
@@ -1,4 +1,4 @@
-// The conversions of snapshots, one function for each message.
+// Conversion between snapshots and their protobuf messages.
 #include "routing_state/snapshot_codec.h"
 
 #include <map>
@@ -12,6 +12,7 @@
 
 using ServerIndices = fleet::ServerList::ServerIndices;
 
+// Hexadecimal digits of a key; the fleet file has the same limits.
 constexpr int kMinShardDigits = 1;
 constexpr int kMaxShardDigits = 3;
 
@@ -29,7 +30,7 @@
   return out;
 }
 
-// `lists` begins with the list of all servers.
+// `lists`: the server lists of the message, after one that stands for all servers.
 std::optional<routing::RequestClassRoute> request_class_from(const RequestClassRoute& message,
                                                              const std::vector<fleet::ServerList>& lists) {
   if (message.servers() >= lists.size()) return std::nullopt;
@@ -80,15 +81,16 @@
   to.set_subset_size(request_class.subset_size);
 }
 
-// Adds each distinct list once. The number of a list is its place in the message, counted from 1.
+// Adds each distinct server list once. Returns the number of each list: its position in the message, counted
+// from 1.
 std::map<const ServerIndices*, std::uint32_t> write_server_lists(const routing::Snapshot& snapshot,
                                                                  Snapshot& to) {
   std::map<const ServerIndices*, std::uint32_t> numbers;
   for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
-    const auto& places = request_class.servers.places;
-    if (!places || numbers.contains(places.get())) continue;
-    to.add_server_lists()->mutable_places()->Add(places->begin(), places->end());
-    numbers[places.get()] = static_cast<std::uint32_t>(to.server_lists_size());
+    const auto& indices = request_class.servers.places;
+    if (!indices || numbers.contains(indices.get())) continue;
+    to.add_server_lists()->mutable_places()->Add(indices->begin(), indices->end());
+    numbers[indices.get()] = static_cast<std::uint32_t>(to.server_lists_size());
   }
   return numbers;
 }
@@ -108,7 +110,7 @@
                          node.priority(), health_named(node.health()), node.weight(), node.in_flight()});
   }
   out.service_listeners = message.service_listeners();
-  std::vector<fleet::ServerList> lists(1);  // the first: all servers
+  std::vector<fleet::ServerList> lists(1);  // the first one stands for all servers
   for (const ServerList& list : message.server_lists()) {
     lists.push_back({std::make_shared<const ServerIndices>(list.places().begin(), list.places().end())});
   }
--- a/src/routing_state/snapshot_codec.h
+++ b/src/routing_state/snapshot_codec.h
@@ -1,6 +1,7 @@
-// Snapshots as protocol messages and back: for the saved state, the replicated log and admin answers.
+// Conversion between snapshots and protobuf messages for the saved state, the replicated log and admin
+// answers.
 //
-// Called by saved_state.cpp, agreement and control. No state; any thread.
+// Called by saved_state.cpp, agreement and control. Stateless; any thread.
 #pragma once
 
 #include <optional>
@@ -10,10 +11,10 @@
 
 namespace myrtlecroft::routing_state {
 
-// Equal server lists that are shared by pointer are written once.
+// Server lists that are shared by pointer are written once.
 Snapshot to_proto(const routing::Snapshot& snapshot);
-// Nothing where a number in the message names no enumerator, no server list or no possible shard count.
-// routing::find_error() checks the rest.
+// Returns std::nullopt if a number in the message is not a valid enumerator, server list or count of shard
+// digits. routing::find_error() validates the rest.
 std::optional<routing::Snapshot> from_proto(const Snapshot& message);
 
 }  // namespace myrtlecroft::routing_state
--- a/src/routing_state/stored_names.cpp
+++ b/src/routing_state/stored_names.cpp
@@ -1,4 +1,4 @@
-// The tables of stored names; each is in the order of its enumeration.
+// The tables of stored names, each in the order of its enumeration.
 #include "routing_state/stored_names.h"
 
 #include <array>
@@ -18,13 +18,14 @@
 constexpr std::array<const char*, 3> kViews = {"restoring", "clear", "isolated"};
 constexpr std::array<const char*, 3> kHealths = {"healthy", "draining", "out"};
 
-// The enumerator whose name is in the table, else `otherwise`.
+// Returns the enumerator with this name, or `default_value` if the table does not have the name.
 template <class Enum, std::size_t count>
-Enum enumerator_named(const std::array<const char*, count>& names, std::string_view name, Enum otherwise) {
+Enum enumerator_named(const std::array<const char*, count>& names, std::string_view name,
+                      Enum default_value) {
   for (std::size_t at = 0; at < count; ++at) {
     if (name == names[at]) return static_cast<Enum>(at);
   }
-  return otherwise;
+  return default_value;
 }
 
 }  // namespace
--- a/tests/connectivity_test.cpp
+++ b/tests/connectivity_test.cpp
@@ -1,4 +1,4 @@
-// What control does while it is cut off from most servers, or stood still itself.
+// Behaviour while the control service is cut off from most servers, or after a pause of its process.
 #include <gtest/gtest.h>
 
 #include "routing_fakes.h"
@@ -7,44 +7,45 @@
 namespace {
 
 TEST(Connectivity, SnapshotStaysWhenAllServersFallSilentAtOnce) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  Snapshot before = world.router.published()->snapshot;
-  world.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
-  world.run(60 * kSecond);
-  EXPECT_EQ(world.router.registry().view(), ConnectivityState::kPartitioned);
-  EXPECT_EQ(world.router.published()->snapshot, before);
-  world.without_reports.clear();
-  world.run(5 * kSecond);
-  EXPECT_EQ(world.router.registry().view(), ConnectivityState::kConnected);
-  EXPECT_EQ(world.router.published()->snapshot, before);
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  Snapshot before = simulation.router.published()->snapshot;
+  simulation.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
+  simulation.run(60 * kSecond);
+  EXPECT_EQ(simulation.router.registry().view(), ConnectivityState::kPartitioned);
+  EXPECT_EQ(simulation.router.published()->snapshot, before);
+  simulation.without_reports.clear();
+  simulation.run(5 * kSecond);
+  EXPECT_EQ(simulation.router.registry().view(), ConnectivityState::kConnected);
+  EXPECT_EQ(simulation.router.published()->snapshot, before);
 }
 
-// Reports that arrived meanwhile are read only after the step that follows the pause.
-TEST(Connectivity, PauseOfThisProcessCountsAsNoServersSilence) {
-  FleetWorld world;
-  world.run(5 * kSecond);
-  ASSERT_EQ(world.router.registry().view(), ConnectivityState::kConnected);
-  world.now += 3 * kSecond;
-  world.router.step(world.now);
-  EXPECT_EQ(world.router.registry().view(), ConnectivityState::kConnected);
-  for (const ServerStatus& server : world.router.registry().all())
+// Reports that arrive during a pause are read only after the next step. That step must not take the servers
+// for silent.
+TEST(Connectivity, PauseOfThisProcessDoesNotCountAsSilenceOfServers) {
+  FleetWorld simulation;
+  simulation.run(5 * kSecond);
+  ASSERT_EQ(simulation.router.registry().view(), ConnectivityState::kConnected);
+  simulation.now += 3 * kSecond;
+  simulation.router.step(simulation.now);
+  EXPECT_EQ(simulation.router.registry().view(), ConnectivityState::kConnected);
+  for (const ServerStatus& server : simulation.router.registry().all())
     EXPECT_EQ(server.state, ServerState::kServing);
-  world.without_reports["n1"] = true;
-  world.run(1500 * kMs);
-  EXPECT_EQ(world.server("n1").state, ServerState::kLost) << "later silence counts";
+  simulation.without_reports["n1"] = true;
+  simulation.run(1500 * kMs);
+  EXPECT_EQ(simulation.server("n1").state, ServerState::kLost) << "silence after the pause counts";
 }
 
 TEST(Connectivity, ReportsStillCountWhilePartitioned) {
-  FleetWorld world(small_fleet(5));
-  world.run(3 * kSecond);
-  world.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
-  world.run(2 * kSecond);
-  ASSERT_EQ(world.router.registry().view(), ConnectivityState::kPartitioned);
-  world.reports["n5"].draining = true;
-  world.run(500 * kMs);
-  EXPECT_EQ(world.route("n5").health, Health::kDraining);
-  EXPECT_EQ(world.route("n1").health, Health::kHealthy);
+  FleetWorld simulation(small_fleet(5));
+  simulation.run(3 * kSecond);
+  simulation.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
+  simulation.run(2 * kSecond);
+  ASSERT_EQ(simulation.router.registry().view(), ConnectivityState::kPartitioned);
+  simulation.reports["n5"].draining = true;
+  simulation.run(500 * kMs);
+  EXPECT_EQ(simulation.route("n5").health, Health::kDraining);
+  EXPECT_EQ(simulation.route("n1").health, Health::kHealthy);
 }
 
 }  // namespace
--- a/tests/panic_threshold_test.cpp
+++ b/tests/panic_threshold_test.cpp
@@ -1,4 +1,4 @@
-// How much of the fleet may be out of rotation at once.
+// The limit on the capacity that is out of rotation at once.
 #include <gtest/gtest.h>
 
 #include "routing_fakes.h"
@@ -6,20 +6,20 @@
 namespace myrtlecroft::routing {
 namespace {
 
-TEST(PanicThreshold, ServersBeyondItAreKeptInRotation) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  world.hung = {{"n1", true}, {"n2", true}};
-  world.run(20 * kSecond);
+TEST(PanicThreshold, FailedServersBeyondTheThresholdAreKeptInRotation) {
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  simulation.hung = {{"n1", true}, {"n2", true}};
+  simulation.run(20 * kSecond);
   int out = 0;
-  for (const ServerStatus& server : world.router.registry().all()) out += !server.in_service();
+  for (const ServerStatus& server : simulation.router.registry().all()) out += !server.in_service();
   EXPECT_EQ(out, 1);
-  EXPECT_TRUE(world.logged("is kept in"));
-  world.hung = {{"n1", true}};
-  world.run(30 * kSecond);
-  EXPECT_EQ(world.server("n2").state, ServerState::kServing);
-  EXPECT_FALSE(world.server("n1").in_service() && !world.server("n1").kept_in_rotation &&
-               world.server("n1").state == ServerState::kServing);
+  EXPECT_TRUE(simulation.logged("is kept in"));
+  simulation.hung = {{"n1", true}};
+  simulation.run(30 * kSecond);
+  EXPECT_EQ(simulation.server("n2").state, ServerState::kServing);
+  EXPECT_FALSE(simulation.server("n1").in_service() && !simulation.server("n1").kept_in_rotation &&
+               simulation.server("n1").state == ServerState::kServing);
 }
 
 }  // namespace
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// What is published, after a restart and from step to step.
+// Publications after a restart and from step to step.
 #include <gtest/gtest.h>
 
 #include "routing_fakes.h"
@@ -23,9 +23,9 @@
 TEST(Router, RestoredSnapshotLosesOnlyServersThatTheFleetFileNoLongerNames) {
   FleetWorld first;
   first.run(3 * kSecond);
-  fleet::Fleet fewer = small_fleet();
-  fewer.nodes.erase(fewer.nodes.begin() + 1);
-  FleetWorld second(fewer, first.router.persisted_state(), false);
+  fleet::Fleet smaller_fleet = small_fleet();
+  smaller_fleet.nodes.erase(smaller_fleet.nodes.begin() + 1);
+  FleetWorld second(smaller_fleet, first.router.persisted_state(), false);
   second.without_reports = {{"n1", true}, {"n3", true}};
   second.run(kSecond);
   EXPECT_EQ(second.route("n1").health, Health::kHealthy);
@@ -34,26 +34,26 @@
 }
 
 TEST(Router, LastSnapshotStaysWhenAllServersDrain) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  for (auto& [name, report] : world.reports) report.draining = true;
-  world.run(5 * kSecond);
-  EXPECT_EQ(find_error(world.router.published()->snapshot), std::nullopt);
-  EXPECT_TRUE(world.logged("snapshot rejected"));
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  for (auto& [name, report] : simulation.reports) report.draining = true;
+  simulation.run(5 * kSecond);
+  EXPECT_EQ(find_error(simulation.router.published()->snapshot), std::nullopt);
+  EXPECT_TRUE(simulation.logged("snapshot rejected"));
 }
 
 TEST(Router, SmallChangesOfAWindowAreNotPublished) {
-  FleetWorld world;
-  world.run(5 * kSecond);
-  std::size_t before = world.published.size();
+  FleetWorld simulation;
+  simulation.run(5 * kSecond);
+  std::size_t before = simulation.published.size();
   for (int i = 0; i < 20; ++i) {
-    world.reports["n1"].window = 20 + static_cast<std::uint32_t>(i % 3);
-    world.run(300 * kMs);
+    simulation.reports["n1"].window = 20 + static_cast<std::uint32_t>(i % 3);
+    simulation.run(300 * kMs);
   }
-  EXPECT_EQ(world.published.size(), before);
-  world.reports["n1"].window = 60;
-  world.run(300 * kMs);
-  EXPECT_EQ(world.published.size(), before + 1);
+  EXPECT_EQ(simulation.published.size(), before);
+  simulation.reports["n1"].window = 60;
+  simulation.run(300 * kMs);
+  EXPECT_EQ(simulation.published.size(), before + 1);
 }
 
 }  // namespace
--- a/tests/routing_fakes.h
+++ b/tests/routing_fakes.h
@@ -1,4 +1,4 @@
-// A fleet without a machine: servers that report as the test says, a clock that only the test moves.
+// A simulated fleet: servers that report as the test specifies, and a clock that only the test advances.
 #pragma once
 
 #include <map>
@@ -9,6 +9,8 @@
 
 namespace myrtlecroft::routing {
 
+// Returns a fleet with one request class of each kind of idempotency, and a second idempotent one of low
+// priority.
 inline fleet::Fleet small_fleet(int nodes = 3) {
   fleet::Fleet out;
   out.listener = "fleet";
@@ -42,12 +44,13 @@
   return out;
 }
 
+// Runs a Router with reports of simulated servers.
 struct FleetWorld {
-  static constexpr std::uint64_t kRequests = 2;  // of one class, between two reports
+  static constexpr std::uint64_t kRequests = 2;  // received by a server for each class between two reports
 
-  explicit FleetWorld(fleet::Fleet given = small_fleet(),
+  explicit FleetWorld(fleet::Fleet initial_fleet = small_fleet(),
                       std::optional<PersistedState> persisted = std::nullopt, bool first_start = true)
-      : fleet(std::move(given)),
+      : fleet(std::move(initial_fleet)),
         router(fleet, std::move(persisted), first_start, now,
                [this](const std::string& line) { lines.push_back(line); }) {
     for (const fleet::Node& node : fleet.nodes) {
@@ -65,6 +68,7 @@
     }
   }
 
+  // Sends the next report of a server.
   ServerRegistry::Verdict report(const std::string& node) {
     report::LoadReport& report = reports.at(node);
     ++report.sequence;
@@ -72,13 +76,14 @@
     router.handle_report_connection(node, true, now);
     return router.handle_report(report, now, now);
   }
-  // Ten times a second, each server that reports receives some requests and answers them.
+  // Advances the clock by `time`. Ten times a second, each reporting server receives requests and answers
+  // them.
   void run(Nanos time) {
     for (Nanos end = now + time; now < end;) {
       now += 100 * kMs;
-      for (auto& [name, report_of_it] : reports) {
+      for (auto& [name, load_report] : reports) {
         if (without_reports.contains(name)) continue;
-        for (report::RequestClassCounts& counts : report_of_it.request_classes) {
+        for (report::RequestClassCounts& counts : load_report.request_classes) {
           counts.read += kRequests;
           if (hung.contains(name)) continue;
           counts.rejected += rejects[name];
@@ -103,6 +108,7 @@
     }
     throw std::runtime_error("no route " + name);
   }
+  // Returns the published owner of a shard, or an empty string if the shard is closed.
   std::string owner(std::size_t shard) const {
     int at = router.published()->snapshot.shards[shard];
     return at == kClosed ? "" : router.published()->snapshot.nodes[static_cast<std::size_t>(at)].name;
@@ -119,10 +125,10 @@
   std::vector<std::string> lines;
   Router router;
   std::map<std::string, report::LoadReport> reports;
-  std::map<std::string, bool> without_reports;   // sends none
-  std::map<std::string, bool> hung;              // accepts requests and answers none
-  std::map<std::string, std::uint64_t> rejects;  // of the requests of one class in each report
-  bool proxies_apply = true;                     // what is published, at once
+  std::map<std::string, bool> without_reports;   // servers that send no reports
+  std::map<std::string, bool> hung;              // servers that accept requests and answer none
+  std::map<std::string, std::uint64_t> rejects;  // rejected requests of each class between two reports
+  bool proxies_apply = true;                     // proxies apply each publication at once
   std::vector<std::shared_ptr<const PublishedSnapshot>> published;
 };
 
--- a/tests/saved_state_test.cpp
+++ b/tests/saved_state_test.cpp
@@ -1,4 +1,4 @@
-// The saved state of a control service that decides alone: packed and unpacked, and where there is none.
+// Encoding of the saved state of an unreplicated control service, and startup without a usable state folder.
 #include "routing_state/saved_state.h"
 
 #include <gtest/gtest.h>
@@ -14,17 +14,17 @@
 
 using routing_state::SavedState;
 SavedState make_state() {
-  routing::FleetWorld world;
-  world.run(3 * kSecond);
-  return {world.router.persisted_state(), {"p1", "p2"}};
+  routing::FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  return {simulation.router.persisted_state(), {"p1", "p2"}};
 }
 
-TEST(SavedStateTest, IsUnpackedAsItWasPacked) {
+TEST(SavedStateTest, ParsedStateEqualsSerializedState) {
   SavedState state = make_state();
-  auto back = routing_state::parse_saved_state(routing_state::serialize(state));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->routing, state.routing);
-  EXPECT_EQ(back->proxies, state.proxies);
+  auto parsed = routing_state::parse_saved_state(routing_state::serialize(state));
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(parsed->routing, state.routing);
+  EXPECT_EQ(parsed->proxies, state.proxies);
 }
 
 TEST(SavedStateTest, ControlDoesNotStartWhereTheStateFolderIsAFile) {
--- a/tests/server_states_test.cpp
+++ b/tests/server_states_test.cpp
@@ -1,4 +1,4 @@
-// When a server goes out of rotation for a fault, and how long it stays out.
+// When a faulty server leaves rotation, and how long it stays out.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -9,54 +9,57 @@
 namespace {
 
 TEST(ServerStates, ServerThatAnswersNothingIsUnresponsiveThoughItReportsHealthy) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  world.hung["n3"] = true;
-  world.run(2500 * kMs);
-  EXPECT_EQ(world.server("n3").state, ServerState::kUnresponsive);
-  EXPECT_EQ(world.route("n3").health, Health::kOutOfRotation);
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  simulation.hung["n3"] = true;
+  simulation.run(2500 * kMs);
+  EXPECT_EQ(simulation.server("n3").state, ServerState::kUnresponsive);
+  EXPECT_EQ(simulation.route("n3").health, Health::kOutOfRotation);
 }
 
 TEST(ServerStates, ServerIsUnresponsiveWhenProxiesGetNoAnswers) {
-  FleetWorld world;
-  world.run(3 * kSecond);
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
   for (int i = 0; i < 30; ++i) {
-    world.run(100 * kMs);
-    world.router.handle_proxy_counts({.node = "n1", .issued = 5, .succeeded = 5}, world.now);
-    world.router.handle_proxy_counts({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
+    simulation.run(100 * kMs);
+    simulation.router.handle_proxy_counts({.node = "n1", .issued = 5, .succeeded = 5}, simulation.now);
+    simulation.router.handle_proxy_counts({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5},
+                                          simulation.now);
   }
-  EXPECT_EQ(world.server("n2").state, ServerState::kUnresponsive);
-  EXPECT_EQ(world.server("n1").state, ServerState::kServing);
+  EXPECT_EQ(simulation.server("n2").state, ServerState::kUnresponsive);
+  EXPECT_EQ(simulation.server("n1").state, ServerState::kServing);
 }
 
 TEST(ServerStates, ServerThatReportsItsRejectionsStaysThoughProxiesSeeOnlyErrors) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  world.rejects["n2"] = 2;
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  simulation.rejects["n2"] = 2;
   for (int i = 0; i < 30; ++i) {
-    world.run(100 * kMs);
-    world.router.handle_proxy_counts({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5}, world.now);
+    simulation.run(100 * kMs);
+    simulation.router.handle_proxy_counts({.node = "n2", .issued = 5, .succeeded = 0, .failed = 5},
+                                          simulation.now);
   }
-  EXPECT_EQ(world.server("n2").state, ServerState::kServing);
+  EXPECT_EQ(simulation.server("n2").state, ServerState::kServing);
 }
 
 TEST(ServerStates, FlappingServerStaysOutForLongerEachTime) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  std::vector<Nanos> outs;
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  std::vector<Nanos> times_out_of_rotation;
   for (int round = 0; round < 4; ++round) {
-    world.reports["n1"].mode = Mode::kStalled;
-    world.run(500 * kMs);
-    ASSERT_EQ(world.server("n1").state, ServerState::kUnhealthy);
-    world.reports["n1"].mode = Mode::kServing;
-    Nanos began = world.now;
-    while (!world.server("n1").in_service() && world.now - began < 60 * kSecond) world.run(100 * kMs);
-    outs.push_back(world.now - began);
+    simulation.reports["n1"].mode = Mode::kStalled;
+    simulation.run(500 * kMs);
+    ASSERT_EQ(simulation.server("n1").state, ServerState::kUnhealthy);
+    simulation.reports["n1"].mode = Mode::kServing;
+    Nanos start = simulation.now;
+    while (!simulation.server("n1").in_service() && simulation.now - start < 60 * kSecond)
+      simulation.run(100 * kMs);
+    times_out_of_rotation.push_back(simulation.now - start);
   }
-  EXPECT_GT(outs[2], outs[1]);
-  EXPECT_GT(outs[3], outs[2]);
-  world.run(120 * kSecond);
-  EXPECT_EQ(world.server("n1").flaps, 0) << "forgiven after a stable time";
+  EXPECT_GT(times_out_of_rotation[2], times_out_of_rotation[1]);
+  EXPECT_GT(times_out_of_rotation[3], times_out_of_rotation[2]);
+  simulation.run(120 * kSecond);
+  EXPECT_EQ(simulation.server("n1").flaps, 0) << "flaps are removed after a stable time";
 }
 
 }  // namespace
--- a/tests/shards_test.cpp
+++ b/tests/shards_test.cpp
@@ -1,4 +1,4 @@
-// Which server may run requests with an idempotency key, while servers fail and return.
+// Ownership of shards while servers fail and return.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,122 +14,123 @@
 namespace {
 
 TEST(Shards, ShardChangesOwnerOnlyAfterAWindowWithoutOne) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  std::set<std::size_t> of_n1;
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  std::set<std::size_t> shards_of_n1;
   for (std::size_t shard = 0; shard < 256; ++shard) {
-    if (world.owner(shard) == "n1") of_n1.insert(shard);
+    if (simulation.owner(shard) == "n1") shards_of_n1.insert(shard);
   }
-  ASSERT_GT(of_n1.size(), 40u);
-  world.without_reports["n1"] = true;
-  world.run(1500 * kMs);
-  for (std::size_t shard : of_n1) EXPECT_EQ(world.owner(shard), "");
-  world.run(world.fleet.longest_deduplication_window() - kSecond);
-  for (std::size_t shard : of_n1) EXPECT_EQ(world.owner(shard), "");
-  world.run(2 * kSecond);
-  for (std::size_t shard : of_n1) EXPECT_NE(world.owner(shard), "");
-  for (std::size_t shard : of_n1) EXPECT_NE(world.owner(shard), "n1");
+  ASSERT_GT(shards_of_n1.size(), 40u);
+  simulation.without_reports["n1"] = true;
+  simulation.run(1500 * kMs);
+  for (std::size_t shard : shards_of_n1) EXPECT_EQ(simulation.owner(shard), "");
+  simulation.run(simulation.fleet.longest_deduplication_window() - kSecond);
+  for (std::size_t shard : shards_of_n1) EXPECT_EQ(simulation.owner(shard), "");
+  simulation.run(2 * kSecond);
+  for (std::size_t shard : shards_of_n1) EXPECT_NE(simulation.owner(shard), "");
+  for (std::size_t shard : shards_of_n1) EXPECT_NE(simulation.owner(shard), "n1");
 }
 
 TEST(Shards, ShardStaysClosedUntilAllProxiesHaveAppliedTheClosure) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  world.proxies_apply = false;
-  world.without_reports["n1"] = true;
-  world.run(60 * kSecond);
-  std::size_t closed = world.router.shards().closed();
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  simulation.proxies_apply = false;
+  simulation.without_reports["n1"] = true;
+  simulation.run(60 * kSecond);
+  std::size_t closed = simulation.router.shards().closed();
   EXPECT_GT(closed, 40u);
-  world.proxies_apply = true;
-  world.run(world.fleet.longest_deduplication_window() + kSecond);
-  EXPECT_LT(world.router.shards().closed(), closed);
+  simulation.proxies_apply = true;
+  simulation.run(simulation.fleet.longest_deduplication_window() + kSecond);
+  EXPECT_LT(simulation.router.shards().closed(), closed);
 }
 
 TEST(Shards, OwnerThatReturnsAsTheSameIncarnationGetsItsShardsAtOnce) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  world.without_reports["n1"] = true;
-  world.run(1500 * kMs);
-  ASSERT_GT(world.router.shards().closed(), 40u);
-  world.without_reports.clear();
-  world.run(2500 * kMs);
-  EXPECT_EQ(world.router.shards().closed(), 0u);
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  simulation.without_reports["n1"] = true;
+  simulation.run(1500 * kMs);
+  ASSERT_GT(simulation.router.shards().closed(), 40u);
+  simulation.without_reports.clear();
+  simulation.run(2500 * kMs);
+  EXPECT_EQ(simulation.router.shards().closed(), 0u);
 }
 
 TEST(Shards, OwnerThatReturnsAsAnotherIncarnationHasLostItsShards) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  world.reports["n1"].incarnation = 200;  // restarted between two reports, and warmed up
-  world.run(300 * kMs);
-  EXPECT_GT(world.router.shards().closed(), 40u);
-  world.run(world.fleet.longest_deduplication_window() - kSecond);
-  EXPECT_GT(world.router.shards().closed(), 40u);
-  world.run(2 * kSecond);
-  EXPECT_EQ(world.router.shards().closed(), 0u);
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  simulation.reports["n1"].incarnation = 200;  // restarted between two reports, and warmed up
+  simulation.run(300 * kMs);
+  EXPECT_GT(simulation.router.shards().closed(), 40u);
+  simulation.run(simulation.fleet.longest_deduplication_window() - kSecond);
+  EXPECT_GT(simulation.router.shards().closed(), 40u);
+  simulation.run(2 * kSecond);
+  EXPECT_EQ(simulation.router.shards().closed(), 0u);
 }
 
 TEST(Shards, AllAreClosedForAWindowWithoutPersistedState) {
-  FleetWorld world(small_fleet(), std::nullopt, false);
-  world.run(kSecond);
-  EXPECT_EQ(world.router.shards().closed(), 256u);
-  world.run(world.fleet.longest_deduplication_window() + kSecond);
-  EXPECT_EQ(world.router.shards().closed(), 0u);
+  FleetWorld simulation(small_fleet(), std::nullopt, false);
+  simulation.run(kSecond);
+  EXPECT_EQ(simulation.router.shards().closed(), 256u);
+  simulation.run(simulation.fleet.longest_deduplication_window() + kSecond);
+  EXPECT_EQ(simulation.router.shards().closed(), 0u);
 }
 
 TEST(Shards, RebalancingClosesNoMoreThanMaxMigrating) {
-  FleetWorld world;
-  world.run(3 * kSecond);
-  fleet::Fleet more = small_fleet(4);
-  world.router.update_fleet(more, world.now);
-  world.reports["n4"] = world.reports["n1"];
-  world.reports["n4"].node = "n4";
-  world.reports["n4"].address = "127.0.0.1:4104";
+  FleetWorld simulation;
+  simulation.run(3 * kSecond);
+  fleet::Fleet larger_fleet = small_fleet(4);
+  simulation.router.update_fleet(larger_fleet, simulation.now);
+  simulation.reports["n4"] = simulation.reports["n1"];
+  simulation.reports["n4"].node = "n4";
+  simulation.reports["n4"].address = "127.0.0.1:4104";
   std::size_t max = 0;
   for (int i = 0; i < 1500; ++i) {
-    world.run(100 * kMs);
-    max = std::max(max, world.router.shards().closed());
+    simulation.run(100 * kMs);
+    max = std::max(max, simulation.router.shards().closed());
   }
   EXPECT_LE(max, 13u);
-  int of_n4 = 0;
-  for (std::size_t shard = 0; shard < 256; ++shard) of_n4 += world.owner(shard) == "n4";
-  EXPECT_GT(of_n4, 40);
+  int shards_of_n4 = 0;
+  for (std::size_t shard = 0; shard < 256; ++shard) shards_of_n4 += simulation.owner(shard) == "n4";
+  EXPECT_GT(shards_of_n4, 40);
 }
 
-// The rule itself, under a random fleet: a request that ran at a server runs at no other within its window.
-// Proxies apply what is published late, each in its own time.
+// Checks the invariant of shard ownership under random failures: a request that ran at one server runs at no
+// other within its deduplication window. Proxies apply publications late, each after a delay of its own.
 TEST(Shards, NoKeyRunsAtTwoServersWithinItsWindow) {
   std::mt19937 random(11);
-  FleetWorld world(small_fleet(5));
-  world.proxies_apply = false;
+  FleetWorld simulation(small_fleet(5));
+  simulation.proxies_apply = false;
   std::vector<std::shared_ptr<const PublishedSnapshot>> proxies(3);
   std::vector<Nanos> stalled_until(3);
-  std::map<std::pair<std::size_t, int>, std::tuple<std::string, std::uint64_t, Nanos>> ran;  // of a key
+  std::map<std::pair<std::size_t, int>, std::tuple<std::string, std::uint64_t, Nanos>>
+      last_runs;  // server, incarnation and time, by key
   std::uint64_t incarnation = 1000;
   int changes = 0;
   for (int step = 0; step < 9000; ++step) {
-    world.run(100 * kMs);
+    simulation.run(100 * kMs);
     std::uint64_t applied = ~std::uint64_t{0};
     for (std::size_t i = 0; i < proxies.size(); ++i) {
       auto& proxy = proxies[i];
-      if (random() % 400 == 0) stalled_until[i] = world.now + 15 * kSecond;
-      if (world.now >= stalled_until[i] && random() % 8 == 0) proxy = world.router.published();
+      if (random() % 400 == 0) stalled_until[i] = simulation.now + 15 * kSecond;
+      if (simulation.now >= stalled_until[i] && random() % 8 == 0) proxy = simulation.router.published();
       applied = std::min(applied, proxy ? proxy->number : 0);
     }
-    world.router.set_applied_by_all_proxies(applied);
+    simulation.router.set_applied_by_all_proxies(applied);
     if (random() % 60 == 0) {
       std::string name = "n" + std::to_string(1 + random() % 5);
       switch (random() % 4) {
         case 0:
-          world.without_reports[name] = true;
+          simulation.without_reports[name] = true;
           break;
         case 1:
-          if (world.without_reports.contains(name)) world.reports[name].incarnation = ++incarnation;
-          world.without_reports.erase(name);
+          if (simulation.without_reports.contains(name)) simulation.reports[name].incarnation = ++incarnation;
+          simulation.without_reports.erase(name);
           break;
         case 2:
-          world.without_reports.erase(name);
+          simulation.without_reports.erase(name);
           break;
         case 3:
-          world.reports[name].draining = !world.reports[name].draining;
+          simulation.reports[name].draining = !simulation.reports[name].draining;
           break;
       }
       ++changes;
@@ -142,15 +143,16 @@
       if (owner == kClosed) continue;
       std::string node = proxy->snapshot.nodes[static_cast<std::size_t>(owner)].name;
       auto key = std::make_pair(shard, static_cast<int>(random() % 2));
-      auto before = ran.find(key);
-      std::uint64_t its_incarnation = world.reports[node].incarnation;
-      if (before != ran.end()) {
+      auto before = last_runs.find(key);
+      std::uint64_t incarnation_of_node = simulation.reports[node].incarnation;
+      if (before != last_runs.end()) {
         auto [where, which, when] = before->second;
-        // An incarnation that ends within the window is the server's own matter (its store), not routing's.
-        if (world.now - when < 5 * kSecond) EXPECT_EQ(where, node) << "shard " << shard;
-        if (where == node && which == its_incarnation && world.now - when < 5 * kSecond) continue;  // a retry
+        // A server that restarts within the window recognizes the key by its store; routing is not involved.
+        if (simulation.now - when < 5 * kSecond) EXPECT_EQ(where, node) << "shard " << shard;
+        if (where == node && which == incarnation_of_node && simulation.now - when < 5 * kSecond)
+          continue;  // a retry
       }
-      ran[key] = {node, its_incarnation, world.now};
+      last_runs[key] = {node, incarnation_of_node, simulation.now};
     }
   }
   EXPECT_GT(changes, 50);
--- a/tests/subsets_test.cpp
+++ b/tests/subsets_test.cpp
@@ -1,5 +1,5 @@
-// Subsets of a service's servers: the same everywhere, even, stable when servers are added or removed, never
-// empty.
+// Subsets of a service's servers: deterministic, evenly loaded, stable when servers are added or removed, and
+// never empty.
 #include "routing/subsets.h"
 
 #include <gtest/gtest.h>
@@ -37,8 +37,8 @@
   std::set<Pair> out;
   const std::size_t per_round = subsets.count() / kSubsetRounds;
   for (std::size_t at = 0; at < subsets.count(); ++at) {
-    for (std::uint32_t place : subsets.members(at))
-      out.emplace(at / per_round, at % per_round, nodes[place].name);
+    for (std::uint32_t server_index : subsets.members(at))
+      out.emplace(at / per_round, at % per_round, nodes[server_index].name);
   }
   return out;
 }
@@ -64,10 +64,10 @@
 
 TEST(Subsets, OrderOfTheFleetFileChangesNothing) {
   std::vector<NodeRoute> nodes = servers(300);
-  std::vector<NodeRoute> turned(nodes.rbegin(), nodes.rend());
+  std::vector<NodeRoute> reversed(nodes.rbegin(), nodes.rend());
   EXPECT_EQ(pairs_of(Subsets(nodes, all_of(nodes), 20), nodes),
-            pairs_of(Subsets(turned, all_of(turned), 20), turned));
-  // Known values: another version of this code must not give callers other subsets unnoticed.
+            pairs_of(Subsets(reversed, all_of(reversed), 20), reversed));
+  // Known values, so that a change of this code which gives callers other subsets fails this test.
   Subsets subsets(nodes, all_of(nodes), 20);
   EXPECT_EQ(subsets.subset_of_caller(caller_key("caller-1", "z1"), service_key("read")), 85u);
   EXPECT_EQ(subsets.subset_of_caller(caller_key("caller-1", "z2"), service_key("read")), 1u);
@@ -80,9 +80,9 @@
   std::vector<std::uint32_t> times(nodes.size());
   for (std::size_t at = 0; at < subsets.count(); ++at) {
     std::set<std::string> zones;
-    for (std::uint32_t place : subsets.members(at)) {
-      ++times[place];
-      zones.insert(nodes[place].zone);
+    for (std::uint32_t server_index : subsets.members(at)) {
+      ++times[server_index];
+      zones.insert(nodes[server_index].zone);
     }
     EXPECT_EQ(zones.size(), 3u) << at;
     EXPECT_GE(subsets.members(at).size(), 10u) << at;
@@ -91,7 +91,7 @@
   EXPECT_EQ(std::set<std::uint32_t>(times.begin(), times.end()), std::set<std::uint32_t>{kSubsetRounds});
 }
 
-// A server's load: of each of its callers the part that this caller sends to one of its subset.
+// The load of a server is the sum over its callers of one divided by the size of the caller's subset.
 TEST(Subsets, CallersAndLoadAreEvenOverServers) {
   struct Bound {
     std::uint32_t size;
@@ -108,9 +108,9 @@
     for (int i = 0; i < kCallers; ++i) {
       std::uint64_t caller = caller_key("caller-" + std::to_string(i), i % 2 ? "z1" : "z2");
       const auto& members = subsets.members(subsets.subset_of_caller(caller, service_key("read")));
-      for (std::uint32_t place : members) {
-        ++callers[place];
-        load[place] += 1.0 / static_cast<double>(members.size());
+      for (std::uint32_t server_index : members) {
+        ++callers[server_index];
+        load[server_index] += 1.0 / static_cast<double>(members.size());
       }
     }
     double callers_mean = std::accumulate(callers.begin(), callers.end(), 0.0) / 300;
@@ -124,7 +124,7 @@
   }
 }
 
-// Each round loses or gains one pair; what moves beyond that is bounded.
+// Each round necessarily loses or gains one pair of subset and server; the other changes are limited.
 TEST(Subsets, AddedOrRemovedServerMovesFewOthers) {
   double moved = 0;
   std::size_t max = 0;
@@ -136,25 +136,25 @@
     std::size_t differ = moved_between(before, after, 20);
     moved += static_cast<double>(differ - kSubsetRounds);
     max = std::max(max, differ - kSubsetRounds);
-    EXPECT_EQ(moved_between(after, before, 20), differ) << "adding it again moves the same";
+    EXPECT_EQ(moved_between(after, before, 20), differ) << "adding the server again moves the same number";
   }
   RecordProperty("moved_mean", std::to_string(moved / kTrials));
   EXPECT_LT(moved / kTrials, 2 * kSubsetRounds) << "of 2320 pairs";
   EXPECT_LT(max, 8 * kSubsetRounds);
 }
 
-// One subset more: it takes its part from all others, and no more.
+// The additional subset must take only its share of servers from the others.
 TEST(Subsets, AddedSubsetMovesAboutAsManyServersAsItHas) {
   std::size_t moved = moved_between(servers(300), servers(301), 20);
   RecordProperty("moved", std::to_string(moved));
   EXPECT_LT(moved, 5u * 20 * kSubsetRounds);
 }
 
-TEST(Subsets, MostCallersKeepTheirSubsetWhenOneIsAdded) {
-  std::vector<NodeRoute> fewer = servers(300);
-  std::vector<NodeRoute> more = servers(301);
-  Subsets before(fewer, all_of(fewer), 20);
-  Subsets after(more, all_of(more), 20);
+TEST(Subsets, MostCallersKeepTheirSubsetWhenASubsetIsAdded) {
+  std::vector<NodeRoute> nodes_before = servers(300);
+  std::vector<NodeRoute> nodes_after = servers(301);
+  Subsets before(nodes_before, all_of(nodes_before), 20);
+  Subsets after(nodes_after, all_of(nodes_after), 20);
   int moved = 0;
   for (int i = 0; i < 10'000; ++i) {
     std::uint64_t caller = caller_key("caller-" + std::to_string(i), "z1");
@@ -181,7 +181,7 @@
 TEST(Subsets, SubsetWithFewerThanHalfInServiceIsFilledUpAndNoOtherChanges) {
   std::vector<NodeRoute> nodes = servers(300);
   Subsets subsets(nodes, all_of(nodes), 20);
-  for (std::uint32_t place : subsets.members(3)) nodes[place].health = Health::kOutOfRotation;
+  for (std::uint32_t server_index : subsets.members(3)) nodes[server_index].health = Health::kOutOfRotation;
   auto healthy = all_in_service(subsets, nodes);
   EXPECT_GE(healthy[3].size(), 10u);
   for (std::size_t at = 0; at < 15; ++at) {
