--- a/src/fleet/fleet_file.cpp
+++ b/src/fleet/fleet_file.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxTenants = 200;
 constexpr std::int64_t kMaxProxies = 100'000;
 constexpr int kMaxPriority = 7;
-constexpr double kRounding = 1e-9;  // tolerance for rounding errors in a sum of quotas
+constexpr double kRoundingTolerance = 1e-9;  // tolerance for rounding errors in a sum of quotas
 
 Node read_node(Section section) {
   Node node;
@@ -54,9 +54,9 @@
 
 std::vector<Tenant> read_tenants(Section& root) {
   std::vector<Tenant> tenants = read_list<Tenant>(root, "customers", kMaxTenants, read_tenant);
-  double quotas = 0;
-  for (const Tenant& tenant : tenants) quotas += tenant.quota;
-  if (quotas > 1 + kRounding) root.fail("customers", "have shares that add up to more than 1");
+  double total_quota = 0;
+  for (const Tenant& tenant : tenants) total_quota += tenant.quota;
+  if (total_quota > 1 + kRoundingTolerance) root.fail("customers", "have shares that add up to more than 1");
   return tenants;
 }
 
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -61,10 +61,10 @@
   const double min_admitted = inputs.fleet.bounds.min_admitted;
   std::vector<std::uint32_t> out(request_classes.size(), kFullyAdmitted);
   if (shed_ <= 0) return out;
-  order_by_priority(inputs);
+  sort_classes_by_priority(inputs);
   std::vector<double> offered = estimate_offered_load(inputs);
   double to_shed = shed_ * std::accumulate(offered.begin(), offered.end(), 0.0);
-  for (std::size_t at : order_) {
+  for (std::size_t at : classes_by_priority_) {
     if (request_classes[at].idempotency == Idempotency::kKeyed || offered[at] <= 0) continue;
     double share = std::clamp(1 - to_shed / offered[at], min_admitted, 1.0);
     to_shed = std::max(0.0, to_shed - (1 - share) * offered[at]);
@@ -94,15 +94,16 @@
   return offered;
 }
 
-void Admission::order_by_priority(const Inputs& inputs) {
+void Admission::sort_classes_by_priority(const Inputs& inputs) {
   if (layout_generation_ == inputs.registry.layout_generation()) return;
   layout_generation_ = inputs.registry.layout_generation();
   const std::vector<fleet::RequestClass>& request_classes = inputs.fleet.request_classes;
-  order_.resize(request_classes.size());
-  std::iota(order_.begin(), order_.end(), 0);
-  std::stable_sort(order_.begin(), order_.end(), [&](std::size_t one, std::size_t other) {
-    return request_classes[one].priority_weight < request_classes[other].priority_weight;
-  });
+  classes_by_priority_.resize(request_classes.size());
+  std::iota(classes_by_priority_.begin(), classes_by_priority_.end(), 0);
+  std::stable_sort(classes_by_priority_.begin(), classes_by_priority_.end(),
+                   [&](std::size_t one, std::size_t other) {
+                     return request_classes[one].priority_weight < request_classes[other].priority_weight;
+                   });
 }
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -35,14 +35,14 @@
   void adjust_shed(const Inputs& inputs, double elapsed_seconds);
   std::vector<std::uint32_t> compute_shares(const Inputs& inputs);
   std::vector<double> estimate_offered_load(const Inputs& inputs) const;
-  void order_by_priority(const Inputs& inputs);
+  void sort_classes_by_priority(const Inputs& inputs);
 
   double shed_ = 0;
   Nanos last_step_at_ = 0;
   bool has_stepped_ = false;
   std::vector<std::uint32_t> admitted_;
-  std::vector<std::size_t> order_;       // indices of the request classes by ascending priority weight
-  std::uint64_t layout_generation_ = 0;  // layout generation of the registry when `order_` was computed
+  std::vector<std::size_t> classes_by_priority_;  // indices, by ascending priority weight
+  std::uint64_t layout_generation_ = 0;           // of the registry when the order was computed
 };
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/connectivity.cpp
+++ b/src/routing/connectivity.cpp
@@ -14,15 +14,15 @@
 // Returns the share of the capacity in rotation whose last report is at most `max_report_age` old; 1 if no
 // server is in rotation.
 double reporting_share(const std::vector<ServerStatus>& servers, Nanos max_report_age, Nanos now) {
-  double all = 0;
+  double total = 0;
   double reporting = 0;
   for (const ServerStatus& server : servers) {
     if (!server.in_service()) continue;
-    all += server.node.capacity;
+    total += server.node.capacity;
     if (server.last_report_at > 0 && now - server.last_report_at <= max_report_age)
       reporting += server.node.capacity;
   }
-  return all > 0 ? reporting / all : 1;
+  return total > 0 ? reporting / total : 1;
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
   return kNames[static_cast<std::size_t>(view)];
 }
 
-const std::vector<Connectivity::Row> Connectivity::kRows = {
+const std::vector<Connectivity::Transition> Connectivity::kTransitions = {
     {ConnectivityState::kRestoring,
      [](const Inputs& in) { return in.any_report && in.reporting_share >= in.partition_threshold; },
      ConnectivityState::kConnected, "enough servers have reported"},
@@ -54,11 +54,11 @@
       .any_report = any_report,
       .settled = now - view_since_ >= bounds.lost_after,
       .partition_threshold = bounds.partition_threshold};
-  for (const Row& row : kRows) {
-    if (row.view != view_ || !row.condition(inputs)) continue;
-    view_ = row.next;
+  for (const Transition& transition : kTransitions) {
+    if (transition.view != view_ || !transition.condition(inputs)) continue;
+    view_ = transition.next;
     view_since_ = now;
-    return Change{row.view, row.next, row.reason, inputs.recent_reporting_share};
+    return Change{transition.view, transition.next, transition.reason, inputs.recent_reporting_share};
   }
   return std::nullopt;
 }
--- a/src/routing/connectivity.h
+++ b/src/routing/connectivity.h
@@ -49,13 +49,13 @@
     bool settled;                   // the state has lasted for Bounds::lost_after
     double partition_threshold;
   };
-  struct Row {
+  struct Transition {
     ConnectivityState view;
     bool (*condition)(const Inputs&);
     ConnectivityState next;
     const char* reason;
   };
-  static const std::vector<Row> kRows;
+  static const std::vector<Transition> kTransitions;
 
   ConnectivityState view_ = ConnectivityState::kRestoring;
   Nanos view_since_;
--- a/src/routing/panic_threshold.cpp
+++ b/src/routing/panic_threshold.cpp
@@ -4,7 +4,7 @@
 namespace myrtlecroft::routing {
 namespace {
 
-constexpr double kRounding = 1e-9;  // tolerance for rounding errors in a sum of capacities
+constexpr double kRoundingTolerance = 1e-9;  // tolerance for rounding errors in a sum of capacities
 
 }  // namespace
 
@@ -18,7 +18,7 @@
 }
 
 bool PanicThreshold::may_be_out(const ServerStatus& server, double max_unavailable) const {
-  return out_ + server.node.capacity <= max_unavailable * capacity_ + kRounding;
+  return out_ + server.node.capacity <= max_unavailable * capacity_ + kRoundingTolerance;
 }
 
 }  // namespace myrtlecroft::routing
--- a/src/routing/rendezvous.cpp
+++ b/src/routing/rendezvous.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kHashRange = 9007199254740992.0;  // 2^53
-constexpr double kRounding = 1e-9;                 // larger than the rounding error of a score
+constexpr double kRoundingTolerance = 1e-9;        // larger than the rounding error of a score
 
 // Hashes the server's name and the shard to the interval (0, 1). The result is the same on every replica and
 // after every restart.
@@ -23,7 +23,7 @@
 // Shows without a logarithm, for most values, that a score does not exceed `best_score`: -log(uniform) is at
 // least 1 - uniform.
 bool cannot_win(double uniform, double capacity, double best_score) {
-  return capacity * (1 + kRounding) < best_score * (1 - uniform);
+  return capacity * (1 + kRoundingTolerance) < best_score * (1 - uniform);
 }
 
 }  // namespace
@@ -42,10 +42,10 @@
   std::vector<Candidate> next(registry.all().size());
   for (std::size_t server_index = 0; server_index < next.size(); ++server_index)
     next[server_index].name = registry.all()[server_index].node.name;
-  for (std::size_t before = 0; before < candidates_.size(); ++before) {
-    new_indices[before] = registry.index_of(candidates_[before].name);
-    if (new_indices[before] != kNoServer)
-      next[static_cast<std::size_t>(new_indices[before])] = candidates_[before];
+  for (std::size_t old_index = 0; old_index < candidates_.size(); ++old_index) {
+    new_indices[old_index] = registry.index_of(candidates_[old_index].name);
+    if (new_indices[old_index] != kNoServer)
+      next[static_cast<std::size_t>(new_indices[old_index])] = candidates_[old_index];
   }
   candidates_ = std::move(next);
   layout_generation_ = registry.layout_generation();
@@ -66,16 +66,16 @@
   bool any_stopped = false;
   for (std::size_t server_index = 0; server_index < candidates_.size(); ++server_index) {
     const ServerStatus& server = registry.all()[server_index];
-    Candidate& before = candidates_[server_index];
+    Candidate& previous = candidates_[server_index];
     bool competes = server.in_service() && !server.kept_in_rotation;
-    bool same = before.competes == competes && before.capacity == server.node.capacity &&
-                before.priority == server.node.priority;
-    if (same) continue;
+    bool unchanged = previous.competes == competes && previous.capacity == server.node.capacity &&
+                     previous.priority == server.node.priority;
+    if (unchanged) continue;
     // A change of capacity or priority counts as stopping with the old values and starting with the new ones.
-    stopped[server_index] = before.competes;
-    any_stopped = any_stopped || before.competes;
+    stopped[server_index] = previous.competes;
+    any_stopped = any_stopped || previous.competes;
     if (competes) started.push_back(static_cast<int>(server_index));
-    before = make_candidate(server);
+    previous = make_candidate(server);
   }
   if (!any_stopped && started.empty()) return;
   for (std::size_t shard = 0; shard < winners_.size(); ++shard) {
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -37,8 +37,8 @@
   for (const PersistedState::Node& node : persisted->nodes) registry_.restore(node);
   // With another number of shards it is unknown which server ran which key: all shards close for a window.
   if (persisted->shards.size() == fleet_.shards()) {
-    for (std::size_t at = 0; at < persisted->shards.size(); ++at)
-      shards_.restore(at, restored_shard(persisted->shards[at]));
+    for (std::size_t shard_index = 0; shard_index < persisted->shards.size(); ++shard_index)
+      shards_.restore(shard_index, restored_shard(persisted->shards[shard_index]));
   }
   if (std::optional<SnapshotError> error = restore_snapshot(std::move(persisted->snapshot))) {
     log_("restored snapshot is invalid with the current fleet file and is discarded: " + error->message());
@@ -54,10 +54,10 @@
 }
 
 void Router::update_fleet(fleet::Fleet fleet, Nanos now) {
-  bool other_shards = fleet.shards() != fleet_.shards();
+  bool shard_count_changed = fleet.shards() != fleet_.shards();
   fleet_ = std::move(fleet);
   registry_.update_fleet(fleet_, now);
-  if (other_shards) shards_ = Shards(fleet_.shards());
+  if (shard_count_changed) shards_ = Shards(fleet_.shards());
 }
 
 Nanos Router::quarantine() const {
@@ -80,15 +80,15 @@
     if (known && known->last_report_at == 0) registry_.restore(node);
   }
   // With another number of shards it is unknown which server ran which key.
-  bool same_shards = shards.size() == fleet_.shards();
+  bool shard_count_unchanged = shards.size() == fleet_.shards();
   shards_.reset(fleet_.shards());
-  for (std::size_t at = 0; same_shards && at < shards.size(); ++at)
-    shards_.restore(at, std::move(shards[at]));
+  for (std::size_t shard_index = 0; shard_count_unchanged && shard_index < shards.size(); ++shard_index)
+    shards_.restore(shard_index, std::move(shards[shard_index]));
   published_ = std::move(published);
   published_layout_generation_ = 0;
   restored_.reset();
   last_error_.reset();
-  if (!same_shards || !published_ || registry_.view() != ConnectivityState::kRestoring) return;
+  if (!shard_count_unchanged || !published_ || registry_.view() != ConnectivityState::kRestoring) return;
   restore_snapshot(published_->snapshot);
 }
 
@@ -162,9 +162,9 @@
                          .flaps = server.flaps,
                          .version = server.version});
   }
-  for (std::size_t at = 0; at < shards_.all().size(); ++at) {
-    const Shard& shard = shards_.all()[at];
-    out.shards.push_back({shard.owner, shard.incarnation, shards_.open_owner(at) != nullptr});
+  for (std::size_t shard_index = 0; shard_index < shards_.all().size(); ++shard_index) {
+    const Shard& shard = shards_.all()[shard_index];
+    out.shards.push_back({shard.owner, shard.incarnation, shards_.open_owner(shard_index) != nullptr});
   }
   if (published_) out.snapshot = published_->snapshot;
   return out;
--- a/src/routing/server_registry.cpp
+++ b/src/routing/server_registry.cpp
@@ -99,20 +99,20 @@
 // previous report's.
 void ServerRegistry::update_request_class_shares(ServerStatus& server,
                                                  const report::LoadReport& report) const {
-  double all = 0;
+  double total_received = 0;
   for (const report::RequestClassCounts& counts : report.request_classes)
-    all += static_cast<double>(counts.read);
+    total_received += static_cast<double>(counts.read);
   const std::vector<report::RequestClassCounts>& before = server.report.request_classes;
   std::size_t known = std::min(server.request_class_shares.size(), before.size());
   server.request_class_shares.resize(report.request_classes.size());
-  for (std::size_t at = 0; at < report.request_classes.size(); ++at) {
-    const report::RequestClassCounts& counts = report.request_classes[at];
-    RequestClassShare& to = server.request_class_shares[at];
-    if (at >= known || before[at].request_class != counts.request_class) {
+  for (std::size_t class_index = 0; class_index < report.request_classes.size(); ++class_index) {
+    const report::RequestClassCounts& counts = report.request_classes[class_index];
+    RequestClassShare& entry = server.request_class_shares[class_index];
+    if (class_index >= known || before[class_index].request_class != counts.request_class) {
       auto found = request_classes_.find(counts.request_class);
-      to.request_class = found == request_classes_.end() ? -1 : found->second;
+      entry.request_class = found == request_classes_.end() ? -1 : found->second;
     }
-    to.share = all > 0 ? static_cast<double>(counts.read) / all : 0;
+    entry.share = total_received > 0 ? static_cast<double>(counts.read) / total_received : 0;
   }
 }
 
@@ -268,9 +268,9 @@
 }
 
 void ServerRegistry::count_flap(ServerStatus& server) const {
-  bool soon = server.returned_at > 0 &&
-              now_ - server.returned_at < kFlapWindowMultiplier * bounds_.min_time_out_of_rotation;
-  if (soon) server.flaps = std::min(kMaxFlaps, server.flaps + 1);
+  bool is_flap = server.returned_at > 0 &&
+                 now_ - server.returned_at < kFlapWindowMultiplier * bounds_.min_time_out_of_rotation;
+  if (is_flap) server.flaps = std::min(kMaxFlaps, server.flaps + 1);
 }
 
 // Discards observations from before the return, which say nothing about the server's current health.
@@ -285,10 +285,10 @@
   for (ServerStatus& server : servers_) {
     if (!server.kept_in_rotation) continue;
     panic_threshold_.remove(server);
-    bool stays = !panic_threshold_.may_be_out(server, bounds_.max_unavailable);
-    if (!stays) server.kept_in_rotation = false;
+    bool remains_in_rotation = !panic_threshold_.may_be_out(server, bounds_.max_unavailable);
+    if (!remains_in_rotation) server.kept_in_rotation = false;
     panic_threshold_.add(server);
-    if (stays) continue;
+    if (remains_in_rotation) continue;
     changed_ = true;
     log_("server " + server.node.name + " left rotation: the panic threshold now allows it");
   }
--- a/src/routing/server_states.cpp
+++ b/src/routing/server_states.cpp
@@ -83,7 +83,7 @@
   return is_warming_up(server, context) && has_been_out_long_enough(server, context);
 }
 
-struct Row {
+struct Transition {
   ServerState state;
   bool (*condition)(const ServerStatus&, const StateContext&);
   ServerState next;
@@ -95,42 +95,43 @@
 constexpr const char* kReportsFault = "reports that it is stalled or its engine is down";
 constexpr const char* kNoAnswers = "accepts requests and answers none";
 
-// The first matching row applies. For each state, the server's own reports come before observations of it.
+// The first matching transition applies. For each state, the server's own reports come before observations of
+// it.
 using enum ServerState;
-constexpr std::array kRows = {
-    Row{kAssumedHealthy, is_draining, kDraining, kReportsDraining},
-    Row{kAssumedHealthy, reports_overdue, kLost, kNoReport},
-    Row{kAssumedHealthy, is_unhealthy, kUnhealthy, kReportsFault},
-    Row{kAssumedHealthy, is_warming_up, kSlowStart, "reports, is warming up"},
-    Row{kAssumedHealthy, is_healthy, kServing, "reports"},
-
-    Row{kSlowStart, is_draining, kDraining, kReportsDraining},
-    Row{kSlowStart, reports_overdue, kLost, kNoReport},
-    Row{kSlowStart, is_unhealthy, kUnhealthy, kReportsFault},
-    Row{kSlowStart, is_unresponsive, kUnresponsive, kNoAnswers},
-    Row{kSlowStart, has_finished_slow_start, kServing, "slow start and warm-up are complete"},
-
-    Row{kServing, is_draining, kDraining, kReportsDraining},
-    Row{kServing, reports_overdue, kLost, kNoReport},
-    Row{kServing, is_unhealthy, kUnhealthy, kReportsFault},
-    Row{kServing, is_unresponsive, kUnresponsive, kNoAnswers},
-    Row{kServing, has_restarted_warm_up, kSlowStart, "warm-up has started again"},
-
-    Row{kDraining, reports_overdue, kLost, "no report after its drain"},
-    Row{kDraining, may_return, kSlowStart, "no longer draining, or restarted"},
-
-    Row{kUnhealthy, is_draining, kDraining, kReportsDraining},
-    Row{kUnhealthy, reports_overdue, kLost, kNoReport},
-    Row{kUnhealthy, may_return, kSlowStart, "reports that it is healthy"},
-
-    Row{kUnresponsive, is_draining, kDraining, kReportsDraining},
-    Row{kUnresponsive, reports_overdue, kLost, kNoReport},
-    Row{kUnresponsive, is_unhealthy, kUnhealthy, kReportsFault},
-    Row{kUnresponsive, may_return, kSlowStart, "minimum time out of rotation is over"},
-
-    Row{kLost, is_reporting_drain, kDraining, "reports again, is draining"},
-    Row{kLost, may_return_warming_up, kSlowStart, "reports again, is warming up"},
-    Row{kLost, may_return, kServing, "reports again"},
+constexpr std::array kTransitions = {
+    Transition{kAssumedHealthy, is_draining, kDraining, kReportsDraining},
+    Transition{kAssumedHealthy, reports_overdue, kLost, kNoReport},
+    Transition{kAssumedHealthy, is_unhealthy, kUnhealthy, kReportsFault},
+    Transition{kAssumedHealthy, is_warming_up, kSlowStart, "reports, is warming up"},
+    Transition{kAssumedHealthy, is_healthy, kServing, "reports"},
+
+    Transition{kSlowStart, is_draining, kDraining, kReportsDraining},
+    Transition{kSlowStart, reports_overdue, kLost, kNoReport},
+    Transition{kSlowStart, is_unhealthy, kUnhealthy, kReportsFault},
+    Transition{kSlowStart, is_unresponsive, kUnresponsive, kNoAnswers},
+    Transition{kSlowStart, has_finished_slow_start, kServing, "slow start and warm-up are complete"},
+
+    Transition{kServing, is_draining, kDraining, kReportsDraining},
+    Transition{kServing, reports_overdue, kLost, kNoReport},
+    Transition{kServing, is_unhealthy, kUnhealthy, kReportsFault},
+    Transition{kServing, is_unresponsive, kUnresponsive, kNoAnswers},
+    Transition{kServing, has_restarted_warm_up, kSlowStart, "warm-up has started again"},
+
+    Transition{kDraining, reports_overdue, kLost, "no report after its drain"},
+    Transition{kDraining, may_return, kSlowStart, "no longer draining, or restarted"},
+
+    Transition{kUnhealthy, is_draining, kDraining, kReportsDraining},
+    Transition{kUnhealthy, reports_overdue, kLost, kNoReport},
+    Transition{kUnhealthy, may_return, kSlowStart, "reports that it is healthy"},
+
+    Transition{kUnresponsive, is_draining, kDraining, kReportsDraining},
+    Transition{kUnresponsive, reports_overdue, kLost, kNoReport},
+    Transition{kUnresponsive, is_unhealthy, kUnhealthy, kReportsFault},
+    Transition{kUnresponsive, may_return, kSlowStart, "minimum time out of rotation is over"},
+
+    Transition{kLost, is_reporting_drain, kDraining, "reports again, is draining"},
+    Transition{kLost, may_return_warming_up, kSlowStart, "reports again, is warming up"},
+    Transition{kLost, may_return, kServing, "reports again"},
 };
 
 }  // namespace
@@ -149,10 +150,10 @@
 
 std::optional<StateChange> next_state(const ServerStatus& server, const StateContext& context,
                                       bool allow_lost) {
-  for (const Row& row : kRows) {
-    if (row.state != server.state || !row.condition(server, context)) continue;
-    if (!allow_lost && row.next == ServerState::kLost) continue;
-    return StateChange{row.next, row.reason};
+  for (const Transition& transition : kTransitions) {
+    if (transition.state != server.state || !transition.condition(server, context)) continue;
+    if (!allow_lost && transition.next == ServerState::kLost) continue;
+    return StateChange{transition.next, transition.reason};
   }
   return std::nullopt;
 }
--- a/src/routing/shards.cpp
+++ b/src/routing/shards.cpp
@@ -14,12 +14,12 @@
 
 // An owner that was only silent and returns as the same incarnation still knows its keys, so the shard
 // reopens at once. An owner that lost its keys is treated like any other server.
-const std::vector<Shards::Row> Shards::kRows = {
-    {ShardState::kOwned, Event::kOwnerOut, ShardState::kClosing, &Shards::close},
+const std::vector<Shards::Transition> Shards::kTransitions = {
+    {ShardState::kOwned, Event::kOwnerOutOfService, ShardState::kClosing, &Shards::close},
     {ShardState::kOwned, Event::kRebalance, ShardState::kClosing, &Shards::close_to_migrate},
-    {ShardState::kClosing, Event::kOwnerBack, ShardState::kOwned, &Shards::reopen},
+    {ShardState::kClosing, Event::kOwnerReturned, ShardState::kOwned, &Shards::reopen},
     {ShardState::kClosing, Event::kAppliedByAll, ShardState::kQuarantined, &Shards::quarantine},
-    {ShardState::kQuarantined, Event::kOwnerBack, ShardState::kOwned, &Shards::reopen},
+    {ShardState::kQuarantined, Event::kOwnerReturned, ShardState::kOwned, &Shards::reopen},
     {ShardState::kQuarantined, Event::kQuarantineOver, ShardState::kOwned, &Shards::transfer},
 };
 
@@ -49,14 +49,14 @@
   const bool in_service = owner && owner->in_service();
   const bool same_incarnation = owner && owner->incarnation == shard.incarnation;
   if (shard.state == ShardState::kOwned) {
-    if (!in_service || (shard.incarnation != 0 && !same_incarnation)) return Event::kOwnerOut;
+    if (!in_service || (shard.incarnation != 0 && !same_incarnation)) return Event::kOwnerOutOfService;
     // A successor in slow start or warming up, whose weight is still reduced, takes over no shards.
     bool ready = successor && successor != owner && successor->state == ServerState::kServing;
     auto max = static_cast<std::size_t>(options.max_migrating * static_cast<double>(shards_.size()));
     return ready && migrating_ < max ? Event::kRebalance : Event::kNone;
   }
   const bool has_keys = in_service && shard.incarnation != 0 && same_incarnation;
-  if (has_keys && !shard.migrating) return Event::kOwnerBack;
+  if (has_keys && !shard.migrating) return Event::kOwnerReturned;
   if (shard.state == ShardState::kClosing) {
     bool applied = shard.closed_in != 0 && options.applied >= shard.closed_in;
     return applied ? Event::kAppliedByAll : Event::kNone;
@@ -117,11 +117,11 @@
     Event event = next_event(shard_index, registry.all(), options);
     if (event == Event::kNone) continue;
     Shard& shard = shards_[shard_index];
-    for (const Row& row : kRows) {
-      if (row.state != shard.state || row.event != event) continue;
-      shard.state = row.next;
+    for (const Transition& transition : kTransitions) {
+      if (transition.state != shard.state || transition.event != event) continue;
+      shard.state = transition.next;
       shard.since = now_;
-      (this->*row.action)(shard_index, registry.all());
+      (this->*transition.action)(shard_index, registry.all());
       changed = true;
       break;
     }
--- a/src/routing/shards.h
+++ b/src/routing/shards.h
@@ -75,14 +75,14 @@
 
  private:
   using Servers = std::vector<ServerStatus>;
-  enum class Event { kNone, kOwnerOut, kOwnerBack, kRebalance, kAppliedByAll, kQuarantineOver };
-  struct Row {
+  enum class Event { kNone, kOwnerOutOfService, kOwnerReturned, kRebalance, kAppliedByAll, kQuarantineOver };
+  struct Transition {
     ShardState state;
     Event event;
     ShardState next;
     void (Shards::*action)(std::size_t shard_index, const Servers& servers);
   };
-  static const std::vector<Row> kRows;
+  static const std::vector<Transition> kTransitions;
 
   Event next_event(std::size_t shard_index, const Servers& servers, const StepOptions& options) const;
   void learn_incarnation(std::size_t shard_index, const Servers& servers);
