--- a/src/xds/endpoint_messages.h
+++ b/src/xds/endpoint_messages.h
@@ -1,4 +1,4 @@
-// Endpoints as xDS has them.
+// Builds xDS ClusterLoadAssignment messages.
 #pragma once
 
 #include <memory>
@@ -12,15 +12,18 @@
 using NodePtr = std::shared_ptr<const routing::NodeRoute>;
 using NodeList = std::vector<NodePtr>;
 
-// Of ten thousand: what callers drop of this group by themselves. What may be repeated elsewhere is dropped
-// at the cluster; a mutating request is told by its route that it never ran and when to come back.
-std::uint32_t dropped_of(const routing::RequestClassRoute& request_class);
+// The share of requests of this class, in ten-thousandths, that callers drop themselves. Idempotent
+// requests are dropped at the cluster. Mutating requests are rejected by their route instead, with an
+// answer that says that the request never ran and when to retry.
+std::uint32_t drop_share_of(const routing::RequestClassRoute& request_class);
 
+// Endpoints of the cluster of a request class. `dropped`: see drop_share_of().
 envoy::config::endpoint::v3::ClusterLoadAssignment service_endpoints(const std::string& cluster,
                                                                      const NodeList& nodes,
                                                                      std::uint32_t dropped);
-// A server's own cluster keeps its endpoint whatever its health: whether anything is sent there is decided by
-// the routes, and a cluster that empties first would fail what is on its way.
-envoy::config::endpoint::v3::ClusterLoadAssignment node_endpoints(const routing::NodeRoute& node);
+// A server's own cluster keeps its endpoint whatever the server's health. The routes decide whether
+// requests are sent to it, and removing the endpoint before the routes change would fail requests in
+// flight.
+envoy::config::endpoint::v3::ClusterLoadAssignment server_endpoints(const routing::NodeRoute& node);
 
 }  // namespace myrtlecroft::xds
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -13,7 +13,7 @@
 }
 
 const std::string& type_url_of(ResourceType type) {
-  static const std::array<std::string, kTypes> urls = {
+  static const std::array<std::string, kTypeCount> urls = {
       "type.googleapis.com/envoy.config.cluster.v3.Cluster",
       "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
       "type.googleapis.com/envoy.config.listener.v3.Listener",
@@ -27,7 +27,7 @@
   return names[static_cast<std::size_t>(type)];
 }
 
-std::optional<ResourceType> type_of(std::string_view url) {
+std::optional<ResourceType> type_from_url(std::string_view url) {
   for (ResourceType type : kAllTypes) {
     if (type_url_of(type) == url) return type;
   }
@@ -35,16 +35,17 @@
 }
 
 std::string request_class_cluster_name(const std::string& request_class) { return "group/" + request_class; }
-std::string cluster_of_node(const std::string& node) { return "node/" + node; }
+std::string server_cluster_name(const std::string& node) { return "node/" + node; }
 
 std::string shard_key_pattern(const std::vector<std::size_t>& shards, int digits) {
   constexpr std::string_view kDigits = "0123456789abcdef";
-  std::map<std::size_t, std::string> by_beginning;  // all digits but the last -> the last ones
-  for (std::size_t shard : shards) by_beginning[shard >> 4] += kDigits[shard & 15];
+  // Key: all digits of a shard but the last; value: the last digits.
+  std::map<std::size_t, std::string> last_digits_by_prefix;
+  for (std::size_t shard : shards) last_digits_by_prefix[shard >> 4] += kDigits[shard & 15];
   std::string out = "(?i)(?:";
-  for (const auto& [beginning, last] : by_beginning) {
+  for (const auto& [prefix, last] : last_digits_by_prefix) {
     if (out.back() != ':') out += '|';
-    for (int at = digits - 2; at >= 0; --at) out += kDigits[(beginning >> (4 * at)) & 15];
+    for (int at = digits - 2; at >= 0; --at) out += kDigits[(prefix >> (4 * at)) & 15];
     out += last.size() == kDigits.size() ? "[0-9a-f]" : last.size() == 1 ? last : "[" + last + "]";
   }
   return out + ").*";
--- a/src/xds/serialise.cpp
+++ b/src/xds/serialise.cpp
@@ -14,19 +14,19 @@
 namespace discovery = envoy::service::discovery::v3;
 using google::protobuf::Message;
 
-std::string serialised(const Message& message) {
+std::string serialise(const Message& message) {
   std::string out;
   {
     google::protobuf::io::StringOutputStream stream(&out);
     google::protobuf::io::CodedOutputStream coded(&stream);
-    coded.SetSerializationDeterministic(true);  // maps have no order of their own
+    coded.SetSerializationDeterministic(true);  // map fields have no defined order otherwise
     message.SerializeToCodedStream(&coded);
   }
   return out;
 }
 
-// A length-delimited field: tag, length, bytes.
-std::string field(std::uint32_t number, const std::string& bytes) {
+// Encodes a length-delimited field: tag, length, bytes.
+std::string encode_field(std::uint32_t number, const std::string& bytes) {
   std::string out;
   {
     google::protobuf::io::StringOutputStream stream(&out);
@@ -42,7 +42,7 @@
 
 ResourcePtr make_resource(ResourceType type, const std::string& name, const Message& message,
                           std::vector<std::string> references) {
-  std::string bytes = serialised(message);
+  std::string bytes = serialise(message);
   auto made = std::make_shared<Resource>();
   made->name = name;
   made->version = hex(XXH3_64bits(bytes.data(), bytes.size()));
@@ -50,16 +50,17 @@
   google::protobuf::Any any;
   any.set_type_url(type_url_of(type));
   any.set_value(std::move(bytes));
-  std::string packed = serialised(any);
-  made->sotw_encoding = field(discovery::DiscoveryResponse::kResourcesFieldNumber, packed);
-  std::string delta_encoding = field(discovery::Resource::kVersionFieldNumber, made->version) +
-                               field(discovery::Resource::kResourceFieldNumber, packed) +
-                               field(discovery::Resource::kNameFieldNumber, name);
-  made->delta_encoding = field(discovery::DeltaDiscoveryResponse::kResourcesFieldNumber, delta_encoding);
+  std::string packed = serialise(any);
+  made->sotw_encoding = encode_field(discovery::DiscoveryResponse::kResourcesFieldNumber, packed);
+  std::string delta_encoding = encode_field(discovery::Resource::kVersionFieldNumber, made->version) +
+                               encode_field(discovery::Resource::kResourceFieldNumber, packed) +
+                               encode_field(discovery::Resource::kNameFieldNumber, name);
+  made->delta_encoding =
+      encode_field(discovery::DeltaDiscoveryResponse::kResourcesFieldNumber, delta_encoding);
   return made;
 }
 
-bool parse_back(const Resource& resource, Message& out) {
+bool parse_encoded(const Resource& resource, Message& out) {
   discovery::DiscoveryResponse response;
   return response.ParseFromString(resource.sotw_encoding) && response.resources_size() == 1 &&
          out.ParseFromString(response.resources(0).value());
--- a/src/xds/serialise.h
+++ b/src/xds/serialise.h
@@ -1,4 +1,4 @@
-// Messages as resources on the wire, and back.
+// Serialises messages into xDS resources, and parses them back.
 #pragma once
 
 #include <google/protobuf/message.h>
@@ -7,11 +7,11 @@
 
 namespace myrtlecroft::xds {
 
-// Equal messages have equal bytes, and so equal versions.
+// Serialises deterministically: equal messages have equal bytes, and so equal versions.
 ResourcePtr make_resource(ResourceType type, const std::string& name,
                           const google::protobuf::Message& message, std::vector<std::string> references);
 
-// The message inside what was serialised for the wire. False where it can't be read.
-bool parse_back(const Resource& resource, google::protobuf::Message& out);
+// Parses the message from its serialised resource. Returns false if it can't be parsed.
+bool parse_encoded(const Resource& resource, google::protobuf::Message& out);
 
 }  // namespace myrtlecroft::xds
--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -6,258 +6,270 @@
 namespace myrtlecroft::xds {
 namespace {
 
-constexpr std::size_t kMaxNames = 20'000;  // of one type, that a proxy may ask for
-constexpr std::size_t kLongestName = 256;
-constexpr double kMaxRequests = 400;  // within about a second; a proxy that starts asks for some dozens
-constexpr std::size_t kLongestReason = 500;  // of a refusal, as kept and shown
-
-// Types whose answers tell by absence that something is gone (the specification, "State of the World").
-bool told_whole(ResourceType type) {
+constexpr std::size_t kMaxNamesPerType = 20'000;  // names of one type that a proxy may subscribe to
+constexpr std::size_t kMaxNameLength = 256;
+// Limit on requests within about a second; a proxy that starts up sends some dozens.
+constexpr double kMaxRecentRequests = 400;
+constexpr std::size_t kMaxReasonLength = 500;  // bytes of a rejection's reason that are stored and shown
+
+// Types whose state-of-the-world responses list every resource, so that a missing one is a removed one (xDS
+// specification, "State of the World").
+bool requires_full_state(ResourceType type) {
   return type == ResourceType::kClusters || type == ResourceType::kListeners;
 }
 
-// Types of which something may stay for a while after it has left the set.
-bool may_linger(ResourceType type) {
+// Types whose resources may stay with the proxy for a while after they have left the set.
+bool may_outlive_set(ResourceType type) {
   return type == ResourceType::kClusters || type == ResourceType::kEndpoints;
 }
 
 }  // namespace
 
-const char* name_of(StreamError fault) {
+const char* name_of(StreamError error) {
   constexpr const char* names[] = {"none", "too many names", "too many requests"};
-  return names[static_cast<std::size_t>(fault)];
+  return names[static_cast<std::size_t>(error)];
 }
 
 bool Session::Subscription::wants(const std::string& name) const {
   return wildcard || std::binary_search(names.begin(), names.end(), name);
 }
 
-bool Session::Subscription::has_any(ResourceType type, const std::string& name) const {
-  if (auto other = differs.find(name); other != differs.end()) return !other->second.version.empty();
-  return base && base->of(type).contains(name);
+bool Session::Subscription::has_resource(ResourceType type, const std::string& name) const {
+  if (auto other = differences.find(name); other != differences.end()) return !other->second.version.empty();
+  return accepted_set && accepted_set->of(type).contains(name);
 }
 
 ResourcePtr Session::find(const ResourceSet* set, ResourceType type, const std::string& name) const {
   if (!set) return nullptr;
   auto found = set->of(type).find(name);
-  return found == set->of(type).end() ? nullptr : resolved(found->second, caller_);
+  return found == set->of(type).end() ? nullptr : resource_for_caller(found->second, caller_);
 }
 
-Session::Has Session::has(ResourceType type, const std::string& name) const {
-  const Subscription& state = of(type);
-  if (auto other = state.differs.find(name); other != state.differs.end()) return other->second;
-  ResourcePtr resource = find(state.base.get(), type, name);
-  return resource ? Has{resource->version, resource} : Has{};
+Session::KnownResource Session::known_resource(ResourceType type, const std::string& name) const {
+  const Subscription& state = subscription(type);
+  if (auto other = state.differences.find(name); other != state.differences.end()) return other->second;
+  ResourcePtr resource = find(state.accepted_set.get(), type, name);
+  return resource ? KnownResource{resource->version, resource} : KnownResource{};
 }
 
 bool Session::has_version(ResourceType type, const Resource& resource) const {
-  return has(type, resource.name).version == resource.version;
+  return known_resource(type, resource.name).version == resource.version;
 }
 
-// ---- What the proxy says
+// ---- Requests
 
 StreamError Session::request(const Request& request, Nanos now) {
   requests_.add(1, now);
-  if (requests_.read(now) > kMaxRequests) return StreamError::kTooManyRequests;
+  if (requests_.read(now) > kMaxRecentRequests) return StreamError::kTooManyRequests;
   auto too_long = [](const auto& names) {
     return std::any_of(names.begin(), names.end(),
-                       [](const auto& name) { return name.size() > kLongestName; });
+                       [](const auto& name) { return name.size() > kMaxNameLength; });
   };
-  Subscription& state = of(request.type);
-  if (request.names.size() > kMaxNames || too_long(request.names) || too_long(request.subscribe) ||
-      state.names.size() + request.subscribe.size() > kMaxNames || request.has.size() > kMaxNames) {
+  Subscription& state = subscription(request.type);
+  if (request.names.size() > kMaxNamesPerType || too_long(request.names) || too_long(request.subscribe) ||
+      state.names.size() + request.subscribe.size() > kMaxNamesPerType ||
+      request.known_versions.size() > kMaxNamesPerType) {
     return StreamError::kTooManyNames;
   }
-  handle(state, request);
-  applied();
+  handle_request(state, request);
+  applied_publication();
   return StreamError::kNone;
 }
 
-void Session::offer(std::shared_ptr<const ResourceSet> set) {
-  applied();
-  // Another set of the same publication, as the one without an open shard is: what was told of that one says
-  // nothing of this, and a caller that got the closed one first would never hear of the open shards.
+void Session::set_target(std::shared_ptr<const ResourceSet> set) {
+  applied_publication();
+  // Another set of the same publication, such as the set with all shards closed, may have been sent before.
+  // Without this reset a caller that has the closed set would count as up to date and never receive the
+  // open shards.
   if (target_ && set && set != target_ && set->number == target_->number) {
-    for (Subscription& state : subscriptions_) state.synced = 0;
+    for (Subscription& state : subscriptions_) state.synced_publication = 0;
   }
   target_ = std::move(set);
 }
 
-// Input              state of the world                        delta
-// first of a type    subscribes; its nonce is another          the same, with the versions it has
-//                    stream's
-// nonce of what      accepted or refused, then the names       the same
-//   is out
-// nonce of the last  the names have changed                    the same
-//   answer
-// another nonce      stale: the proxy will say its names       its names count, as each request tells of a
-//                    again with the answer that is out         change; nothing is acknowledged
-void Session::handle(Subscription& state, const Request& request) {
-  bool first = !std::exchange(state.subscribed, true);
-  bool current = state.pending && request.nonce == state.pending->nonce;
-  bool last = !state.pending && request.nonce == std::to_string(state.answers);
-  if (!first && !current && !last && !request.nonce.empty() && form_ == ProtocolVariant::kStateOfTheWorld)
+// How a request is handled, by its nonce:
+//
+// Nonce                  State of the world                      Delta
+// first of its type      subscribes; a nonce is from another     the same, with the versions the proxy has
+//                        stream
+// pending response       ACK or NACK, then the subscription      the same
+// last response          the subscription has changed            the same
+// any other              stale, ignored: the proxy repeats its   the subscription changes, since each request
+//                        names with the pending response's       carries a change; nothing is acknowledged
+//                        nonce
+void Session::handle_request(Subscription& state, const Request& request) {
+  bool is_first = !std::exchange(state.subscribed, true);
+  bool answers_pending = state.pending && request.nonce == state.pending->nonce;
+  bool answers_last = !state.pending && request.nonce == std::to_string(state.response_count);
+  if (!is_first && !answers_pending && !answers_last && !request.nonce.empty() &&
+      variant_ == ProtocolVariant::kStateOfTheWorld)
     return;
-  if (current && request.error) refuse(state, request.type, *request.error);
-  if (current && !request.error) accept(state, request.type);
-  subscribe(state, request, first);
+  if (answers_pending && request.error) handle_nack(state, request.type, *request.error);
+  if (answers_pending && !request.error) handle_ack(state, request.type);
+  update_subscription(state, request, is_first);
 }
 
-void Session::accept(Subscription& state, ResourceType type) {
+void Session::handle_ack(Subscription& state, ResourceType type) {
   ++acks_;
-  routes_once_ = routes_once_ || (type == ResourceType::kRoutes && !state.pending->resources.empty());
+  has_accepted_routes_ =
+      has_accepted_routes_ || (type == ResourceType::kRoutes && !state.pending->resources.empty());
   for (ResourcePtr& resource : state.pending->resources) {
-    auto refused = state.refused.find(resource->name);
-    ResourcePtr now = refused == state.refused.end() ? nullptr : find(target_.get(), type, resource->name);
-    bool stand_in = now && now->version == refused->second.first;
-    if (refused != state.refused.end() && !stand_in) state.refused.erase(refused);
+    auto rejected = state.rejected.find(resource->name);
+    ResourcePtr in_target =
+        rejected == state.rejected.end() ? nullptr : find(target_.get(), type, resource->name);
+    bool is_older_version = in_target && in_target->version == rejected->second.first;
+    if (rejected != state.rejected.end() && !is_older_version) state.rejected.erase(rejected);
     if (type == ResourceType::kClusters && !has_version(type, *resource)) {
       forget_endpoints(resource->name);
     }
-    state.differs[resource->name] = {resource->version, resource};
+    state.differences[resource->name] = {resource->version, resource};
   }
   for (const std::string& name : state.pending->removed) {
-    state.differs[name] = {};
+    state.differences[name] = {};
     if (type == ResourceType::kClusters) forget_endpoints(name);
   }
   state.pending.reset();
-  if (state.synced == target_->number && state.unanswered.empty() && !state.must_answer)
-    settle(type, state, true);
+  if (state.synced_publication == target_->number && state.names_to_answer.empty() &&
+      !state.response_required)
+    record_synced(type, state, true);
 }
 
-// A proxy that replaces a cluster, or lets it go, lets go of its endpoints too, and waits to be told them
-// anew.
+// A proxy that replaces or removes a cluster also discards its endpoints and waits to receive them again.
 void Session::forget_endpoints(const std::string& cluster) {
-  Subscription& endpoints = of(ResourceType::kEndpoints);
+  Subscription& endpoints = subscription(ResourceType::kEndpoints);
   if (!endpoints.wants(cluster)) return;
-  endpoints.differs[cluster] = {};
-  endpoints.synced = 0;
+  endpoints.differences[cluster] = {};
+  endpoints.synced_publication = 0;
 }
 
-// An answer is refused whole. What the proxy names in its reason is held back until its content changes, and
-// the rest is sent again; where it names nothing, all that was new in the answer is held back.
-void Session::refuse(Subscription& state, ResourceType type, const std::string& reason) {
+// A NACK rejects the whole response. Resources that the reason names are withheld until their content
+// changes, and the others are sent again. If the reason names none, all resources that were new in the
+// response are withheld.
+void Session::handle_nack(Subscription& state, ResourceType type, const std::string& reason) {
   ++nacks_;
-  std::vector<ResourcePtr> suspects;
+  std::vector<ResourcePtr> changed_resources;
   std::vector<ResourcePtr> named;
   for (const ResourcePtr& resource : state.pending->resources) {
     if (has_version(type, *resource)) continue;
-    suspects.push_back(resource);
+    changed_resources.push_back(resource);
     if (reason.find(resource->name) != std::string::npos) named.push_back(resource);
   }
-  for (const ResourcePtr& resource : named.empty() ? suspects : named) {
-    state.refused[resource->name] = {resource->version, reason.substr(0, kLongestReason)};
+  for (const ResourcePtr& resource : named.empty() ? changed_resources : named) {
+    state.rejected[resource->name] = {resource->version, reason.substr(0, kMaxReasonLength)};
   }
   state.pending.reset();
-  state.synced = 0;
+  state.synced_publication = 0;
 }
 
-void Session::drop(Subscription& state, const std::string& name) {
-  state.unanswered.erase(name);
-  state.refused.erase(name);
-  state.differs[name] = {};
+void Session::unsubscribe(Subscription& state, const std::string& name) {
+  state.names_to_answer.erase(name);
+  state.rejected.erase(name);
+  state.differences[name] = {};
   if (state.pending)
     std::erase_if(state.pending->resources, [&](const auto& one) { return one->name == name; });
 }
 
-void Session::subscribe(Subscription& state, const Request& request, bool first) {
-  // The usual acknowledgement says the same names again, in the same order.
-  if (!first && form_ == ProtocolVariant::kStateOfTheWorld && !state.wildcard && request.names == state.names)
+void Session::update_subscription(Subscription& state, const Request& request, bool is_first) {
+  // An ordinary ACK repeats the same names in the same order.
+  if (!is_first && variant_ == ProtocolVariant::kStateOfTheWorld && !state.wildcard &&
+      request.names == state.names)
     return;
   std::vector<std::string> names;
-  bool all = state.wildcard;
-  if (form_ == ProtocolVariant::kStateOfTheWorld) {
+  bool wildcard = state.wildcard;
+  if (variant_ == ProtocolVariant::kStateOfTheWorld) {
     names = request.names;
-    all = std::erase(names, "*") > 0 ||
-          (told_whole(request.type) && names.empty() && (first || state.wildcard));
+    wildcard = std::erase(names, "*") > 0 ||
+               (requires_full_state(request.type) && names.empty() && (is_first || state.wildcard));
   } else {
-    std::set<std::string> next(state.names.begin(), state.names.end());
-    if (first) all = told_whole(request.type) && request.subscribe.empty();
-    next.insert(request.subscribe.begin(), request.subscribe.end());
-    for (const std::string& name : request.unsubscribe) next.erase(name), all = all && name != "*";
-    all = next.erase("*") > 0 || all;
-    names.assign(next.begin(), next.end());
-    if (first) {
-      for (const auto& [name, version] : request.has) state.differs[name] = {version, nullptr};
+    std::set<std::string> new_names(state.names.begin(), state.names.end());
+    if (is_first) wildcard = requires_full_state(request.type) && request.subscribe.empty();
+    new_names.insert(request.subscribe.begin(), request.subscribe.end());
+    for (const std::string& name : request.unsubscribe)
+      new_names.erase(name), wildcard = wildcard && name != "*";
+    wildcard = new_names.erase("*") > 0 || wildcard;
+    names.assign(new_names.begin(), new_names.end());
+    if (is_first) {
+      for (const auto& [name, version] : request.known_versions) state.differences[name] = {version, nullptr};
     }
   }
   std::sort(names.begin(), names.end());
   names.erase(std::unique(names.begin(), names.end()), names.end());
-  if (!first && names == state.names && all == state.wildcard && request.subscribe.empty()) return;
+  if (!is_first && names == state.names && wildcard == state.wildcard && request.subscribe.empty()) return;
 
-  // A name that is asked for anew is told again, whatever is known of it.
+  // A name that is newly requested is always sent, whatever the proxy is known to have.
   for (const std::string& name : names) {
-    if (state.wants(name) || (first && request.has.contains(name))) continue;
-    state.differs[name] = {};
-    state.must_answer = true;
-    if (form_ == ProtocolVariant::kDelta) state.unanswered.insert(name);
+    if (state.wants(name) || (is_first && request.known_versions.contains(name))) continue;
+    state.differences[name] = {};
+    state.response_required = true;
+    if (variant_ == ProtocolVariant::kDelta) state.names_to_answer.insert(name);
   }
   for (const std::string& name : request.subscribe) {
-    if (first || name == "*" || !state.wants(name)) continue;
-    state.differs[name] = {};
-    state.unanswered.insert(name);
+    if (is_first || name == "*" || !state.wants(name)) continue;
+    state.differences[name] = {};
+    state.names_to_answer.insert(name);
   }
-  std::vector<std::string> before = std::exchange(state.names, std::move(names));
-  state.must_answer = state.must_answer || first || all != state.wildcard;
-  state.wildcard = all;
-  for (const std::string& name : before) {
-    if (!state.wants(name)) drop(state, name);
+  std::vector<std::string> previous_names = std::exchange(state.names, std::move(names));
+  state.response_required = state.response_required || is_first || wildcard != state.wildcard;
+  state.wildcard = wildcard;
+  for (const std::string& name : previous_names) {
+    if (!state.wants(name)) unsubscribe(state, name);
   }
-  state.synced = 0;
+  state.synced_publication = 0;
 }
 
-// ---- What the proxy should have
+// ---- Desired state
 
-// A proxy that asks for all clusters may have routes from before this stream, and has not yet asked for them.
-bool Session::routes_settled() const {
-  const Subscription& state = of(ResourceType::kRoutes);
-  if (!state.subscribed) return !of(ResourceType::kClusters).wildcard;
+// True if the proxy has the target's routes. A proxy with a wildcard subscription to clusters may still
+// hold routes from before this stream until it subscribes to routes.
+bool Session::routes_up_to_date() const {
+  const Subscription& state = subscription(ResourceType::kRoutes);
+  if (!state.subscribed) return !subscription(ResourceType::kClusters).wildcard;
   if (state.pending) return false;
-  const Resources& now = target_->of(ResourceType::kRoutes);
+  const Resources& target_routes = target_->of(ResourceType::kRoutes);
   if (state.wildcard) {
-    return std::all_of(now.begin(), now.end(),
+    return std::all_of(target_routes.begin(), target_routes.end(),
                        [&](const auto& one) { return has_version(ResourceType::kRoutes, *one.second); });
   }
   return std::all_of(state.names.begin(), state.names.end(), [&](const std::string& name) {
-    auto found = now.find(name);
-    return found == now.end() || has_version(ResourceType::kRoutes, *found->second);
+    auto found = target_routes.find(name);
+    return found == target_routes.end() || has_version(ResourceType::kRoutes, *found->second);
   });
 }
 
-// Whether the proxy has accepted every cluster that the routes refer to, with its endpoints. One that asks
-// for clusters by name does so after it has read the routes, and sees to the order itself.
-bool Session::usable(const Resource& routes) const {
-  const Subscription& clusters = of(ResourceType::kClusters);
-  const Subscription& endpoints = of(ResourceType::kEndpoints);
+// True if the proxy has accepted every cluster that the routes refer to, with its endpoints. A proxy that
+// subscribes to clusters by name does so after it has read the routes, and orders the updates itself.
+bool Session::references_accepted(const Resource& routes) const {
+  const Subscription& clusters = subscription(ResourceType::kClusters);
+  const Subscription& endpoints = subscription(ResourceType::kEndpoints);
   if (!clusters.subscribed || !clusters.wildcard) return true;
-  auto goes = [](const Subscription& of, const std::string& name) {
-    return of.pending && std::find(of.pending->removed.begin(), of.pending->removed.end(), name) !=
-                             of.pending->removed.end();
+  auto being_removed = [](const Subscription& state, const std::string& name) {
+    return state.pending && std::find(state.pending->removed.begin(), state.pending->removed.end(), name) !=
+                                state.pending->removed.end();
   };
   return std::all_of(routes.references.begin(), routes.references.end(), [&](const std::string& name) {
-    return !goes(clusters, name) && !goes(endpoints, name) &&
-           clusters.has_any(ResourceType::kClusters, name) &&
+    return !being_removed(clusters, name) && !being_removed(endpoints, name) &&
+           clusters.has_resource(ResourceType::kClusters, name) &&
            (!endpoints.subscribed ||
-            (endpoints.wants(name) && endpoints.has_any(ResourceType::kEndpoints, name)));
+            (endpoints.wants(name) && endpoints.has_resource(ResourceType::kEndpoints, name)));
   });
 }
 
-// Endpoints go after their cluster.
+// Endpoints are removed after their cluster: they stay while the proxy still has it.
 bool Session::has_cluster(const std::string& name) const {
-  const Subscription& clusters = of(ResourceType::kClusters);
-  return clusters.wildcard && clusters.has_any(ResourceType::kClusters, name);
+  const Subscription& clusters = subscription(ResourceType::kClusters);
+  return clusters.wildcard && clusters.has_resource(ResourceType::kClusters, name);
 }
 
-// The proxy has the set before this one whole, and nothing stands in the way of what is new in it: there is
-// no need to look at the rest.
-bool Session::only_news(ResourceType type, const Subscription& state) const {
-  return target_->before != 0 && state.synced == target_->before && state.refused.empty() &&
-         state.unanswered.empty() && !state.must_answer && type != ResourceType::kRoutes &&
-         !target_->has_removals[static_cast<std::size_t>(type)];
+// True if the proxy has all of the previous set and nothing is withheld, so that only the changes since
+// then have to be examined.
+bool Session::only_changes_needed(ResourceType type, const Subscription& state) const {
+  return target_->previous_number != 0 && state.synced_publication == target_->previous_number &&
+         state.rejected.empty() && state.names_to_answer.empty() && !state.response_required &&
+         type != ResourceType::kRoutes && !target_->has_removals[static_cast<std::size_t>(type)];
 }
 
-// What changed since the set before, and the caller asks for; whichever list is shorter is gone through.
-// Changes stand in the order of their names.
+// Visits the wanted resources that changed since the previous set. Iterates over the shorter of the two
+// lists; `changed` is sorted by name.
 template <class Visit>
 void Session::for_each_wanted_change(ResourceType type, const Subscription& state, Visit visit) const {
   const std::vector<ResourcePtr>& changed = target_->changed[static_cast<std::size_t>(type)];
@@ -274,78 +286,82 @@
   }
 }
 
-// The names of an earlier set that the caller has and wants. One that asks by name has no others: with
-// thousands of services a look through all of them for each caller would hold every change up by seconds.
+// Visits the names in the last accepted set that the caller still wants. A subscription by name has only
+// these names: with thousands of services, iterating over the whole set for each caller would delay every
+// change by seconds.
 template <class Visit>
-void Session::for_each_in_base(ResourceType type, const Subscription& state, Visit visit) const {
-  if (!state.base || state.base == target_) return;
-  const Resources& base = state.base->of(type);
+void Session::for_each_accepted_name(ResourceType type, const Subscription& state, Visit visit) const {
+  if (!state.accepted_set || state.accepted_set == target_) return;
+  const Resources& accepted_set = state.accepted_set->of(type);
   if (state.wildcard) {
-    for (const auto& [name, resource] : base) visit(name);
+    for (const auto& [name, resource] : accepted_set) visit(name);
     return;
   }
   for (const std::string& name : state.names) {
-    if (base.contains(name)) visit(name);
+    if (accepted_set.contains(name)) visit(name);
   }
 }
 
-Session::Plan Session::plan(ResourceType type, const Subscription& state) const {
-  Plan out;
+Session::ResponsePlan Session::plan_response(ResourceType type, const Subscription& state) const {
+  ResponsePlan out;
   const Resources& all = target_->of(type);
-  const bool news = only_news(type, state);
-  const bool whole = form_ == ProtocolVariant::kStateOfTheWorld && told_whole(type);
-  if (news) {
+  const bool changes_only = only_changes_needed(type, state);
+  const bool full_state = variant_ == ProtocolVariant::kStateOfTheWorld && requires_full_state(type);
+  if (changes_only) {
     for_each_wanted_change(type, state, [&](const ResourcePtr& changed) {
-      // Of a service with subsets another one may have changed than this caller's.
-      ResourcePtr resource = resolved(changed, caller_);
+      // For a service with subsets, the change may be in the subset of another caller.
+      ResourcePtr resource = resource_for_caller(changed, caller_);
       if (!has_version(type, *resource)) out.changed.push_back(std::move(resource));
     });
-    if (!whole || out.changed.empty()) return out;
+    if (!full_state || out.changed.empty()) return out;
   }
-  auto take = [&](const std::string& name, const ResourcePtr& in_set) {
-    ResourcePtr resource = resolved(in_set, caller_);
-    auto refused = state.refused.find(name);
-    bool held_back = refused != state.refused.end() && refused->second.first == resource->version;
-    bool too_early = type == ResourceType::kRoutes && !usable(*resource);
-    if (too_early) out.complete = false;
-    if (held_back || too_early) resource = has(type, name).resource;
+  auto add_resource = [&](const std::string& name, const ResourcePtr& in_set) {
+    ResourcePtr resource = resource_for_caller(in_set, caller_);
+    auto rejected = state.rejected.find(name);
+    bool withheld = rejected != state.rejected.end() && rejected->second.first == resource->version;
+    bool references_missing = type == ResourceType::kRoutes && !references_accepted(*resource);
+    if (references_missing) out.complete = false;
+    if (withheld || references_missing) resource = known_resource(type, name).resource;
     if (!resource) return;
-    if (!news && !has_version(type, *resource)) out.changed.push_back(resource);
-    if (whole) out.whole.push_back(std::move(resource));
+    if (!changes_only && !has_version(type, *resource)) out.changed.push_back(resource);
+    if (full_state) out.all.push_back(std::move(resource));
   };
   if (state.wildcard) {
-    for (const auto& [name, resource] : all) take(name, resource);
+    for (const auto& [name, resource] : all) add_resource(name, resource);
   } else {
     for (const std::string& name : state.names) {
-      if (auto found = all.find(name); found != all.end()) take(name, found->second);
+      if (auto found = all.find(name); found != all.end()) add_resource(name, found->second);
     }
   }
-  if (news) return out;
+  if (changes_only) return out;
 
-  // What the proxy has and the set has not. At the start of a stream it may have more than we know of.
-  const bool lingers = may_linger(type) && !routes_settled();
-  if (lingers && whole && !routes_once_) {
+  // Resources that the proxy has and the target lacks. At the start of a stream the proxy may have more
+  // than the session knows.
+  const bool retains_removed = may_outlive_set(type) && !routes_up_to_date();
+  if (retains_removed && full_state && !has_accepted_routes_) {
     out.complete = false;
-    for (const auto& [name, resource] : target_->late_clusters) {
-      if (!all.contains(name) && state.wants(name)) take(name, resource);
+    for (const auto& [name, resource] : target_->retired_clusters) {
+      if (!all.contains(name) && state.wants(name)) add_resource(name, resource);
     }
   }
-  auto look_at_old = [&](const std::string& name) {
+  // Decides about a resource that the target lacks: it is removed, or kept until the proxy no longer uses
+  // it.
+  auto check_removed = [&](const std::string& name) {
     if (all.contains(name) || !state.wants(name)) return;
-    Has had = has(type, name);
-    if (had.version.empty()) return;
-    if (!lingers && !(type == ResourceType::kEndpoints && has_cluster(name))) {
-      out.gone.push_back(name);
+    KnownResource known = known_resource(type, name);
+    if (known.version.empty()) return;
+    if (!retains_removed && !(type == ResourceType::kEndpoints && has_cluster(name))) {
+      out.removed.push_back(name);
       return;
     }
     out.complete = false;
-    if (whole && had.resource && (routes_once_ || !target_->late_clusters.contains(name))) {
-      out.whole.push_back(had.resource);
+    if (full_state && known.resource && (has_accepted_routes_ || !target_->retired_clusters.contains(name))) {
+      out.all.push_back(known.resource);
     }
   };
-  for (const auto& [name, known] : state.differs) look_at_old(name);
-  for_each_in_base(type, state, [&](const std::string& name) {
-    if (!state.differs.contains(name)) look_at_old(name);
+  for (const auto& [name, resource] : state.differences) check_removed(name);
+  for_each_accepted_name(type, state, [&](const std::string& name) {
+    if (!state.differences.contains(name)) check_removed(name);
   });
   return out;
 }
@@ -353,60 +369,66 @@
 std::optional<Response> Session::next() {
   if (!target_) return std::nullopt;
   for (ResourceType type : kAllTypes) {
-    Subscription& state = of(type);
+    Subscription& state = subscription(type);
     if (!state.subscribed || state.pending) continue;
-    if (auto response = answer(type, state)) return response;
+    if (auto response = make_response(type, state)) return response;
   }
   return std::nullopt;
 }
 
-// With nothing out and nothing to say, what the proxy has is the set itself but for what it refused.
-void Session::settle(ResourceType type, Subscription& state, bool complete) {
-  state.synced = complete ? target_->number : 0;
-  if (!complete || !state.refused.empty()) return;
-  std::erase_if(state.differs, [&](const auto& one) {
-    ResourcePtr now = find(target_.get(), type, one.first);
-    return now ? now->version == one.second.version || !state.wants(one.first) : one.second.version.empty();
+// Called when no response is pending or needed: the proxy then has the target set itself, except for
+// rejected resources.
+void Session::record_synced(ResourceType type, Subscription& state, bool complete) {
+  state.synced_publication = complete ? target_->number : 0;
+  if (!complete || !state.rejected.empty()) return;
+  std::erase_if(state.differences, [&](const auto& one) {
+    ResourcePtr in_target = find(target_.get(), type, one.first);
+    return in_target ? in_target->version == one.second.version || !state.wants(one.first)
+                     : one.second.version.empty();
   });
-  state.base = target_;
+  state.accepted_set = target_;
 }
 
-// Endpoints, routes and runtime layers stay until something else is said of them, so only what changed goes
-// out in either form; clusters and listeners are told whole in the older one.
-std::optional<Response> Session::answer(ResourceType type, Subscription& state) {
-  if (state.synced == target_->number && state.unanswered.empty() && !state.must_answer) return std::nullopt;
-  Plan plan = this->plan(type, state);
-  const bool whole = form_ == ProtocolVariant::kStateOfTheWorld && told_whole(type);
-  for (const std::string& name : std::exchange(state.unanswered, {})) {
-    if (!target_->of(type).contains(name)) plan.gone.push_back(name);
+// Proxies keep endpoints, routes and runtime layers until an update replaces them, so only changes are sent
+// in both protocol variants. Clusters and listeners are sent as full state in state of the world.
+std::optional<Response> Session::make_response(ResourceType type, Subscription& state) {
+  if (state.synced_publication == target_->number && state.names_to_answer.empty() &&
+      !state.response_required)
+    return std::nullopt;
+  ResponsePlan plan = this->plan_response(type, state);
+  const bool full_state = variant_ == ProtocolVariant::kStateOfTheWorld && requires_full_state(type);
+  for (const std::string& name : std::exchange(state.names_to_answer, {})) {
+    if (!target_->of(type).contains(name)) plan.removed.push_back(name);
   }
-  bool owed = std::exchange(state.must_answer, false) && whole;
-  bool silent = form_ == ProtocolVariant::kStateOfTheWorld && !whole;  // no way to say that something is gone
-  if (plan.changed.empty() && !owed && (plan.gone.empty() || silent)) {
-    for (const std::string& name : plan.gone) state.differs[name] = {};
-    settle(type, state, plan.complete);
+  bool empty_response_required = std::exchange(state.response_required, false) && full_state;
+  // In state of the world only a full-state response can express a removal.
+  bool cannot_report_removal = variant_ == ProtocolVariant::kStateOfTheWorld && !full_state;
+  if (plan.changed.empty() && !empty_response_required && (plan.removed.empty() || cannot_report_removal)) {
+    for (const std::string& name : plan.removed) state.differences[name] = {};
+    record_synced(type, state, plan.complete);
     return std::nullopt;
   }
-  state.synced = plan.complete ? target_->number : 0;
+  state.synced_publication = plan.complete ? target_->number : 0;
   Response response;
   response.type = type;
   response.version = target_->versions[static_cast<std::size_t>(type)];
-  if (!state.refused.empty()) response.version += "-held-" + std::to_string(state.refused.size());
-  response.nonce = std::to_string(++state.answers);
-  response.resources = whole ? std::move(plan.whole) : std::move(plan.changed);
-  if (form_ == ProtocolVariant::kDelta) response.removed = plan.gone;
-  state.pending = Pending{response.nonce, response.resources, std::move(plan.gone)};
+  if (!state.rejected.empty()) response.version += "-held-" + std::to_string(state.rejected.size());
+  response.nonce = std::to_string(++state.response_count);
+  response.resources = full_state ? std::move(plan.all) : std::move(plan.changed);
+  if (variant_ == ProtocolVariant::kDelta) response.removed = plan.removed;
+  state.pending = Pending{response.nonce, response.resources, std::move(plan.removed)};
   return response;
 }
 
-// ---- How it stands
+// ---- Status
 
-std::uint64_t Session::applied() {
-  if (!target_ || !routes()) return 0;
+std::uint64_t Session::applied_publication() {
+  if (!target_ || !subscribes_to_routes()) return 0;
   for (ResourceType type : {ResourceType::kRoutes, ResourceType::kClusters, ResourceType::kEndpoints}) {
-    const Subscription& state = of(type);
+    const Subscription& state = subscription(type);
     if (!state.subscribed) continue;
-    if (state.pending || !state.refused.empty() || state.synced != target_->number) return applied_;
+    if (state.pending || !state.rejected.empty() || state.synced_publication != target_->number)
+      return applied_;
   }
   return applied_ = target_->number;
 }
@@ -414,8 +436,8 @@
 std::vector<RejectedResource> Session::rejected_resources() const {
   std::vector<RejectedResource> out;
   for (ResourceType type : kAllTypes) {
-    for (const auto& [name, refused] : of(type).refused) {
-      out.push_back({type, name, refused.first, refused.second});
+    for (const auto& [name, rejected] : subscription(type).rejected) {
+      out.push_back({type, name, rejected.first, rejected.second});
     }
   }
   return out;
--- a/src/xds/session.h
+++ b/src/xds/session.h
@@ -1,11 +1,12 @@
-// One proxy's stream of aggregated discovery: what it asked for, what it has, what it refused. No I/O.
+// State machine of one proxy's aggregated discovery (ADS) stream: its subscriptions, the resources it has
+// and the resources it rejected. No I/O.
 //
-// Both forms of the protocol are one machine here: state of the world, where an answer lists all that is
-// wanted of a type, and delta, where it lists what changed. For each type at most one answer is out, so that
-// a proxy that does not read costs what it has already got, and skips to the newest set when it reads again.
+// Handles both protocol variants: state of the world, where a response lists all wanted resources of a
+// type, and delta, where it lists the changes. At most one response per type is pending, so that a proxy
+// that doesn't read occupies a bounded amount of memory, and skips to the newest set when it reads again.
 //
-// Make before break: routes that refer to a cluster are held until the proxy has accepted that cluster and
-// its endpoints, and clusters that are no longer in the set stay until the proxy has accepted routes without
+// Make before break: routes that refer to a cluster are withheld until the proxy has accepted that cluster
+// and its endpoints, and clusters that have left the set stay until the proxy has accepted routes without
 // them.
 #pragma once
 
@@ -19,19 +20,21 @@
 
 enum class ProtocolVariant { kStateOfTheWorld, kDelta };
 
-// A request in either form, as it was read.
+// A parsed request of either protocol variant.
 struct Request {
   ResourceType type = ResourceType::kClusters;
   std::string nonce;
-  std::optional<std::string> error;  // the proxy refuses the answer with this nonce
-  // State of the world: all names that are wanted.
+  std::optional<std::string> error;  // set: NACK of the response with this nonce
+  // State of the world: all names subscribed to.
   std::vector<std::string> names;
   // Delta.
   std::vector<std::string> subscribe;
   std::vector<std::string> unsubscribe;
-  std::map<std::string, std::string> has;  // names and versions from before this stream
+  // name -> version, of resources the proxy had before this stream
+  std::map<std::string, std::string> known_versions;
 };
 
+// A response of either protocol variant, before it is encoded.
 struct Response {
   ResourceType type = ResourceType::kClusters;
   std::string version;
@@ -40,10 +43,11 @@
   std::vector<std::string> removed;  // delta only
 };
 
-// Why a stream is ended by us.
+// Why the control service closes a stream.
 enum class StreamError { kNone, kTooManyNames, kTooManyRequests };
-const char* name_of(StreamError fault);
+const char* name_of(StreamError error);
 
+// A resource that the proxy rejected by a NACK, with the proxy's reason.
 struct RejectedResource {
   ResourceType type;
   std::string resource;
@@ -51,96 +55,106 @@
   std::string reason;
 };
 
+// Not thread-safe: SessionTable's owner serialises the calls.
 class Session {
  public:
-  explicit Session(ProtocolVariant variant) : form_(variant) {}
+  explicit Session(ProtocolVariant variant) : variant_(variant) {}
 
-  // Who is served: it decides which subsets of services it is told of. Before the first set is offered.
+  // Selects the subsets of services that the proxy receives. Must be called before the first set_target().
   void set_caller(const Caller& caller) { caller_ = caller; }
-  // A newer set. The one before is let go of as soon as nothing of it is needed.
-  void offer(std::shared_ptr<const ResourceSet> set);
+  // Sets the resource set that the proxy is to reach. The previous set is released once nothing of it is
+  // needed.
+  void set_target(std::shared_ptr<const ResourceSet> set);
+  // Processes a request at the time `now` (monotonic). Returns why the stream must be closed, or kNone.
   StreamError request(const Request& request, Nanos now);
-  // What should be written next; nothing where the proxy must answer first, or has all there is.
+  // Returns the next response to write; nothing if an ACK or NACK must come first, or the proxy is up to
+  // date.
   std::optional<Response> next();
 
-  // The publication that the proxy has applied whole; 0 = none yet.
-  std::uint64_t applied();
-  // It has asked for routes, so that it may send requests.
-  bool routes() const { return of(ResourceType::kRoutes).subscribed; }
+  // The number of the last publication that the proxy has applied completely; 0 = none yet.
+  std::uint64_t applied_publication();
+  // Only a proxy that has subscribed to routes may send requests by them.
+  bool subscribes_to_routes() const { return subscription(ResourceType::kRoutes).subscribed; }
   std::vector<RejectedResource> rejected_resources() const;
   std::uint64_t acks() const { return acks_; }
   std::uint64_t nacks() const { return nacks_; }
-  ProtocolVariant variant() const { return form_; }
+  ProtocolVariant variant() const { return variant_; }
 
  private:
-  // What the proxy has under a name.
-  struct Has {
-    std::string version;   // empty: nothing, or it must be told again
-    ResourcePtr resource;  // null where only the version is known, from before this stream
+  // The version of a resource that the proxy has accepted.
+  struct KnownResource {
+    std::string version;   // empty: none, or it must be sent again
+    ResourcePtr resource;  // null if only the version is known, from before this stream
   };
   struct Pending {
     std::string nonce;
     std::vector<ResourcePtr> resources;
     std::vector<std::string> removed;
   };
-  // What the proxy has accepted is a set that all proxies share, and what differs from that.
+  // State of one resource type. The resources that the proxy has accepted are those of `accepted_set`,
+  // which all sessions share, except for `differences`.
   struct Subscription {
     bool subscribed = false;
     bool wildcard = false;
-    std::vector<std::string> names;    // in order
-    std::set<std::string> unanswered;  // delta: names to be told of, whatever there is
-    bool must_answer = false;          // state of the world: an answer is owed even if nothing changed
-    std::shared_ptr<const ResourceSet> base;
-    std::map<std::string, Has> differs;
+    std::vector<std::string> names;  // sorted
+    // delta: requested names that need a response, even if they don't exist
+    std::set<std::string> names_to_answer;
+    // State of the world: a response is due even if nothing changed.
+    bool response_required = false;
+    std::shared_ptr<const ResourceSet> accepted_set;
+    std::map<std::string, KnownResource> differences;
     std::optional<Pending> pending;
-    std::uint64_t answers = 0;
-    std::uint64_t synced = 0;  // with nothing out: the proxy has all it can have of this set
-    std::map<std::string, std::pair<std::string, std::string>> refused;  // name -> version, reason
+    std::uint64_t response_count = 0;
+    // The publication that the proxy is up to date with once no response is pending; 0 = none.
+    std::uint64_t synced_publication = 0;
+    std::map<std::string, std::pair<std::string, std::string>> rejected;  // name -> version, reason
 
     bool wants(const std::string& name) const;
-    bool has_any(ResourceType type, const std::string& name) const;
+    bool has_resource(ResourceType type, const std::string& name) const;
   };
-  // What should go out of one type, were it told now.
-  struct Plan {
-    std::vector<ResourcePtr> whole;    // all that the proxy should have
-    std::vector<ResourcePtr> changed;  // of that
-    std::vector<std::string> gone;
-    bool complete = true;  // nothing is held back for the sake of order
+  // The content of a response of one type, if it were sent now.
+  struct ResponsePlan {
+    std::vector<ResourcePtr> all;      // every resource the proxy should have
+    std::vector<ResourcePtr> changed;  // the part of `all` that it lacks
+    std::vector<std::string> removed;
+    bool complete = true;  // false: resources are withheld, or kept, to preserve the update order
   };
 
-  Subscription& of(ResourceType type) { return subscriptions_[static_cast<std::size_t>(type)]; }
-  const Subscription& of(ResourceType type) const { return subscriptions_[static_cast<std::size_t>(type)]; }
+  Subscription& subscription(ResourceType type) { return subscriptions_[static_cast<std::size_t>(type)]; }
+  const Subscription& subscription(ResourceType type) const {
+    return subscriptions_[static_cast<std::size_t>(type)];
+  }
 
-  // What this caller is told of a set under a name; null where there is nothing.
+  // The resource of a set that this caller receives under a name; null if there is none.
   ResourcePtr find(const ResourceSet* set, ResourceType type, const std::string& name) const;
-  Has has(ResourceType type, const std::string& name) const;
+  KnownResource known_resource(ResourceType type, const std::string& name) const;
   bool has_version(ResourceType type, const Resource& resource) const;
 
-  void handle(Subscription& state, const Request& request);
-  void accept(Subscription& state, ResourceType type);
+  void handle_request(Subscription& state, const Request& request);
+  void handle_ack(Subscription& state, ResourceType type);
   void forget_endpoints(const std::string& cluster);
-  void refuse(Subscription& state, ResourceType type, const std::string& reason);
-  void subscribe(Subscription& state, const Request& request, bool first);
-  static void drop(Subscription& state, const std::string& name);
+  void handle_nack(Subscription& state, ResourceType type, const std::string& reason);
+  void update_subscription(Subscription& state, const Request& request, bool is_first);
+  static void unsubscribe(Subscription& state, const std::string& name);
 
-  bool usable(const Resource& routes) const;
-  bool routes_settled() const;
+  bool references_accepted(const Resource& routes) const;
+  bool routes_up_to_date() const;
   bool has_cluster(const std::string& name) const;
-  bool only_news(ResourceType type, const Subscription& state) const;
-  Plan plan(ResourceType type, const Subscription& state) const;
+  bool only_changes_needed(ResourceType type, const Subscription& state) const;
+  ResponsePlan plan_response(ResourceType type, const Subscription& state) const;
   template <class Visit>
   void for_each_wanted_change(ResourceType type, const Subscription& state, Visit visit) const;
   template <class Visit>
-  void for_each_in_base(ResourceType type, const Subscription& state, Visit visit) const;
-  std::optional<Response> answer(ResourceType type, Subscription& state);
-  void settle(ResourceType type, Subscription& state, bool complete);
+  void for_each_accepted_name(ResourceType type, const Subscription& state, Visit visit) const;
+  std::optional<Response> make_response(ResourceType type, Subscription& state);
+  void record_synced(ResourceType type, Subscription& state, bool complete);
 
-  ProtocolVariant form_;
+  ProtocolVariant variant_;
   Caller caller_;
   std::shared_ptr<const ResourceSet> target_;
-  std::array<Subscription, kTypes> subscriptions_;
+  std::array<Subscription, kTypeCount> subscriptions_;
   DecayingSum requests_{kSecond};
-  bool routes_once_ = false;  // the proxy has accepted routes on this stream
+  bool has_accepted_routes_ = false;  // on this stream
   std::uint64_t applied_ = 0;
   std::uint64_t acks_ = 0;
   std::uint64_t nacks_ = 0;
--- a/src/xds/subset_resources.cpp
+++ b/src/xds/subset_resources.cpp
@@ -12,49 +12,51 @@
 SubsetResources::SubsetResources(const routing::RequestClassRoute& request_class, PlacementPtr placement,
                                  const SubsetResources* before)
     : cluster_(request_class_cluster_name(request_class.name)),
-      service_(routing::service_key(request_class.name)),
-      dropped_(dropped_of(request_class)),
+      service_key_(routing::service_key(request_class.name)),
+      drop_share_(drop_share_of(request_class)),
       placement_(std::move(placement)),
-      made_(placement_->serving.size()) {
-  if (!before || before->dropped_ != dropped_) return;
+      serialised_(placement_->nodes_by_subset.size()) {
+  if (!before || before->drop_share_ != drop_share_) return;
   std::lock_guard lock(before->mutex_);
-  const std::size_t both = std::min(made_.size(), before->made_.size());
-  for (std::size_t subset = 0; subset < both; ++subset) {
-    if (placement_->serving[subset] == before->placement_->serving[subset])
-      made_[subset] = before->made_[subset];
+  const std::size_t common_count = std::min(serialised_.size(), before->serialised_.size());
+  for (std::size_t subset = 0; subset < common_count; ++subset) {
+    if (placement_->nodes_by_subset[subset] == before->placement_->nodes_by_subset[subset])
+      serialised_[subset] = before->serialised_[subset];
   }
 }
 
 ResourcePtr SubsetResources::at(std::size_t subset) const {
   std::lock_guard lock(mutex_);
-  ResourcePtr& made = made_[subset];
+  ResourcePtr& made = serialised_[subset];
   if (!made) {
     made = make_resource(ResourceType::kEndpoints, cluster_,
-                         service_endpoints(cluster_, *placement_->serving[subset], dropped_), {});
+                         service_endpoints(cluster_, *placement_->nodes_by_subset[subset], drop_share_), {});
   }
   return made;
 }
 
-ResourcePtr SubsetResources::of(const Caller& caller) const {
-  return at(placement_->subsets->subset_of_caller(caller.key, service_));
+ResourcePtr SubsetResources::for_caller(const Caller& caller) const {
+  return at(placement_->subsets->subset_of_caller(caller.key, service_key_));
 }
 
-std::size_t SubsetResources::made() const {
+std::size_t SubsetResources::serialised_count() const {
   std::lock_guard lock(mutex_);
-  return made_.size() - static_cast<std::size_t>(std::count(made_.begin(), made_.end(), nullptr));
+  return serialised_.size() -
+         static_cast<std::size_t>(std::count(serialised_.begin(), serialised_.end(), nullptr));
 }
 
-std::string SubsetResources::fault() const {
+std::string SubsetResources::find_fault() const {
   for (std::size_t subset = 0; subset < count(); ++subset) {
-    if (placement_->serving[subset]->empty()) return "subset " + std::to_string(subset) + " has no endpoints";
+    if (placement_->nodes_by_subset[subset]->empty())
+      return "subset " + std::to_string(subset) + " has no endpoints";
   }
   return "";
 }
 
-ResourcePtr make_subset_resource(const routing::RequestClassRoute& request_class,
-                                 const PlacementPtr& placement, const Resource* before) {
+ResourcePtr make_subsets_resource(const routing::RequestClassRoute& request_class,
+                                  const PlacementPtr& placement, const Resource* before) {
   std::string content =
-      request_class.name + ' ' + hex(placement->digest) + ' ' + std::to_string(dropped_of(request_class));
+      request_class.name + ' ' + hex(placement->digest) + ' ' + std::to_string(drop_share_of(request_class));
   auto made = std::make_shared<Resource>();
   made->name = request_class_cluster_name(request_class.name);
   made->version = hex(XXH3_64bits(content.data(), content.size()));
@@ -63,8 +65,8 @@
   return made;
 }
 
-ResourcePtr resolved(const ResourcePtr& resource, const Caller& caller) {
-  return resource && resource->subsets ? resource->subsets->of(caller) : resource;
+ResourcePtr resource_for_caller(const ResourcePtr& resource, const Caller& caller) {
+  return resource && resource->subsets ? resource->subsets->for_caller(caller) : resource;
 }
 
 }  // namespace myrtlecroft::xds
--- a/src/xds/subset_resources.h
+++ b/src/xds/subset_resources.h
@@ -1,8 +1,8 @@
-// The endpoints of a service with subsets: one resource for each subset, serialised when the first caller
-// asks for it, and then shared by all callers of that subset.
+// The endpoints of a service with subsets: one resource per subset, serialised when the first caller asks
+// for it and then shared by all callers of that subset.
 //
-// All subsets of all services together would be many times the fleet: a control service makes those that its
-// own callers use.
+// All subsets of all services together would be many times the size of the fleet, so each replica
+// serialises only those that its own callers use.
 #pragma once
 
 #include <mutex>
@@ -13,32 +13,33 @@
 
 namespace myrtlecroft::xds {
 
-// May be used from any thread.
+// Safe for use by several threads.
 class SubsetResources {
  public:
-  // What was serialised already, and is the same, is taken over from `before`.
+  // Takes the serialised resources that are still equal from `before` (may be null).
   SubsetResources(const routing::RequestClassRoute& request_class, PlacementPtr placement,
                   const SubsetResources* before);
 
-  std::size_t count() const { return placement_->serving.size(); }
+  std::size_t count() const { return placement_->nodes_by_subset.size(); }
+  // The endpoints of one subset; serialises them on first use.
   ResourcePtr at(std::size_t subset) const;
-  ResourcePtr of(const Caller& caller) const;
-  // How many are serialised.
-  std::size_t made() const;
-  // As one line; empty where every subset has endpoints.
-  std::string fault() const;
+  ResourcePtr for_caller(const Caller& caller) const;
+  // The number of subsets serialised so far.
+  std::size_t serialised_count() const;
+  // Describes in one line a subset without endpoints; empty if there is none.
+  std::string find_fault() const;
 
  private:
   std::string cluster_;
-  std::uint64_t service_;
-  std::uint32_t dropped_;
+  std::uint64_t service_key_;
+  std::uint32_t drop_share_;
   PlacementPtr placement_;
   mutable std::mutex mutex_;
-  mutable std::vector<ResourcePtr> made_;  // null: nobody has asked for it yet
+  mutable std::vector<ResourcePtr> serialised_;  // null: not requested yet
 };
 
-// What stands for all of them in a set. Its version tells of a change in any.
-ResourcePtr make_subset_resource(const routing::RequestClassRoute& request_class,
-                                 const PlacementPtr& placement, const Resource* before);
+// Makes the resource that represents all subsets in a set. Its version changes if any subset changes.
+ResourcePtr make_subsets_resource(const routing::RequestClassRoute& request_class,
+                                  const PlacementPtr& placement, const Resource* before);
 
 }  // namespace myrtlecroft::xds
--- a/src/xds/wire.cpp
+++ b/src/xds/wire.cpp
@@ -11,7 +11,7 @@
 bool read_common(const Message& message, ParsedRequest& out) {
   out.node = message.node().id();
   out.zone = message.node().locality().zone();
-  auto type = type_of(message.type_url());
+  auto type = type_from_url(message.type_url());
   if (!type) return false;
   out.request.emplace();
   out.request->type = *type;
@@ -35,10 +35,10 @@
   if (!read_common(message, out)) return true;
   const auto& subscribe = message.resource_names_subscribe();
   const auto& unsubscribe = message.resource_names_unsubscribe();
-  const auto& has = message.initial_resource_versions();
+  const auto& known_versions = message.initial_resource_versions();
   out.request->subscribe.assign(subscribe.begin(), subscribe.end());
   out.request->unsubscribe.assign(unsubscribe.begin(), unsubscribe.end());
-  out.request->has.insert(has.begin(), has.end());
+  out.request->known_versions.insert(known_versions.begin(), known_versions.end());
   return true;
 }
 
--- a/tests/session_gate_test.cpp
+++ b/tests/session_gate_test.cpp
@@ -1,4 +1,5 @@
-// Which proxies are served, where several replicas agree on it.
+// Tests of the session table's gate: which proxies are served when several replicas share the control
+// service.
 #include <gtest/gtest.h>
 
 #include "xds/session_table.h"
@@ -6,9 +7,9 @@
 namespace myrtlecroft {
 namespace {
 
-// A set with nothing in it but its number.
+// Uses resource sets whose only content is their number.
 struct SessionGateTest : testing::Test {
-  static std::shared_ptr<const xds::ResourceSet> set(std::uint64_t number) {
+  static std::shared_ptr<const xds::ResourceSet> set_with_number(std::uint64_t number) {
     auto out = std::make_shared<xds::ResourceSet>();
     out->number = number;
     auto one = std::make_shared<xds::Resource>();
@@ -17,7 +18,7 @@
     out->by_type[static_cast<std::size_t>(xds::ResourceType::kListeners)]["fleet"] = one;
     return out;
   }
-  std::string asks(const std::string& id, Nanos now) {
+  std::string version_received(const std::string& id, Nanos now) {
     xds::StreamId stream = table.open(xds::ProtocolVariant::kStateOfTheWorld, "peer");
     xds::Request request;
     request.type = xds::ResourceType::kListeners;
@@ -35,26 +36,27 @@
   xds::StreamId last_stream = 0;
 };
 
-TEST_F(SessionGateTest, ProxyThatIsNotAgreedOnGetsNothing) {
-  table.publish(set(1));
+TEST_F(SessionGateTest, ProxyOutsideTheServedSetGetsNothing) {
+  table.publish(set_with_number(1));
   table.gate({.served = {"p"}, .fresh_until = 100, .closed = nullptr}, 0);
-  EXPECT_EQ(asks("q", 50), "nothing");
-  EXPECT_EQ(asks("p", 50), "1");
+  EXPECT_EQ(version_received("q", 50), "nothing");
+  EXPECT_EQ(version_received("p", 50), "1");
 }
 
 TEST_F(SessionGateTest, NewStreamGetsNoOpenShardWithoutAQuorum) {
-  table.publish(set(1));
-  table.gate({.served = {"p"}, .fresh_until = 100, .closed = set(9)}, 0);
-  EXPECT_EQ(asks("p", 101), "9");
+  table.publish(set_with_number(1));
+  table.gate({.served = {"p"}, .fresh_until = 100, .closed = set_with_number(9)}, 0);
+  EXPECT_EQ(version_received("p", 101), "9");
 }
 
-// What a fleet waited for after a start, once in five: its first set, closed because the instance was just
-// then out of touch, stayed so until something else changed.
+// Guards against a failure seen in about one in five fleet starts: a proxy's first set had all shards
+// closed because the replica was out of touch with the quorum at that moment, and it was not replaced until
+// something else changed.
 TEST_F(SessionGateTest, StreamGetsOpenShardsOnceTheQuorumReturnsWithoutAnotherChange) {
-  table.publish(set(1));
-  table.gate({.served = {"p"}, .fresh_until = 100, .closed = set(9)}, 0);
-  EXPECT_EQ(asks("p", 101), "9");
-  table.gate({.served = {"p"}, .fresh_until = 300, .closed = set(9)}, 200);
+  table.publish(set_with_number(1));
+  table.gate({.served = {"p"}, .fresh_until = 100, .closed = set_with_number(9)}, 0);
+  EXPECT_EQ(version_received("p", 101), "9");
+  table.gate({.served = {"p"}, .fresh_until = 300, .closed = set_with_number(9)}, 200);
   auto response = table.next(last_stream);
   ASSERT_TRUE(response && !response->resources.empty());
   EXPECT_EQ(response->resources[0]->version, "1");
--- a/tests/xds_cost_test.cpp
+++ b/tests/xds_cost_test.cpp
@@ -1,4 +1,4 @@
-// What a publication costs for callers that ask for few of many services.
+// Tests the cost of a publication for callers that subscribe to few of many services.
 #include <gtest/gtest.h>
 
 #include "../measure/capacity/cost.h"
@@ -13,10 +13,11 @@
 constexpr int kFewServices = 10;
 constexpr int kCallers = 20;
 constexpr int kPublications = 20;
-constexpr double kMaxTimes = 30;
+// Limit on the cost with kManyServices relative to kFewServices.
+constexpr double kMaxCostRatio = 30;
 
-routing::Snapshot with_services(int services) {
-  routing::Snapshot out = picture();
+routing::Snapshot snapshot_with_services(int services) {
+  routing::Snapshot out = sample_snapshot();
   out.service_listeners = true;
   for (int i = 0; i < services; ++i) {
     std::string name = "service-" + std::to_string(i);
@@ -25,42 +26,43 @@
   return out;
 }
 
-// Of callers that look after each publication, and have not acknowledged the one before when the next comes:
-// what they need is then told from the whole set.
-double cpu_of_callers(int services) {
-  Wires wires;
-  routing::Snapshot snapshot = with_services(services);
-  std::vector<std::shared_ptr<const ResourceSet>> sets = {
-      wires.publish(snapshot)};  // freeing them is no caller's cost
-  std::vector<Wires::Link> callers;
+// Returns the CPU time that all callers take for kPublications pairs of publications. A caller has not
+// acknowledged the first of a pair when the second comes, so its update is computed from the whole set.
+double cpu_seconds_of_callers(int services) {
+  DiscoveryHarness harness;
+  routing::Snapshot snapshot = snapshot_with_services(services);
+  // Kept until the end, so that freeing a set is not measured.
+  std::vector<std::shared_ptr<const ResourceSet>> sets = {harness.publish(snapshot)};
+  std::vector<DiscoveryHarness::Proxy> callers;
   for (int i = 0; i < kCallers; ++i)
     callers.emplace_back(i % 2 == 0, "p" + std::to_string(i), std::vector<std::string>{"service-1"});
-  for (Wires::Link& caller : callers) {
-    wires.connect(caller);
-    wires.settle(caller);
+  for (DiscoveryHarness::Proxy& caller : callers) {
+    harness.connect(caller);
+    harness.run_until_idle(caller);
   }
-  double used = 0;
+  double cpu_seconds = 0;
   for (int i = 0; i < kPublications; ++i) {
     snapshot.request_classes[4].admitted = static_cast<std::uint32_t>(5000 + i);  // service-1
-    sets.push_back(wires.publish(snapshot));
-    double begun = thread_cpu_seconds();
-    for (Wires::Link& caller : callers) wires.write(caller);
-    used += thread_cpu_seconds() - begun;
-    snapshot.request_classes[5].admitted = static_cast<std::uint32_t>(5000 + i);  // another one
-    sets.push_back(wires.publish(snapshot));
-    begun = thread_cpu_seconds();
-    for (Wires::Link& caller : callers) wires.settle(caller);
-    used += thread_cpu_seconds() - begun;
-    for (Wires::Link& caller : callers) EXPECT_EQ(caller.client.half_applied(), 0);
+    sets.push_back(harness.publish(snapshot));
+    double start = thread_cpu_seconds();
+    for (DiscoveryHarness::Proxy& caller : callers) harness.write_response(caller);
+    cpu_seconds += thread_cpu_seconds() - start;
+    snapshot.request_classes[5].admitted = static_cast<std::uint32_t>(5000 + i);  // another service
+    sets.push_back(harness.publish(snapshot));
+    start = thread_cpu_seconds();
+    for (DiscoveryHarness::Proxy& caller : callers) harness.run_until_idle(caller);
+    cpu_seconds += thread_cpu_seconds() - start;
+    for (DiscoveryHarness::Proxy& caller : callers) EXPECT_EQ(caller.client.half_applied(), 0);
   }
-  return used;
+  return cpu_seconds;
 }
 
-// Each caller went through all services of the set before at each publication: 140 times the cost, at 400
-// times the services. What remains is a search in larger maps, 6 to 11 times.
-TEST(CostOfPublications, ACallerOfOneServiceDoesNotGoThroughAllOthers) {
-  double few = cpu_of_callers(kFewServices);
-  EXPECT_LT(cpu_of_callers(kManyServices), kMaxTimes * few);
+// Guards against a publication making each caller iterate over all services of the previous set: that cost
+// 140 times as much with 400 times the services. The remaining factor of 6 to 11 comes from lookups in
+// larger maps.
+TEST(PublicationCost, CallerOfOneServiceDoesNotIterateOverAllServices) {
+  double few = cpu_seconds_of_callers(kFewServices);
+  EXPECT_LT(cpu_seconds_of_callers(kManyServices), kMaxCostRatio * few);
 }
 
 }  // namespace
--- a/tests/xds_gate_test.cpp
+++ b/tests/xds_gate_test.cpp
@@ -1,4 +1,5 @@
-// Which streams are served at which moment, where several instances decide as one.
+// Tests when a gated stream is served and with which resource set. The gate limits what is served while
+// several replicas share the control service.
 #include <gtest/gtest.h>
 
 #include "../standin/ads_client.h"
@@ -8,7 +9,7 @@
 namespace myrtlecroft::xds {
 namespace {
 
-std::shared_ptr<const ResourceSet> set_of(int owner) {
+std::shared_ptr<const ResourceSet> set_with_owner(int owner) {
   routing::PublishedSnapshot out{.number = 1, .snapshot = {}};
   routing::Snapshot& snapshot = out.snapshot;
   snapshot.listener = "fleet";
@@ -26,10 +27,10 @@
 
 struct GatedStream {
   GatedStream() {
-    table.publish(whole);
+    table.publish(complete);
     table.gate({.served = {"p1"}, .fresh_until = kSecond, .closed = nullptr}, 0);
   }
-  void come(const std::string& id, Nanos now) {
+  void open_stream(const std::string& id, Nanos now) {
     standin::AdsClient client(false, id, "a");
     stream = table.open(ProtocolVariant::kStateOfTheWorld, "peer");
     for (const std::string& bytes : client.open_stream()) {
@@ -38,37 +39,38 @@
       ASSERT_EQ(table.request(stream, read.node, read.zone, *read.request, now), StreamError::kNone);
     }
   }
-  bool served() { return table.next(stream).has_value(); }
+  bool receives_response() { return table.next(stream).has_value(); }
 
-  std::shared_ptr<const ResourceSet> whole = set_of(0);
-  std::shared_ptr<const ResourceSet> closed = set_of(routing::kClosed);
+  std::shared_ptr<const ResourceSet> complete = set_with_owner(0);
+  std::shared_ptr<const ResourceSet> closed = set_with_owner(routing::kClosed);
   SessionTable table{[](const std::string&) {}};
   StreamId stream = 0;
 };
 
-TEST(Gate, AStreamThatCameWhileNothingWasFreshIsServedOnceTheGateIsFreshAgain) {
+TEST(SessionGate, StreamOpenedAfterTheGateExpiredIsServedOnceItIsExtended) {
   GatedStream gated;
-  gated.come("p1", 2 * kSecond);
-  EXPECT_FALSE(gated.served());
-  EXPECT_FALSE(gated.table.extend_gate(kSecond, nullptr, 2 * kSecond)) << "nothing to offer yet";
+  gated.open_stream("p1", 2 * kSecond);
+  EXPECT_FALSE(gated.receives_response());
+  EXPECT_FALSE(gated.table.extend_gate(kSecond, nullptr, 2 * kSecond)) << "the gate is still expired";
   EXPECT_TRUE(gated.table.extend_gate(3 * kSecond, nullptr, 2 * kSecond));
-  EXPECT_TRUE(gated.served());
-  EXPECT_FALSE(gated.table.extend_gate(3 * kSecond, nullptr, 2 * kSecond)) << "it has all there is";
+  EXPECT_TRUE(gated.receives_response());
+  EXPECT_FALSE(gated.table.extend_gate(3 * kSecond, nullptr, 2 * kSecond))
+      << "the stream already has the complete set";
 }
 
-TEST(Gate, AStreamThatHasTheClosedSetGetsTheWholeOneOnceTheGateIsFreshAgain) {
+TEST(SessionGate, StreamWithTheClosedSetGetsTheCompleteSetOnceTheGateIsExtended) {
   GatedStream gated;
-  gated.come("p1", 2 * kSecond);
+  gated.open_stream("p1", 2 * kSecond);
   EXPECT_TRUE(gated.table.extend_gate(0, gated.closed, 2 * kSecond));
   EXPECT_FALSE(gated.table.extend_gate(0, gated.closed, 2 * kSecond));
   EXPECT_TRUE(gated.table.extend_gate(3 * kSecond, gated.closed, 2 * kSecond));
 }
 
-TEST(Gate, AStreamOfAProxyThatIsNotServedGetsNothing) {
+TEST(SessionGate, StreamOfAnUnservedProxyGetsNothing) {
   GatedStream gated;
-  gated.come("p2", 0);
+  gated.open_stream("p2", 0);
   EXPECT_FALSE(gated.table.extend_gate(3 * kSecond, gated.closed, kSecond));
-  EXPECT_FALSE(gated.served());
+  EXPECT_FALSE(gated.receives_response());
 }
 
 }  // namespace
--- a/tests/xds_wires.h
+++ b/tests/xds_wires.h
@@ -1,4 +1,4 @@
-// One table of sessions and stand-in proxies, with queues in between that a test moves.
+// Test harness: a session table and stand-in proxies, with message queues in between that a test advances.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,9 @@
 
 namespace myrtlecroft::xds {
 
-inline routing::Snapshot picture(int nodes = 3, int first = 1) {
+// A fleet of `nodes` servers named from "n<first>", with an idempotent, a keyed and a mutating request
+// class.
+inline routing::Snapshot sample_snapshot(int nodes = 3, int first = 1) {
   routing::Snapshot out;
   out.listener = "fleet";
   out.shard_digits = 1;
@@ -43,18 +45,18 @@
   return out;
 }
 
-// One control service and its proxies, with queues in between that the story moves.
-struct Wires {
-  struct Link {
-    // `services`: listeners that it asks for by name; none: all there are.
-    Link(bool delta, std::string id, std::vector<std::string> services = {})
+// One control service. A test moves each message between it and a proxy by a deliver_ or write_ call.
+struct DiscoveryHarness {
+  struct Proxy {
+    // `services`: listeners to subscribe to by name; empty: all listeners.
+    Proxy(bool delta, std::string id, std::vector<std::string> services = {})
         : client(delta, id, "a", nullptr, std::move(services)),
           variant(delta ? ProtocolVariant::kDelta : ProtocolVariant::kStateOfTheWorld) {}
     standin::AdsClient client;
     ProtocolVariant variant;
     StreamId stream = 0;
-    std::deque<std::string> up;
-    std::deque<std::string> down;
+    std::deque<std::string> requests;
+    std::deque<std::string> responses;
   };
 
   std::shared_ptr<const ResourceSet> publish(const routing::Snapshot& snapshot) {
@@ -63,76 +65,79 @@
     table.publish(set);
     return set;
   }
-  void connect(Link& link) {
-    link.stream = table.open(link.variant, "peer");
-    link.up.clear();
-    link.down.clear();
-    for (std::string& bytes : link.client.open_stream()) link.up.push_back(std::move(bytes));
+  void connect(Proxy& proxy) {
+    proxy.stream = table.open(proxy.variant, "peer");
+    proxy.requests.clear();
+    proxy.responses.clear();
+    for (std::string& bytes : proxy.client.open_stream()) proxy.requests.push_back(std::move(bytes));
   }
-  void cut(Link& link) {
-    table.close(link.stream, now);
-    link.stream = 0;
-    link.up.clear();
-    link.down.clear();
+  void disconnect(Proxy& proxy) {
+    table.close(proxy.stream, now);
+    proxy.stream = 0;
+    proxy.requests.clear();
+    proxy.responses.clear();
   }
-  bool move_up(Link& link) {
-    if (link.up.empty()) return false;
+  bool deliver_request(Proxy& proxy) {
+    if (proxy.requests.empty()) return false;
     ParsedRequest read;
-    EXPECT_TRUE(read_request(link.variant, link.up.front().data(), link.up.front().size(), read));
-    link.up.pop_front();
-    EXPECT_EQ(table.request(link.stream, read.node, read.zone, *read.request, now), StreamError::kNone);
+    EXPECT_TRUE(
+        read_request(proxy.variant, proxy.requests.front().data(), proxy.requests.front().size(), read));
+    proxy.requests.pop_front();
+    EXPECT_EQ(table.request(proxy.stream, read.node, read.zone, *read.request, now), StreamError::kNone);
     return true;
   }
-  bool write(Link& link) {
-    if (link.stream == 0) return false;
-    auto response = table.next(link.stream);
+  bool write_response(Proxy& proxy) {
+    if (proxy.stream == 0) return false;
+    auto response = table.next(proxy.stream);
     if (!response) return false;
-    std::string bytes = encode_response_header(*response, link.variant);
+    std::string bytes = encode_response_header(*response, proxy.variant);
     for (const ResourcePtr& resource : response->resources)
-      bytes += encoded_resource(*resource, link.variant);
-    link.down.push_back(std::move(bytes));
-    ++answers;
+      bytes += encoded_resource(*resource, proxy.variant);
+    proxy.responses.push_back(std::move(bytes));
+    ++responses_sent;
     return true;
   }
-  bool move_down(Link& link) {
-    if (link.down.empty()) return false;
-    for (std::string& bytes : link.client.handle_response(link.down.front()))
-      link.up.push_back(std::move(bytes));
-    link.down.pop_front();
+  bool deliver_response(Proxy& proxy) {
+    if (proxy.responses.empty()) return false;
+    for (std::string& bytes : proxy.client.handle_response(proxy.responses.front()))
+      proxy.requests.push_back(std::move(bytes));
+    proxy.responses.pop_front();
     return true;
   }
-  void settle(Link& link) {
+  // Moves messages in both directions until none is left. Advances the clock by 1 ms per round.
+  void run_until_idle(Proxy& proxy) {
     for (int i = 0; i < 10'000; ++i) {
       now += kMs;
-      bool moved = move_up(link);
-      moved = write(link) || moved;
-      moved = move_down(link) || moved;
+      bool moved = deliver_request(proxy);
+      moved = write_response(proxy) || moved;
+      moved = deliver_response(proxy) || moved;
       if (!moved) return;
     }
-    FAIL() << "it never settles";
+    FAIL() << "messages are still being exchanged after 10000 rounds";
   }
 
-  SessionTable table{[this](const std::string& line) { lines.push_back(line); }};
-  std::vector<std::string> lines;
+  SessionTable table{[this](const std::string& line) { log_lines.push_back(line); }};
+  std::vector<std::string> log_lines;
   std::shared_ptr<const ResourceSet> set;
   std::uint64_t number = 0;
   Nanos now = kSecond;
-  int answers = 0;
+  int responses_sent = 0;
 };
 
-inline fleet::ServerList placed_on(fleet::ServerList::ServerIndices places) {
+inline fleet::ServerList server_list_of(fleet::ServerList::ServerIndices places) {
   return {std::make_shared<const fleet::ServerList::ServerIndices>(std::move(places))};
 }
 
-// "read" and "set" have subsets of ten of all servers, "near" runs on six, "write" has owners.
-inline routing::Snapshot subsetted(int nodes = 60) {
-  routing::Snapshot out = picture(nodes);
+// "read" and "set" have subsets of ten out of all servers, "near" runs on six servers, and "write" is
+// keyed, so that its requests go to shard owners.
+inline routing::Snapshot snapshot_with_subsets(int nodes = 60) {
+  routing::Snapshot out = sample_snapshot(nodes);
   for (std::size_t i = 0; i < out.nodes.size(); ++i) out.nodes[i].zone = i % 2 ? "a" : "b";
   out.service_listeners = true;
   out.request_classes[0].subset_size = 10;
   out.request_classes[2].subset_size = 10;
   out.request_classes.push_back(
-      {.name = "near", .path = "/near", .timeout = kSecond, .servers = placed_on({0, 1, 2, 3, 4, 5})});
+      {.name = "near", .path = "/near", .timeout = kSecond, .servers = server_list_of({0, 1, 2, 3, 4, 5})});
   return out;
 }
 
@@ -140,10 +145,11 @@
   return *set.of(ResourceType::kEndpoints).at(cluster)->subsets;
 }
 
-inline std::set<std::string> servers_of(const Wires::Link& link, const std::string& cluster) {
+// The names of the servers of a cluster, as the proxy has applied them.
+inline std::set<std::string> servers_of(const DiscoveryHarness::Proxy& proxy, const std::string& cluster) {
   std::set<std::string> out;
-  for (const auto& place : link.client.applied()->endpoints.at(cluster)->endpoints()) {
-    out.insert(place.locality().sub_zone());
+  for (const auto& locality : proxy.client.applied()->endpoints.at(cluster)->endpoints()) {
+    out.insert(locality.locality().sub_zone());
   }
   return out;
 }
