--- a/src/xds/endpoint_messages.cpp
+++ b/src/xds/endpoint_messages.cpp
@@ -41,7 +41,7 @@
 }
 
 endpoint::ClusterLoadAssignment service_endpoints(const std::string& cluster, const NodeList& nodes,
-                                                  std::uint32_t dropped) {
+                                                  std::uint32_t drop_share) {
   endpoint::ClusterLoadAssignment out;
   out.set_cluster_name(cluster);
   // xDS requires priorities to be consecutive, starting at 0.
@@ -51,10 +51,10 @@
     auto level = std::distance(priorities.begin(), priorities.find(node->priority));
     add_locality(out, *node, std::max(1u, node->weight), static_cast<std::uint32_t>(level));
   }
-  if (dropped > 0) {
+  if (drop_share > 0) {
     auto& drop = *out.mutable_policy()->add_drop_overloads();
     drop.set_category("fleet-short");
-    drop.mutable_drop_percentage()->set_numerator(dropped);
+    drop.mutable_drop_percentage()->set_numerator(drop_share);
     drop.mutable_drop_percentage()->set_denominator(envoy::type::v3::FractionalPercent::TEN_THOUSAND);
   }
   return out;
--- a/src/xds/endpoint_messages.h
+++ b/src/xds/endpoint_messages.h
@@ -17,10 +17,10 @@
 // answer that says that the request never ran and when to retry.
 std::uint32_t drop_share_of(const routing::RequestClassRoute& request_class);
 
-// Endpoints of the cluster of a request class. `dropped`: see drop_share_of().
+// Endpoints of the cluster of a request class. `drop_share`: see drop_share_of().
 envoy::config::endpoint::v3::ClusterLoadAssignment service_endpoints(const std::string& cluster,
                                                                      const NodeList& nodes,
-                                                                     std::uint32_t dropped);
+                                                                     std::uint32_t drop_share);
 // A server's own cluster keeps its endpoint whatever the server's health. The routes decide whether
 // requests are sent to it, and removing the endpoint before the routes change would fail requests in
 // flight.
--- a/src/xds/placement.cpp
+++ b/src/xds/placement.cpp
@@ -43,7 +43,7 @@
 PlacementTable::PlacementTable(const routing::Snapshot& snapshot, const PlacementTable* before)
     : nodes_(snapshot.nodes.size()),
       fingerprints_(snapshot.nodes.size()),
-      is_changed_(snapshot.nodes.size(), true),
+      server_changed_(snapshot.nodes.size(), true),
       all_indices_(snapshot.nodes.size()) {
   std::iota(all_indices_.begin(), all_indices_.end(), 0u);
   for (const NodeRoute& node : snapshot.nodes) in_flight_.push_back(node.in_flight);
@@ -53,10 +53,10 @@
     nodes_[index] = std::make_shared<const NodeRoute>(snapshot.nodes[index]);
     fingerprints_[index] = fingerprint_of(snapshot.nodes[index]);
   }
-  of_request_class_.reserve(snapshot.request_classes.size());
+  placement_by_class_.reserve(snapshot.request_classes.size());
   for (const routing::RequestClassRoute& request_class : snapshot.request_classes) {
     if (request_class.idempotency == Idempotency::kKeyed) {
-      of_request_class_.push_back(nullptr);
+      placement_by_class_.push_back(nullptr);
       continue;
     }
     PlacementPtr& shared = placements_[{request_class.servers.places.get(), request_class.subset_size}];
@@ -64,7 +64,7 @@
       shared = make_placement(snapshot, request_class, before);
       server_lists_.push_back(request_class.servers);
     }
-    of_request_class_.push_back(shared);
+    placement_by_class_.push_back(shared);
   }
 }
 
@@ -86,13 +86,14 @@
     nodes_[index] = old;
     bool same_index = index < before.nodes_.size() && before.nodes_[index] == old;
     fingerprints_[index] = same_index ? before.fingerprints_[index] : fingerprint_of(current);
-    is_changed_[index] = index >= before.in_flight_.size() || before.in_flight_[index] != current.in_flight;
+    server_changed_[index] =
+        index >= before.in_flight_.size() || before.in_flight_[index] != current.in_flight;
   }
 }
 
 bool PlacementTable::any_changed(const ServerIndices& servers) const {
-  return !same_server_order_ ||
-         std::any_of(servers.begin(), servers.end(), [&](std::uint32_t index) { return is_changed_[index]; });
+  return !same_server_order_ || std::any_of(servers.begin(), servers.end(),
+                                            [&](std::uint32_t index) { return server_changed_[index]; });
 }
 
 PlacementPtr PlacementTable::make_placement(const routing::Snapshot& snapshot,
--- a/src/xds/placement.h
+++ b/src/xds/placement.h
@@ -32,13 +32,13 @@
 
   // The placement of the request class at this index; null for a keyed class, which is routed to shard
   // owners.
-  const PlacementPtr& of_request_class(std::size_t request_class) const {
-    return of_request_class_[request_class];
+  const PlacementPtr& placement_of(std::size_t request_class) const {
+    return placement_by_class_[request_class];
   }
   // True if the previous snapshot has the same servers at the same indices, whatever their health.
   bool same_server_order() const { return same_server_order_; }
   // True if any field of the server differs from the previous snapshot.
-  bool is_changed(std::size_t index) const { return is_changed_[index]; }
+  bool server_changed(std::size_t index) const { return server_changed_[index]; }
 
  private:
   using ServerIndices = fleet::ServerList::ServerIndices;
@@ -66,11 +66,11 @@
   std::vector<NodePtr> nodes_;
   std::vector<std::uint64_t> fingerprints_;  // hashes of the fields that a server's endpoints are made from
   std::vector<std::uint32_t> in_flight_;     // per server; not part of its endpoints
-  std::vector<bool> is_changed_;
+  std::vector<bool> server_changed_;
   bool same_server_order_ = false;
   ServerIndices all_indices_;
   std::map<Key, PlacementPtr> placements_;
-  std::vector<PlacementPtr> of_request_class_;
+  std::vector<PlacementPtr> placement_by_class_;
   std::vector<fleet::ServerList> server_lists_;  // keep the pointers in the keys valid
 };
 
--- a/src/xds/resource_builder.cpp
+++ b/src/xds/resource_builder.cpp
@@ -63,7 +63,7 @@
     for (std::size_t at = 0; snapshot_.service_listeners && at < snapshot_.request_classes.size(); ++at)
       add_service(at);
     add_listener(snapshot_.listener);
-    if (!same_runtime()) add(ResourceType::kRuntime, kRuntimeName, runtime_message(snapshot_), {});
+    if (!reuse_runtime_if_equal()) add(ResourceType::kRuntime, kRuntimeName, runtime_message(snapshot_), {});
     compute_changes();
     return out_;
   }
@@ -119,9 +119,9 @@
     const RequestClassRoute& request_class = snapshot_.request_classes[at];
     if (request_class.idempotency == Idempotency::kKeyed) return;
     const std::string name = request_class_cluster_name(request_class.name);
-    const PlacementPtr& placement = placements_.of_request_class(at);
+    const PlacementPtr& placement = placements_.placement_of(at);
     const RequestClassRoute* old = previous_class(at);
-    bool placed_as_before = old && previous_inputs_->placements.of_request_class(at) == placement;
+    bool placed_as_before = old && previous_inputs_->placements.placement_of(at) == placement;
     bool same_cluster = placed_as_before && old->key_header == request_class.key_header &&
                         previous_inputs_->snapshot.retry_budget == snapshot_.retry_budget;
     bool same_endpoints = placed_as_before && drop_share_of(*old) == drop_share_of(request_class);
@@ -144,7 +144,7 @@
   void add_server(std::size_t index) {
     const NodeRoute& node = snapshot_.nodes[index];
     const std::string name = server_cluster_name(node.name);
-    bool same = placements_.same_server_order() && !placements_.is_changed(index) &&
+    bool same = placements_.same_server_order() && !placements_.server_changed(index) &&
                 previous_inputs_->snapshot.retry_budget == snapshot_.retry_budget;
     if (same && reuse(ResourceType::kClusters, name) && reuse(ResourceType::kEndpoints, name)) return;
     add(ResourceType::kClusters, name, server_cluster(node, snapshot_.retry_budget), {name});
@@ -179,7 +179,7 @@
       add(ResourceType::kListeners, name, listener_message(name), {name});
   }
 
-  bool same_runtime() {
+  bool reuse_runtime_if_equal() {
     if (!previous_inputs_ || previous_inputs_->snapshot.tenants != snapshot_.tenants ||
         previous_inputs_->snapshot.request_classes.size() != snapshot_.request_classes.size()) {
       return false;
--- a/src/xds/route_messages.cpp
+++ b/src/xds/route_messages.cpp
@@ -21,8 +21,8 @@
 // Added to the timeout of a request class for the maximum stream duration, see set_action().
 constexpr Nanos kStreamSlack = 2 * kSecond;
 // HTTP statuses: the request was not run; the outcome of the request is unknown.
-constexpr std::uint32_t kRejected = 503;
-constexpr std::uint32_t kTerminated = 500;
+constexpr std::uint32_t kRejectedStatus = 503;
+constexpr std::uint32_t kTerminatedStatus = 500;
 
 void set_duration(google::protobuf::Duration& out, Nanos time) {
   out.set_seconds(time / kSecond);
@@ -80,7 +80,7 @@
         case RetryOn::kRejected:
           add_condition("retriable-status-codes");
           retry.add_retriable_status_codes(429);
-          retry.add_retriable_status_codes(kRejected);
+          retry.add_retriable_status_codes(kRejectedStatus);
           break;
         case RetryOn::kReset:
           add_condition("reset,unavailable,resource-exhausted");
@@ -130,7 +130,7 @@
     route::Route& fallback = *host.add_routes();
     fallback.set_name(request_class.name + "/denied");
     fallback.mutable_match()->set_path(request_class.path);
-    set_direct_response(fallback, kRejected, request_class.retry_after);
+    set_direct_response(fallback, kRejectedStatus, request_class.retry_after);
   }
 
   // A keyed request is routed to the owner of its key's shard. If the shard has no owner, the request may
@@ -158,7 +158,7 @@
     route::Route& fallback = *host.add_routes();
     fallback.set_name(request_class.name + "/closed");
     fallback.mutable_match()->set_path(request_class.path);
-    set_direct_response(fallback, kTerminated, snapshot_.closed_retry_after);
+    set_direct_response(fallback, kTerminatedStatus, snapshot_.closed_retry_after);
   }
 
   const routing::Snapshot& snapshot_;
--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -90,12 +90,13 @@
 // How a request is handled, by its nonce:
 //
 // Nonce                  State of the world                      Delta
-// first of its type      subscribes; a nonce is from another     the same, with the versions the proxy has
-//                        stream
-// pending response       ACK or NACK, then the subscription      the same
-// last response          the subscription has changed            the same
-// any other              stale, ignored: the proxy repeats its   the subscription changes, since each request
-//                        names with the pending response's       carries a change; nothing is acknowledged
+// first of its type      subscribes; a nonce, if there is one,   the same, with the versions the proxy has
+//                        is from another stream
+// pending response       ACK or NACK, then the subscription is   the same
+//                        updated
+// last response          the subscription is updated             the same
+// any other              stale, ignored: the proxy repeats its   the subscription is updated, since each
+//                        names with the pending response's       request carries a change; no ACK or NACK
 //                        nonce
 void Session::handle_request(Subscription& state, const Request& request) {
   bool is_first = !std::exchange(state.subscribed, true);
@@ -120,13 +121,13 @@
     bool is_older_version = in_target && in_target->version == rejected->second.first;
     if (rejected != state.rejected.end() && !is_older_version) state.rejected.erase(rejected);
     if (type == ResourceType::kClusters && !has_version(type, *resource)) {
-      forget_endpoints(resource->name);
+      discard_endpoints(resource->name);
     }
     state.differences[resource->name] = {resource->version, resource};
   }
   for (const std::string& name : state.pending->removed) {
     state.differences[name] = {};
-    if (type == ResourceType::kClusters) forget_endpoints(name);
+    if (type == ResourceType::kClusters) discard_endpoints(name);
   }
   state.pending.reset();
   if (state.synced_publication == target_->number && state.names_to_answer.empty() &&
@@ -135,7 +136,7 @@
 }
 
 // A proxy that replaces or removes a cluster also discards its endpoints and waits to receive them again.
-void Session::forget_endpoints(const std::string& cluster) {
+void Session::discard_endpoints(const std::string& cluster) {
   Subscription& endpoints = subscription(ResourceType::kEndpoints);
   if (!endpoints.wants(cluster)) return;
   endpoints.differences[cluster] = {};
--- a/src/xds/session.h
+++ b/src/xds/session.h
@@ -27,10 +27,10 @@
   std::optional<std::string> error;  // set: NACK of the response with this nonce
   // State of the world: all names subscribed to.
   std::vector<std::string> names;
-  // Delta.
+  // Delta: changes of the subscription.
   std::vector<std::string> subscribe;
   std::vector<std::string> unsubscribe;
-  // name -> version, of resources the proxy had before this stream
+  // Key: name, value: version, of resources that the proxy had before this stream.
   std::map<std::string, std::string> known_versions;
 };
 
@@ -73,7 +73,7 @@
 
   // The number of the last publication that the proxy has applied completely; 0 = none yet.
   std::uint64_t applied_publication();
-  // Only a proxy that has subscribed to routes may send requests by them.
+  // A proxy may send requests only once it has subscribed to routes.
   bool subscribes_to_routes() const { return subscription(ResourceType::kRoutes).subscribed; }
   std::vector<RejectedResource> rejected_resources() const;
   std::uint64_t acks() const { return acks_; }
@@ -97,7 +97,7 @@
     bool subscribed = false;
     bool wildcard = false;
     std::vector<std::string> names;  // sorted
-    // delta: requested names that need a response, even if they don't exist
+    // Delta: requested names that need a response, even if they don't exist.
     std::set<std::string> names_to_answer;
     // State of the world: a response is due even if nothing changed.
     bool response_required = false;
@@ -132,7 +132,7 @@
 
   void handle_request(Subscription& state, const Request& request);
   void handle_ack(Subscription& state, ResourceType type);
-  void forget_endpoints(const std::string& cluster);
+  void discard_endpoints(const std::string& cluster);
   void handle_nack(Subscription& state, ResourceType type, const std::string& reason);
   void update_subscription(Subscription& state, const Request& request, bool is_first);
   static void unsubscribe(Subscription& state, const std::string& name);
--- a/src/xds/session_table.h
+++ b/src/xds/session_table.h
@@ -60,8 +60,8 @@
 
   // Adds the proxies that were known before a restart as disconnected proxies.
   void restore_proxies(const std::vector<std::string>& ids, Nanos now);
-  // The proxies to store for restore_proxies(): those connected, and those disconnected but not yet
-  // forgotten. Sorted.
+  // The proxies to store for restore_proxies(): those connected with a subscription to routes, and
+  // those disconnected but not yet forgotten. Sorted.
   std::vector<std::string> known() const;
   // The number of the newest publication that every proxy which may send requests has applied. A
   // disconnected proxy may send by the last set it had until it reconnects, or has been disconnected for
