--- a/src/xds/resource_builder.cpp
+++ b/src/xds/resource_builder.cpp
@@ -41,6 +41,7 @@
          one.retry_policy == other.retry_policy && one.retry_after == other.retry_after;
 }
 
+// Builds one resource set. `before`: the previous set, whose unchanged resources are reused; may be null.
 class ResourceBuilder {
  public:
   ResourceBuilder(const Snapshot& from, const ResourceSet* before)
--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -118,6 +118,8 @@
     auto rejected = state.rejected.find(resource->name);
     ResourcePtr in_target =
         rejected == state.rejected.end() ? nullptr : find(target_.get(), type, resource->name);
+    // While the target has the rejected version, the response carried an older version in its place, and the
+    // rejection stays.
     bool is_older_version = in_target && in_target->version == rejected->second.first;
     if (rejected != state.rejected.end() && !is_older_version) state.rejected.erase(rejected);
     if (type == ResourceType::kClusters && !has_version(type, *resource)) {
--- a/src/xds/session.h
+++ b/src/xds/session.h
@@ -81,11 +81,12 @@
   ProtocolVariant variant() const { return variant_; }
 
  private:
-  // The version of a resource that the proxy has accepted.
+  // What the proxy has accepted under one resource name.
   struct KnownResource {
     std::string version;   // empty: none, or it must be sent again
     ResourcePtr resource;  // null if only the version is known, from before this stream
   };
+  // A response that was sent and is not yet acknowledged or rejected.
   struct Pending {
     std::string nonce;
     std::vector<ResourcePtr> resources;
@@ -127,6 +128,7 @@
 
   // The resource of a set that this caller receives under a name; null if there is none.
   ResourcePtr find(const ResourceSet* set, ResourceType type, const std::string& name) const;
+  // The resource that the proxy has accepted under a name.
   KnownResource known_resource(ResourceType type, const std::string& name) const;
   bool has_version(ResourceType type, const Resource& resource) const;
 
