--- a/src/control/discovery_service.cpp
+++ b/src/control/discovery_service.cpp
@@ -194,9 +194,9 @@
   table_.restore_proxies(proxies, steady_now());
 }
 
-std::vector<std::string> DiscoveryService::known() const {
+std::vector<std::string> DiscoveryService::known_proxies() const {
   std::lock_guard lock(mutex_);
-  return table_.known();
+  return table_.known_proxies();
 }
 
 std::uint64_t DiscoveryService::applied_by_all(Nanos forget_after) {
@@ -211,7 +211,7 @@
 
 std::size_t DiscoveryService::disconnected() const {
   std::lock_guard lock(mutex_);
-  return table_.gone();
+  return table_.disconnected_count();
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/discovery_service.h
+++ b/src/control/discovery_service.h
@@ -35,7 +35,7 @@
   // Proxies that were served before a restart, and may still route by what they had.
   void restore_known(const std::vector<std::string>& proxies);
   // Those that must be restored after a restart: connected, or disconnected not long ago.
-  std::vector<std::string> known() const;
+  std::vector<std::string> known_proxies() const;
   // The publication that every proxy which may still route has applied; one that disconnected counts for
   // `forget_after`.
   std::uint64_t applied_by_all(Nanos forget_after);
--- a/src/control/durable_publication.cpp
+++ b/src/control/durable_publication.cpp
@@ -42,7 +42,7 @@
   if (!at_once && loop_.now() - attempted_at_ < kSaveInterval) return;
   attempted_at_ = loop_.now();
   covered_ = pending_;
-  saving_ = routing_state::serialize({targets_.state(), targets_.discovery.known()});
+  saving_ = routing_state::serialize({targets_.state(), targets_.discovery.known_proxies()});
   if (saving_ == saved_) {
     saved(SaveResult::kDurable);
   } else {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -57,7 +57,7 @@
   Loop();
   event_base* base() const { return base_.get(); }
   // Sets the function called when the time given to wake_at() has come.
-  void on_wake(std::function<void()> wake) { wake_ = std::move(wake); }
+  void set_wake_callback(std::function<void()> wake) { wake_ = std::move(wake); }
   void run();
   void stop() { event_base_loopbreak(base_.get()); }
 
--- a/src/net/reporter.cpp
+++ b/src/net/reporter.cpp
@@ -101,7 +101,7 @@
   links_.empty() ? report_timer_.clear() : report_timer_.set(report_interval_);
 }
 
-std::size_t LoadReporter::bytes_waiting() const {
+std::size_t LoadReporter::unsent_bytes() const {
   std::size_t out = 0;
   for (const auto& link : links_) out += link->buffered_bytes();
   return out;
--- a/src/net/reporter.h
+++ b/src/net/reporter.h
@@ -25,7 +25,7 @@
   // Handles a shard assignment from a control service. Without ReportSettings::follows_control_service all
   // input on these connections is discarded.
   using AssignmentHandler = std::function<void(const fencing::ShardAssignment&)>;
-  void on_assignment(AssignmentHandler handler) { assignment_handler_ = std::move(handler); }
+  void set_assignment_handler(AssignmentHandler handler) { assignment_handler_ = std::move(handler); }
   // Both are sent with the next reports.
   void set_assignment_epoch(fencing::Epoch epoch) { next_report_.epoch = epoch; }
   void set_version(std::uint8_t version) { next_report_.version = version; }
@@ -33,7 +33,7 @@
   // answer that was held up in a stalled connection would otherwise pass for a new one.
   bool was_sent_recently(std::uint64_t sequence) const;
   std::uint64_t incarnation() const { return next_report_.incarnation; }
-  std::size_t bytes_waiting() const;  // buffered for all control services
+  std::size_t unsent_bytes() const;  // buffered for all control services
 
  private:
   class Link;
--- a/src/server_program.cpp
+++ b/src/server_program.cpp
@@ -61,13 +61,13 @@
   if (idempotency_log_) idempotency_log_->attach(service_);
   reporter_.set_version(version);
   restore_assignment();
-  reporter_.on_assignment(
+  reporter_.set_assignment_handler(
       [this](const fencing::ShardAssignment& assignment) { take_assignment(assignment); });
   reporter_.set_report_settings(settings_.reports);
 }
 
 int ServerProgram::run() {
-  loop_.on_wake([this] { service_.timer_expired(); });
+  loop_.set_wake_callback([this] { service_.timer_expired(); });
   front_.serve(service_, [this] { loop_.stop(); });
   database_.begin(service_);
   engine_.begin(service_.engine());
--- a/src/xds/session_table.cpp
+++ b/src/xds/session_table.cpp
@@ -146,7 +146,7 @@
   for (const std::string& id : ids) add_disconnected({id, 0, now, last_stream_id_});
 }
 
-std::vector<std::string> SessionTable::known() const {
+std::vector<std::string> SessionTable::known_proxies() const {
   std::vector<std::string> out;
   for (const DisconnectedProxy& proxy : disconnected_) out.push_back(proxy.id);
   for (const auto& [id, stream] : streams_) {
--- a/src/xds/session_table.h
+++ b/src/xds/session_table.h
@@ -62,7 +62,7 @@
   void restore_proxies(const std::vector<std::string>& ids, Nanos now);
   // The proxies to store for restore_proxies(): those connected with a subscription to routes, and
   // those disconnected but not yet forgotten. Sorted.
-  std::vector<std::string> known() const;
+  std::vector<std::string> known_proxies() const;
   // The number of the newest publication that every proxy which may send requests has applied. A
   // disconnected proxy may send by the last set it had until it reconnects, or has been disconnected for
   // `forget_after`.
@@ -70,7 +70,7 @@
 
   std::vector<ProxyView> view();
   std::size_t streams() const { return streams_.size(); }
-  std::size_t gone() const { return disconnected_.size(); }
+  std::size_t disconnected_count() const { return disconnected_.size(); }
 
  private:
   struct Stream {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 TEST(Admission, LowestPriorityIsShedFirstAndKeyedRequestsNever) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   for (const char* node : {"n1", "n2", "n3"}) simulation.rejects[node] = 1;
   simulation.run(6 * kSecond);
@@ -41,7 +41,7 @@
 }
 
 TEST(Admission, SameRequestClassIsShedAfterTheFleetFileIsReordered) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   for (auto& [name, report] : simulation.reports)
     report.request_classes = {{.request_class = "cheap"}, {.request_class = "read"}};
   simulation.run(3 * kSecond);
--- a/tests/connectivity_test.cpp
+++ b/tests/connectivity_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(Connectivity, SnapshotStaysWhenAllServersFallSilentAtOnce) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   Snapshot before = simulation.router.published()->snapshot;
   simulation.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
@@ -23,7 +23,7 @@
 // Reports that arrive during a pause are read only after the next step. That step must not take the servers
 // for silent.
 TEST(Connectivity, PauseOfThisProcessDoesNotCountAsSilenceOfServers) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(5 * kSecond);
   ASSERT_EQ(simulation.router.registry().view(), ConnectivityState::kConnected);
   simulation.now += 3 * kSecond;
@@ -37,7 +37,7 @@
 }
 
 TEST(Connectivity, ReportsStillCountWhilePartitioned) {
-  FleetWorld simulation(small_fleet(5));
+  FleetSimulation simulation(small_fleet(5));
   simulation.run(3 * kSecond);
   simulation.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
   simulation.run(2 * kSecond);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -45,16 +45,16 @@
     g_after_last_accept = nullptr;
   }
   static std::string health(int flags = 1) { return request(kHealth, "/-/healthy", "", flags); }
-  static int error_of(const Plain& peer) {
+  static int error_of(const TestSocket& peer) {
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(peer.descriptor(), SOL_SOCKET, SO_ERROR, &error, &size);
     return error;
   }
   // All until our end; "(reset)" at its end if it was none in order.
-  std::string all_of(Plain& peer) {
+  std::string all_of(TestSocket& peer) {
     std::string all;
-    until([&] {
+    eventually([&] {
       all += peer.read();
       return all.ends_with("(end)") || error_of(peer) != 0;
     });
@@ -68,16 +68,16 @@
 struct AcceptErrors : ConnectionEndingTest, testing::WithParamInterface<int> {};
 
 TEST_P(AcceptErrors, OnTheWayOutThoseInTheBacklogAreAnswered) {
-  Plain peer = connected_unturned();
+  TestSocket peer = connect_without_running_loop();
   peer.write(health());
   g_accepts = 0;
   g_before_accept = [](int call) { return call == 0 ? GetParam() : 0; };
-  front.finish();
+  fastcgi_server.finish();
   std::string all = all_of(peer);
-  EXPECT_EQ(times(all, "Status: 200"), 1);
+  EXPECT_EQ(count_occurrences(all, "Status: 200"), 1);
   EXPECT_TRUE(all.ends_with("(end)"));
   peer.close();
-  EXPECT_TRUE(until([&] { return finished; }));
+  EXPECT_TRUE(eventually([&] { return finished; }));
 }
 
 INSTANTIATE_TEST_SUITE_P(FastCgiServer, AcceptErrors,
@@ -85,38 +85,38 @@
 
 // A caller that came in after the last accept was reset by the close, its request written.
 TEST_F(ConnectionEndingTest, NobodyIsLetInBetweenTheLastAcceptAndTheClose) {
-  Plain late;
+  TestSocket late;
   bool let_in = false;
   g_after_last_accept = [&] {
     late.connect(port);
     for (int i = 0; i < 50 && !let_in; ++i) {
       usleep(100);
-      let_in = late.send_some(health()) > 0;
+      let_in = late.send_available(health()) > 0;
     }
   };
-  front.finish();
-  EXPECT_TRUE(until([&] { return finished; }));
+  fastcgi_server.finish();
+  EXPECT_TRUE(eventually([&] { return finished; }));
   if (let_in) {
-    EXPECT_EQ(times(all_of(late), "Status: 200"), 1);
+    EXPECT_EQ(count_occurrences(all_of(late), "Status: 200"), 1);
   } else {
-    EXPECT_TRUE(until([&] { return error_of(late) == ECONNREFUSED; }));
+    EXPECT_TRUE(eventually([&] { return error_of(late) == ECONNREFUSED; }));
   }
 }
 
 // Where fewer descriptors are to be had than was told, callers that rest kept all others out for good.
 TEST_F(ConnectionEndingTest, OutOfDescriptorsThoseThatRestGiveWay) {
-  std::vector<Plain> resting;
+  std::vector<TestSocket> resting;
   for (int i = 0; i < 4; ++i) {
-    resting.push_back(connected());
+    resting.push_back(connect_client());
     resting.back().write(health());
-    EXPECT_TRUE(comes(resting.back(), "Status: 200"));
+    EXPECT_TRUE(receives(resting.back(), "Status: 200"));
   }
-  Plain next;
+  TestSocket next;
   {
-    NoDescriptors none;
+    NoFreeDescriptors none;
     next.connect(port);
     next.write(health());
-    EXPECT_TRUE(comes(next, "Status: 200"));
+    EXPECT_TRUE(receives(next, "Status: 200"));
   }
   EXPECT_TRUE(logged("ended: crowded"));
 }
@@ -124,131 +124,131 @@
 // ---- Connections
 
 TEST_F(ConnectionEndingTest, ACallerSlowToCloseMeetsNoReset) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(health(0));
-  turn(300 * kMs);  // our end is there since long, and it is still busy sending
+  run_loop_for(300 * kMs);  // our end is there since long, and it is still busy sending
   peer.write("bytes on the way in");
-  turn(20 * kMs);
+  run_loop_for(20 * kMs);
   EXPECT_EQ(error_of(peer), 0);
   std::string all = all_of(peer);
-  EXPECT_EQ(times(all, "Status: 200"), 1);
+  EXPECT_EQ(count_occurrences(all, "Status: 200"), 1);
   EXPECT_TRUE(all.ends_with("(end)"));
   peer.close();
-  EXPECT_TRUE(until([&] { return front.connections() == 0; }));
+  EXPECT_TRUE(eventually([&] { return fastcgi_server.connections() == 0; }));
 }
 
 // Its sender waits for us before it asks again: with the answer before it owed for a minute, it waited up to
 // the stop.
 TEST_F(ConnectionEndingTest, WhatCrossesOurCloseIsSettledSoon) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(request(1, "/api/v2/read", first));
-  ASSERT_TRUE(until([&] { return world.count("run " + first) == 1; }));
-  front.finish();
+  ASSERT_TRUE(eventually([&] { return world.count("run " + first) == 1; }));
+  fastcgi_server.finish();
   world.done(first);
-  EXPECT_TRUE(comes(peer, "(end)"));
+  EXPECT_TRUE(receives(peer, "(end)"));
   Nanos since = loop.now();
-  peer.offer(request(2, "/api/v2/read", second));
-  EXPECT_TRUE(until([&] { return finished; }));
+  peer.try_write(request(2, "/api/v2/read", second));
+  EXPECT_TRUE(eventually([&] { return finished; }));
   EXPECT_LT(loop.now() - since, kSecond);
   EXPECT_EQ(world.count("run " + second), 0);
 }
 
 TEST_F(ConnectionEndingTest, WhatCameBeforeBytesThatMakeNoSenseIsAnswered) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(request(1, "/api/v2/read", first));
-  ASSERT_TRUE(until([&] { return world.count("run " + first) == 1; }));
+  ASSERT_TRUE(eventually([&] { return world.count("run " + first) == 1; }));
   peer.write("GET / HTTP/1.1\r\n\r\n");
-  turn(20 * kMs);
+  run_loop_for(20 * kMs);
   EXPECT_EQ(peer.read(), "");
   world.done(first);
   std::string all = all_of(peer);
-  EXPECT_EQ(times(all, "Status: 200"), 1);
+  EXPECT_EQ(count_occurrences(all, "Status: 200"), 1);
   EXPECT_TRUE(all.ends_with("(end)"));
   EXPECT_FALSE(logged("ended: reset"));
 }
 
 // The connection was closed over what ran beside three requests that made no sense.
 TEST_F(ConnectionEndingTest, WhatRunsBesideWhatIsUnfoundedIsAnswered) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(request(1, "/api/v2/read", first));
-  ASSERT_TRUE(until([&] { return world.count("run " + first) == 1; }));
+  ASSERT_TRUE(eventually([&] { return world.count("run " + first) == 1; }));
   for (int i = 2; i <= 4; ++i) peer.write(request(i, "/api/v2/nothing", second));
-  turn(300 * kMs);
+  run_loop_for(300 * kMs);
   world.done(first);
   std::string all = all_of(peer);
-  EXPECT_EQ(times(all, "Status: 500"), 3);
-  EXPECT_EQ(times(all, "Status: 200"), 1);
+  EXPECT_EQ(count_occurrences(all, "Status: 500"), 3);
+  EXPECT_EQ(count_occurrences(all, "Status: 200"), 1);
 }
 
 // A request that came while the last answers were being sent, before our close, was drained unread.
 TEST_F(ConnectionEndingTest, ARequestThatComesBeforeOurCloseIsAnswered) {
-  Plain peer;
-  peer.receive_at_most(2'048);
+  TestSocket peer;
+  peer.set_receive_buffer(2'048);
   peer.connect(port);
-  turn(5 * kMs);
+  run_loop_for(5 * kMs);
   const std::string large(200'000, 'r');
   peer.write(request(1, "/api/v2/read", first, 0));
-  ASSERT_TRUE(until([&] { return world.count("run " + first) == 1; }));
+  ASSERT_TRUE(eventually([&] { return world.count("run " + first) == 1; }));
   world.done(first, Outcome::kOk, large);
-  turn(20 * kMs);  // more than the kernels hold: not sent whole
+  run_loop_for(20 * kMs);  // more than the kernels hold: not sent whole
   peer.write(request(2, "/api/v2/read", second));
-  ASSERT_TRUE(until([&] { return world.count("run " + second) == 1; }));
+  ASSERT_TRUE(eventually([&] { return world.count("run " + second) == 1; }));
   std::string all;
-  until([&] { return (all += peer.read()).size() > 150'000; });
+  eventually([&] { return (all += peer.read()).size() > 150'000; });
   world.done(second, Outcome::kOk, "of the second");
   all += all_of(peer);
-  EXPECT_EQ(times(all, "Status: 200"), 2);
+  EXPECT_EQ(count_occurrences(all, "Status: 200"), 2);
   EXPECT_TRUE(all.ends_with("(end)"));
 }
 
 // Read after our close it could not be answered: whoever sent it takes it for one that never ran.
 TEST_F(ConnectionEndingTest, WhatComesAfterOurCloseDoesNotRun) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(health());
-  EXPECT_TRUE(comes(peer, "Status: 200"));
-  front.close_idle(20 * kMs);
-  EXPECT_TRUE(comes(peer, "(end)"));
-  peer.offer(request(1, "/api/v2/read", first));
-  turn(30 * kMs);
+  EXPECT_TRUE(receives(peer, "Status: 200"));
+  fastcgi_server.close_idle(20 * kMs);
+  EXPECT_TRUE(receives(peer, "(end)"));
+  peer.try_write(request(1, "/api/v2/read", first));
+  run_loop_for(30 * kMs);
   EXPECT_EQ(world.count("run " + first), 0);
   EXPECT_EQ(error_of(peer), 0);
 }
 
 // A request that waits to be read in the turn in which its resting connection falls due.
 TEST_F(ConnectionEndingTest, ARequestThatWaitsKeepsARestingConnection) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(health());
-  EXPECT_TRUE(comes(peer, "Status: 200"));
+  EXPECT_TRUE(receives(peer, "Status: 200"));
   // Both timers are over in one turn, and the loop knows nothing yet of what the first one writes.
   Timer before(loop.base(), [&] { peer.write(health()); });
   before.set(0);
-  front.close_idle(30 * kMs);
+  fastcgi_server.close_idle(30 * kMs);
   usleep(60'000);
-  EXPECT_TRUE(comes(peer, "Status: 200"));
+  EXPECT_TRUE(receives(peer, "Status: 200"));
 }
 
 TEST_F(ConnectionEndingTest, ManyRequestsInOneWriteAreAnsweredEachOnce) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   std::string all;
   for (int i = 0; i < 300; ++i) all += health();
   std::string got;
-  EXPECT_TRUE(until([&] {
-    if (!all.empty()) all.erase(0, peer.send_some(all));
-    return times(got += peer.read(), "Status: 200") >= 300;
+  EXPECT_TRUE(eventually([&] {
+    if (!all.empty()) all.erase(0, peer.send_available(all));
+    return count_occurrences(got += peer.read(), "Status: 200") >= 300;
   }));
-  turn(10 * kMs);
-  EXPECT_EQ(times(got + peer.read(), "Status: 200"), 300);
+  run_loop_for(10 * kMs);
+  EXPECT_EQ(count_occurrences(got + peer.read(), "Status: 200"), 300);
 }
 
 TEST_F(ConnectionEndingTest, ManyConnectionsAtOnceAreAnsweredEach) {
-  std::vector<Plain> peers;
+  std::vector<TestSocket> peers;
   for (int i = 0; i < 60; ++i) {
-    peers.push_back(connected_unturned());
+    peers.push_back(connect_without_running_loop());
     peers.back().write(health(0));
   }
-  for (Plain& peer : peers) {
+  for (TestSocket& peer : peers) {
     std::string all = all_of(peer);
-    EXPECT_EQ(times(all, "Status: 200"), 1);
+    EXPECT_EQ(count_occurrences(all, "Status: 200"), 1);
     EXPECT_TRUE(all.ends_with("(end)"));
   }
 }
@@ -257,52 +257,53 @@
 
 // Those whose reading is held back, since they leave answers unread, were closed over what they had sent.
 TEST_F(ConnectionEndingTest, WhatACallerSentThatIsHeldBackIsAnswered) {
-  Plain peer;
-  peer.receive_at_most(2'048);
+  TestSocket peer;
+  peer.set_receive_buffer(2'048);
   peer.connect(port);
-  turn(5 * kMs);
+  run_loop_for(5 * kMs);
   const std::string large(4'000, 'r');
   int sent = 0;
-  while (front.slow_client_policy().count(peers::State::kPaused) +
-                 front.slow_client_policy().count(peers::State::kWriteStalled) ==
+  while (fastcgi_server.slow_client_policy().count(peers::State::kPaused) +
+                 fastcgi_server.slow_client_policy().count(peers::State::kWriteStalled) ==
              0 &&
          sent < 200) {
     std::string id = "00000000000" + std::to_string(10'000 + sent++);
     peer.write(request(sent % 32 + 1, "/api/v2/read", id));
-    ASSERT_TRUE(until([&] {
-      return world.count("run " + id) == 1 || front.slow_client_policy().count(peers::State::kPaused) > 0;
+    ASSERT_TRUE(eventually([&] {
+      return world.count("run " + id) == 1 ||
+             fastcgi_server.slow_client_policy().count(peers::State::kPaused) > 0;
     }));
     world.done(id, Outcome::kOk, large);
-    turn(kMs);
+    run_loop_for(kMs);
   }
   peer.write(health());
-  turn(5 * kMs);
-  front.finish();
+  run_loop_for(5 * kMs);
+  fastcgi_server.finish();
   std::string all = all_of(peer);
-  EXPECT_EQ(times(all, "Status: 200"), sent + 1);
+  EXPECT_EQ(count_occurrences(all, "Status: 200"), sent + 1);
   EXPECT_TRUE(all.ends_with("(end)"));
 }
 
 TEST_F(ConnectionEndingTest, TheRestOfARequestThatComesSoonIsTaken) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   std::string whole = health();
   peer.write(whole.substr(0, 20));
-  turn(5 * kMs);
-  front.finish();
-  turn(150 * kMs);
+  run_loop_for(5 * kMs);
+  fastcgi_server.finish();
+  run_loop_for(150 * kMs);
   peer.write(whole.substr(20));
   std::string all = all_of(peer);
-  EXPECT_EQ(times(all, "Status: 200"), 1);
+  EXPECT_EQ(count_occurrences(all, "Status: 200"), 1);
   EXPECT_TRUE(all.ends_with("(end)"));
 }
 
 TEST_F(ConnectionEndingTest, TheRestOfARequestThatNeverComesHoldsNobodyUp) {
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(health().substr(0, 20));
-  turn(5 * kMs);
-  front.finish();
+  run_loop_for(5 * kMs);
+  fastcgi_server.finish();
   Nanos since = loop.now();
-  EXPECT_TRUE(until([&] { return finished; }));
+  EXPECT_TRUE(eventually([&] { return finished; }));
   EXPECT_LT(loop.now() - since, kSecond);
   EXPECT_GT(loop.now() - since, 300 * kMs);
 }
@@ -315,7 +316,7 @@
 struct WarmUpTest : ConnectionEndingTest, testing::WithParamInterface<unsigned> {
   static constexpr int kSenders = 25;
   static ServiceConfig options() {
-    ServiceConfig options = calling_much();
+    ServiceConfig options = high_dependency_share_config();
     options.warming_up = true;
     options.warm_up_initial_speed = 0.25;
     options.warm_up_time = 60 * kSecond;
@@ -336,9 +337,9 @@
   FastCgiServer door(loop, *this, at_port(own), 64, 4'000'000);
   door.serve(warming_up.service, [] {});
   std::mt19937 random(GetParam());
-  std::vector<Plain> senders(kSenders);
+  std::vector<TestSocket> senders(kSenders);
   std::vector<std::string> got(kSenders);
-  for (Plain& each : senders) each.connect(own);
+  for (TestSocket& each : senders) each.connect(own);
   std::uint64_t traces = 0;
   std::vector<std::string> running;
   std::size_t seen = 0;
@@ -356,12 +357,12 @@
   std::vector<int> order(kSenders);
   for (int i = 0; i < kSenders; ++i) order[i] = i;
   std::shuffle(order.begin(), order.end(), random);
-  turn(10 * kMs);
+  run_loop_for(10 * kMs);
   for (int sender : order) {
     for (int i = 0; i < 4; ++i) send(sender);
   }
   for (Nanos end = loop.now() + 1'500 * kMs; loop.now() < end; ++rounds) {
-    turn(kMs);
+    run_loop_for(kMs);
     warming_up.pass(std::max<Nanos>(0, loop.now() - warming_up.time));
     warming_up.service.engine().stats(warming_up.last_token,
                                       {1.0, static_cast<double>(running.size()), 0.1, 25});
@@ -377,8 +378,8 @@
     }
     for (int i = 0; i < kSenders; ++i) {
       got[i] += senders[i].read();
-      int answers = times(got[i], "Status: ");
-      completed += times(got[i], "Status: 200");
+      int answers = count_occurrences(got[i], "Status: ");
+      completed += count_occurrences(got[i], "Status: 200");
       advised = advised || got[i].find("Hold-Off-Ms") != std::string::npos;
       if (answers == 0 || sent > 2'000) continue;
       got[i].clear();
@@ -396,47 +397,47 @@
 // ---- Engine
 
 TEST_F(NetTest, ALinkThatSaysNothingIsMadeAnew) {
-  Plain listener;
+  TestSocket listener;
   EngineClient link(loop, *this, at_port(listener.listen()), 65'536, 200 * kMs);
   service::EngineSession session(link, world.service);
   link.begin(session);
-  Plain engine = accepted_by(listener);
-  ASSERT_TRUE(comes(engine, "ATTACH"));
+  TestSocket engine = accept_connection(listener);
+  ASSERT_TRUE(receives(engine, "ATTACH"));
   engine.write("{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":5}\n");
-  ASSERT_TRUE(comes(engine, "STAT"));
+  ASSERT_TRUE(receives(engine, "STAT"));
   // It speaks, if only now and then.
   for (int i = 1; i <= 4; ++i) {
-    turn(120 * kMs);
+    run_loop_for(120 * kMs);
     engine.write("{\"cmd\":\"NOTE\",\"offset\":" + std::to_string(i) + "}\n");
   }
-  turn(5 * kMs);
+  run_loop_for(5 * kMs);
   EXPECT_FALSE(logged("engine link ended"));
-  Plain again = accepted_by(listener);
+  TestSocket again = accept_connection(listener);
   EXPECT_TRUE(logged("engine link ended: silent"));
-  EXPECT_TRUE(comes(again, "{\"cmd\":\"ATTACH\",\"offset\":4}\n"));
+  EXPECT_TRUE(receives(again, "{\"cmd\":\"ATTACH\",\"offset\":4}\n"));
 }
 
 // A notice that breaks off at any of its bytes is taken once, when it comes whole.
 TEST_F(NetTest, ANoticeThatBreaksOffAnywhereIsTakenOnce) {
-  Plain listener;
+  TestSocket listener;
   EngineClient link(loop, *this, at_port(listener.listen()));
   link.begin(world.service.engine());
   const std::string hello = "{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":5}\n";
   std::string done =
       "{\"cmd\":\"DONE\",\"offset\":1,\"req\":\"a\",\"result\":\"success\",\"payload\":\"QUJD\"}\n";
-  Plain engine;
+  TestSocket engine;
   auto attach = [&] {
-    engine = accepted_by(listener);
+    engine = accept_connection(listener);
     std::uint64_t asked = world.last_token;
     engine.write(hello);
-    EXPECT_TRUE(until([&] { return world.last_token > asked; }));
+    EXPECT_TRUE(eventually([&] { return world.last_token > asked; }));
     world.answer_gauges();
   };
   attach();
   Caller& caller = world.read("a", kReadClass, "", 60 * kSecond);
   for (std::size_t cut = 1; cut <= done.size(); ++cut) {
     engine.write(done.substr(0, cut));
-    turn(kMs);
+    run_loop_for(kMs);
     EXPECT_EQ(caller.answers.size(), cut == done.size() ? 1u : 0u);
     cut % 2 ? engine.reset() : engine.close();
     attach();
@@ -448,7 +449,7 @@
 
 // A reply that breaks off at any of its bytes tells nothing, and its call may have run.
 TEST_F(NetTest, AReplyThatBreaksOffAnywhereIsNoReply) {
-  Plain listener;
+  TestSocket listener;
   DatabaseClient database(loop, *this, at_port(listener.listen()), 4);
   database.begin(world.service);
   world.engine_up();
@@ -458,12 +459,12 @@
     service::ServerRequest& request = *world.read(id, kSkipperClass).request;
     world.need(id);
     database.call(request, "x", 250 * kMs);
-    Plain peer = accepted_by(listener);
-    ASSERT_TRUE(comes(peer, "Q " + id));
+    TestSocket peer = accept_connection(listener);
+    ASSERT_TRUE(receives(peer, "Q " + id));
     peer.write(reply.substr(0, cut));
-    turn(kMs);
+    run_loop_for(kMs);
     cut % 2 ? peer.reset() : peer.close();
-    EXPECT_TRUE(until([&] { return request.lost_call_count == 1; })) << cut;
+    EXPECT_TRUE(eventually([&] { return request.lost_call_count == 1; })) << cut;
     EXPECT_EQ(world.count("feed " + id + " new"), 0);
     world.done(id);
   }
@@ -472,7 +473,7 @@
 // Two calls share a connection that breaks. What the first one's request makes of it gives up the second
 // call and makes it anew: the break is not the new call's.
 TEST_F(NetTest, ABreakIsNotToldOfACallThatWasGivenUpMeanwhile) {
-  Plain listener;
+  TestSocket listener;
   DatabaseClient database(loop, *this, at_port(listener.listen()), 1);
   database.begin(world.service);
   world.engine_up();
@@ -484,16 +485,16 @@
     database.call(*calling[i], "x", 250 * kMs);
   }
   ASSERT_EQ(world.count("call a") + world.count("call b"), 2);
-  Plain shared = accepted_by(listener);
-  ASSERT_TRUE(comes(shared, "Q b"));
+  TestSocket shared = accept_connection(listener);
+  ASSERT_TRUE(receives(shared, "Q b"));
   world.on_call = [&](service::ServerRequest& request) {
     if (&request != calling[0]) return;
     database.abandon_call(*calling[1]);
     database.call(*calling[1], "again", 250 * kMs);
   };
   shared.reset();
-  Plain next = accepted_by(listener);
-  EXPECT_TRUE(comes(next, "again"));
+  TestSocket next = accept_connection(listener);
+  EXPECT_TRUE(receives(next, "again"));
   EXPECT_EQ(calling[0]->lost_call_count, 1);
   EXPECT_EQ(calling[1]->lost_call_count, 0);
 }
@@ -511,7 +512,7 @@
     port = ntohs(address.sin_port);
   }
   bool reported(const std::string& line) {
-    return until([&] {
+    return eventually([&] {
       char bytes[64];
       ssize_t got = ::recv(service, bytes, sizeof bytes, 0);
       return got > 0 && std::string(bytes, static_cast<std::size_t>(got)) == line;
@@ -522,7 +523,7 @@
 };
 
 TEST_F(MembershipClientTest, ASocketThatCouldNotBeMadeAtTheStartIsMadeLater) {
-  std::optional<NoDescriptors> none(std::in_place);
+  std::optional<NoFreeDescriptors> none(std::in_place);
   MembershipClient membership(loop, "n1", at_port(port));
   membership.report(true);
   none.reset();
@@ -535,7 +536,7 @@
   ::close(service);
   MembershipClient membership(loop, "n1", at_port(where));
   membership.report(true);
-  turn(250 * kMs);
+  run_loop_for(250 * kMs);
   service = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0);
   bind_again(where);
   EXPECT_TRUE(reported("HB n1 UP"));
@@ -553,7 +554,7 @@
   unsetenv("MYRTLECROFT_SETTINGS");
   int writer = -1;  // opens once the other end does: it is at that point then
   ASSERT_TRUE(
-      until([&] { return writer >= 0 || (writer = open(held.c_str(), O_WRONLY | O_NONBLOCK)) >= 0; }));
+      eventually([&] { return writer >= 0 || (writer = open(held.c_str(), O_WRONLY | O_NONBLOCK)) >= 0; }));
   kill(process, SIGTERM);
   kill(process, SIGHUP);
   const std::string settings = "version = 1;\n";
@@ -567,25 +568,25 @@
 
 TEST_F(ProgramTest, NoticesAndReloadsDuringADrainLoseNothing) {
   start();
-  Plain engine = engine_up();
+  TestSocket engine = engine_up();
   ASSERT_FALSE(HasFailure());
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(FastCgiServerTest::request(1, "/api/v2/read", "00000000000000aa"));
-  EXPECT_TRUE(comes(engine, "RUN"));
+  EXPECT_TRUE(receives(engine, "RUN"));
   kill(process, SIGTERM);
   bool out = false;
-  EXPECT_TRUE(until([&] { return out = out || reported("HB n7 OUT"); }));
+  EXPECT_TRUE(eventually([&] { return out = out || reported("HB n7 OUT"); }));
   kill(process, SIGTERM);
   kill(process, SIGINT);
-  Plain elsewhere;
+  TestSocket elsewhere;
   write_config(elsewhere.listen(), 9);
   kill(process, SIGHUP);
-  Plain again = accepted_by(elsewhere);
+  TestSocket again = accept_connection(elsewhere);
   ASSERT_FALSE(HasFailure());
-  EXPECT_TRUE(comes(again, "ATTACH"));
+  EXPECT_TRUE(receives(again, "ATTACH"));
   again.write(kHello + done_line(1, "00000000000000aa"));
-  EXPECT_TRUE(comes(peer, "\r\n\r\nABC"));
-  EXPECT_TRUE(comes(peer, "(end)"));
+  EXPECT_TRUE(receives(peer, "\r\n\r\nABC"));
+  EXPECT_TRUE(receives(peer, "(end)"));
   peer.close();
   EXPECT_EQ(exit_code(), 0);
 }
@@ -595,28 +596,29 @@
 TEST_F(ProgramTest, RestingClientsKeepNobodyOut) {
   write_config(listener_port, free_port(), 64);
   start();
-  std::vector<Plain> resting(120);
-  ASSERT_TRUE(until([&] {
-    Plain probe;
+  std::vector<TestSocket> resting(120);
+  ASSERT_TRUE(eventually([&] {
+    TestSocket probe;
     probe.connect(port);
     usleep(1'000);
-    return probe.send_some("x") > 0;
+    return probe.send_available("x") > 0;
   }));
-  for (Plain& each : resting) each.connect(port);
+  for (TestSocket& each : resting) each.connect(port);
   usleep(50'000);
-  Plain engine = engine_up();
+  TestSocket engine = engine_up();
   ASSERT_FALSE(HasFailure());
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   peer.write(FastCgiServerTest::request(1, "/-/healthy", ""));
-  EXPECT_TRUE(comes(peer, "Status: 200"));
-  for (Plain& each : resting) each.offer(FastCgiServerTest::request(1, "/-/healthy", "").substr(0, 10));
+  EXPECT_TRUE(receives(peer, "Status: 200"));
+  for (TestSocket& each : resting)
+    each.try_write(FastCgiServerTest::request(1, "/-/healthy", "").substr(0, 10));
   peer.write(FastCgiServerTest::request(2, "/api/v2/read", "00000000000000aa"));
-  EXPECT_TRUE(comes(engine, "RUN"));
+  EXPECT_TRUE(receives(engine, "RUN"));
   engine.write(done_line(1, "00000000000000aa"));
-  EXPECT_TRUE(comes(peer, "\r\n\r\nABC"));
-  Plain next = connected();
+  EXPECT_TRUE(receives(peer, "\r\n\r\nABC"));
+  TestSocket next = connect_client();
   next.write(FastCgiServerTest::request(1, "/-/healthy", ""));
-  EXPECT_TRUE(comes(next, "Status: 200"));
+  EXPECT_TRUE(receives(next, "Status: 200"));
   kill(process, SIGTERM);
   next.close(), peer.close(), resting.clear();
   EXPECT_EQ(exit_code(), 0);
@@ -625,16 +627,16 @@
 // An engine that never answers, a caller that never closes: all is answered, and it ends before it is killed.
 TEST_F(ProgramTest, AtTheLastMomentEverythingHasItsAnswer) {
   start();
-  Plain engine = engine_up();
+  TestSocket engine = engine_up();
   ASSERT_FALSE(HasFailure());
-  Plain peer = connected();
+  TestSocket peer = connect_client();
   for (int i = 1; i <= 5; ++i)
     peer.write(FastCgiServerTest::request(i, "/api/v2/read", "00000000000000a" + std::to_string(i)));
-  EXPECT_TRUE(comes(engine, "a2\""));
+  EXPECT_TRUE(receives(engine, "a2\""));
   kill(process, SIGTERM);
   std::string all;
-  EXPECT_TRUE(until([&] { return (all += peer.read()).ends_with("(end)"); }));
-  EXPECT_EQ(times(all, "Status: "), 5);
+  EXPECT_TRUE(eventually([&] { return (all += peer.read()).ends_with("(end)"); }));
+  EXPECT_EQ(count_occurrences(all, "Status: "), 5);
   EXPECT_EQ(exit_code(), 0);
 }
 
--- a/tests/incremental_routing_test.cpp
+++ b/tests/incremental_routing_test.cpp
@@ -202,7 +202,7 @@
     simulation.router.update_fleet(simulation.fleet, simulation.now);
   }
 
-  FleetWorld simulation{initial_fleet()};
+  FleetSimulation simulation{initial_fleet()};
   std::set<std::string> out_for_maintenance;
 };
 
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -33,7 +33,7 @@
     write_config(listener_port, free_port());
     set_tenants(tenants);
     start();
-    Plain engine = engine_up();
+    TestSocket engine = engine_up();
     long out = resident_kb();
     kill(process, SIGKILL);
     waitpid(process, nullptr, 0);
--- a/tests/net_story.h
+++ b/tests/net_story.h
@@ -27,25 +27,25 @@
 inline sockaddr_in at_port(int port) { return loopback(static_cast<std::uint16_t>(port)); }
 
 // A non-blocking TCP socket. Errors of its calls are ignored, except by write().
-class Plain {
+class TestSocket {
  public:
-  explicit Plain(int socket = ::socket(AF_INET, SOCK_STREAM, 0)) : socket_(socket) {
+  explicit TestSocket(int socket = ::socket(AF_INET, SOCK_STREAM, 0)) : socket_(socket) {
     fcntl(socket_, F_SETFL, fcntl(socket_, F_GETFL) | O_NONBLOCK);
   }
-  Plain(Plain&& other) noexcept : socket_(std::exchange(other.socket_, -1)) {}
-  Plain& operator=(Plain&& other) noexcept {
+  TestSocket(TestSocket&& other) noexcept : socket_(std::exchange(other.socket_, -1)) {}
+  TestSocket& operator=(TestSocket&& other) noexcept {
     close();
     socket_ = std::exchange(other.socket_, -1);
     return *this;
   }
-  ~Plain() { close(); }
+  ~TestSocket() { close(); }
   void close() {
     if (socket_ >= 0) ::close(std::exchange(socket_, -1));
   }
   int descriptor() const { return socket_; }
   int listen(int receive_buffer_bytes = 0) {
     sockaddr_in address = at_port(0);
-    if (receive_buffer_bytes) receive_at_most(receive_buffer_bytes);
+    if (receive_buffer_bytes) set_receive_buffer(receive_buffer_bytes);
     socklen_t size = sizeof address;
     ::bind(socket_, reinterpret_cast<sockaddr*>(&address), size);
     ::listen(socket_, 16);
@@ -60,17 +60,17 @@
   void write(const std::string& bytes) {
     EXPECT_EQ(::write(socket_, bytes.data(), bytes.size()), ssize_t(bytes.size()));
   }
-  void offer(const std::string& bytes) {
+  void try_write(const std::string& bytes) {
     if (::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) return;
   }
   // Sends as much as the kernel accepts and returns the number of bytes.
-  std::size_t send_some(const std::string& bytes) {
+  std::size_t send_available(const std::string& bytes) {
     ssize_t sent = ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     return sent > 0 ? static_cast<std::size_t>(sent) : 0;
   }
   // Sets the size of the receive buffer in bytes; call it before the connection is made.
-  void receive_at_most(int bytes) { ::setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
-  void shut_sending() { ::shutdown(socket_, SHUT_WR); }
+  void set_receive_buffer(int bytes) { ::setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
+  void shutdown_write() { ::shutdown(socket_, SHUT_WR); }
   void reset() {
     linger zero_linger{.l_onoff = 1, .l_linger = 0};
     ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
@@ -90,32 +90,32 @@
 };
 
 // Lowers the descriptor limit, so that the process gets no further descriptor while this object exists.
-class NoDescriptors {
+class NoFreeDescriptors {
  public:
-  NoDescriptors() {
+  NoFreeDescriptors() {
     getrlimit(RLIMIT_NOFILE, &original_limit_);
     int highest = dup(0);
     ::close(highest);
     rlimit lowered = {.rlim_cur = static_cast<rlim_t>(highest), .rlim_max = original_limit_.rlim_max};
     setrlimit(RLIMIT_NOFILE, &lowered);
   }
-  ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &original_limit_); }
-  NoDescriptors(const NoDescriptors&) = delete;
-  NoDescriptors& operator=(const NoDescriptors&) = delete;
+  ~NoFreeDescriptors() { setrlimit(RLIMIT_NOFILE, &original_limit_); }
+  NoFreeDescriptors(const NoFreeDescriptors&) = delete;
+  NoFreeDescriptors& operator=(const NoFreeDescriptors&) = delete;
 
  private:
   rlimit original_limit_;
 };
 
-inline int times(const std::string& text, const std::string& part) {
+inline int count_occurrences(const std::string& text, const std::string& part) {
   int count = 0;
   for (std::size_t at = 0; (at = text.find(part, at)) != std::string::npos; ++at) ++count;
   return count;
 }
 
-inline int free_port() { return Plain().listen(); }
+inline int free_port() { return TestSocket().listen(); }
 
-inline ServiceConfig calling_much() {
+inline ServiceConfig high_dependency_share_config() {
   ServiceConfig config = two_core_config();
   config.dependency_share = 20;
   return config;
@@ -132,7 +132,7 @@
     return false;
   }
   // Runs the loop until the condition holds, for two seconds at most. Returns whether it holds.
-  bool until(const std::function<bool()>& condition) {
+  bool eventually(const std::function<bool()>& condition) {
     for (Nanos end = loop.now() + 2 * kSecond; loop.now() < end;) {
       if (condition()) return true;
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
@@ -141,21 +141,22 @@
     return condition();
   }
   // Whether the peer receives a text, within two seconds.
-  bool comes(Plain& peer, const std::string& part) {
+  bool receives(TestSocket& peer, const std::string& part) {
     std::string received;
-    return until([&] { return (received += peer.read()).find(part) != std::string::npos; });
+    return eventually([&] { return (received += peer.read()).find(part) != std::string::npos; });
   }
-  Plain accepted_by(Plain& listener) {
+  TestSocket accept_connection(TestSocket& listener) {
     int socket = -1;
-    EXPECT_TRUE(until([&] { return (socket = listener.accept()) >= 0; }));
-    return Plain(socket);
+    EXPECT_TRUE(eventually([&] { return (socket = listener.accept()) >= 0; }));
+    return TestSocket(socket);
   }
   // Runs the loop for that time.
-  void turn(Nanos duration) {
-    until([&, end = loop.now() + duration] { return loop.now() >= end; });
+  void run_loop_for(Nanos duration) {
+    eventually([&, end = loop.now() + duration] { return loop.now() >= end; });
   }
 
-  explicit NetTest(std::size_t max_result_bytes = 1'000) : world(calling_much(), max_result_bytes) {
+  explicit NetTest(std::size_t max_result_bytes = 1'000)
+      : world(high_dependency_share_config(), max_result_bytes) {
     world.time = loop.now();
   }
 
@@ -170,9 +171,9 @@
                     std::size_t max_result_bytes)
       : NetTest(max_result_bytes),
         port(free_port()),
-        front(loop, *this, at_port(port), connections, bytes, config) {
+        fastcgi_server(loop, *this, at_port(port), connections, bytes, config) {
     world.engine_up();
-    front.serve(world.service, [this] { finished = true; });
+    fastcgi_server.serve(world.service, [this] { finished = true; });
   }
   static std::string record(int type, int id, const std::string& content) {
     std::string out = {1, static_cast<char>(type), 0, static_cast<char>(id)};
@@ -200,13 +201,13 @@
     return record(1, id, {0, 1, static_cast<char>(flags), 0, 0, 0, 0, 0}) + record(4, id, params) +
            record(4, id, "") + record(5, id, "body") + record(5, id, "");
   }
-  Plain connected() {
-    Plain peer = connected_unturned();
-    turn(5 * kMs);
+  TestSocket connect_client() {
+    TestSocket peer = connect_without_running_loop();
+    run_loop_for(5 * kMs);
     return peer;
   }
-  Plain connected_unturned() {
-    Plain peer;
+  TestSocket connect_without_running_loop() {
+    TestSocket peer;
     peer.connect(port);
     return peer;
   }
@@ -214,7 +215,7 @@
   const std::string first = "00000000000000aa";
   const std::string second = "00000000000000bb";
   int port;
-  FastCgiServer front;
+  FastCgiServer fastcgi_server;
   bool finished = false;
 };
 
--- a/tests/panic_threshold_test.cpp
+++ b/tests/panic_threshold_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(PanicThreshold, FailedServersBeyondTheThresholdAreKeptInRotation) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.hung = {{"n1", true}, {"n2", true}};
   simulation.run(20 * kSecond);
--- a/tests/program_story.h
+++ b/tests/program_story.h
@@ -52,14 +52,14 @@
     _exit(127);
   }
   // The engine's end of the link, before its first word.
-  Plain linked() { return accepted_by(listener); }
-  static Plain accepted_by(Plain& at) {
+  TestSocket linked() { return accept_connection(listener); }
+  static TestSocket accept_connection(TestSocket& at) {
     int socket = -1;
-    EXPECT_TRUE(until([&] { return socket >= 0 || (socket = at.accept()) >= 0; }));
-    return Plain(socket);
+    EXPECT_TRUE(eventually([&] { return socket >= 0 || (socket = at.accept()) >= 0; }));
+    return TestSocket(socket);
   }
-  Plain connected() const {
-    Plain peer;
+  TestSocket connect_client() const {
+    TestSocket peer;
     peer.connect(port);
     usleep(20'000);
     return peer;
@@ -70,22 +70,22 @@
            "\",\"result\":\"success\",\"payload\":\"QUJD\"}\n";
   }
   // The same with the engine up.
-  Plain engine_up() {
-    Plain engine = linked();
-    EXPECT_TRUE(comes(engine, "ATTACH"));
+  TestSocket engine_up() {
+    TestSocket engine = linked();
+    EXPECT_TRUE(receives(engine, "ATTACH"));
     engine.write(kHello);
-    EXPECT_TRUE(comes(engine, "{\"cmd\":\"STAT\",\"token\":\"1\"}"));
+    EXPECT_TRUE(receives(engine, "{\"cmd\":\"STAT\",\"token\":\"1\"}"));
     engine.write("{\"cmd\":\"STATS\",\"token\":\"1\",\"load\":[0.5]}\n");
     return engine;
   }
-  static bool until(const std::function<bool()>& holds) {
+  static bool eventually(const std::function<bool()>& holds) {
     for (int i = 0; i < 3000 && !holds(); ++i) usleep(1000);
     return holds();
   }
-  static bool comes(Plain& peer, const std::string& part) {
+  static bool receives(TestSocket& peer, const std::string& part) {
     std::string all;
     bool found = false;
-    return until([&] { return found = found || (all += peer.read()).find(part) != std::string::npos; });
+    return eventually([&] { return found = found || (all += peer.read()).find(part) != std::string::npos; });
   }
   bool reported(const std::string& line) {
     char bytes[64];
@@ -95,7 +95,7 @@
   int exit_code() {
     int status = -1;
     bool over = false;
-    until([&] { return over = over || waitpid(process, &status, WNOHANG) == process; });
+    eventually([&] { return over = over || waitpid(process, &status, WNOHANG) == process; });
     if (over) process = 0;
     return over && WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
@@ -106,7 +106,7 @@
   int members;
   pid_t process = 0;
   std::string config;
-  Plain listener;
+  TestSocket listener;
 };
 
 }  // namespace myrtlecroft::net
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -18,15 +18,15 @@
   // True once somebody reads; lets that reader go on, which meets the end.
   bool reader_let_go() const {
     int writer = -1;
-    bool came =
-        until([&] { return writer >= 0 || (writer = open(config.c_str(), O_WRONLY | O_NONBLOCK)) >= 0; });
+    bool came = eventually(
+        [&] { return writer >= 0 || (writer = open(config.c_str(), O_WRONLY | O_NONBLOCK)) >= 0; });
     if (came) ::close(writer);
     return came;
   }
-  static bool answers_checks(Plain& peer, int count) {
+  static bool answers_checks(TestSocket& peer, int count) {
     for (int i = 0; i < count; ++i) {
       peer.write(FastCgiServerTest::request(1, "/-/healthy", ""));
-      if (!comes(peer, "Status: 200")) return false;
+      if (!receives(peer, "Status: 200")) return false;
     }
     return true;
   }
@@ -37,8 +37,8 @@
 // 380,000 tenants were read in the loop, which answered nobody meanwhile.
 TEST_F(ReloadTest, RequestsAreAnsweredWhileTheFileIsRead) {
   start();
-  Plain engine = engine_up();
-  Plain peer = connected();
+  TestSocket engine = engine_up();
+  TestSocket peer = connect_client();
   ASSERT_TRUE(answers_checks(peer, 1));
   put_a_pipe_in_place();
   kill(process, SIGHUP);
@@ -49,8 +49,8 @@
 
 TEST_F(ReloadTest, ASignalDuringAReadingIsFollowedByAnother) {
   start();
-  Plain engine = engine_up();
-  Plain peer = connected();
+  TestSocket engine = engine_up();
+  TestSocket peer = connect_client();
   put_a_pipe_in_place();
   kill(process, SIGHUP);
   EXPECT_TRUE(answers_checks(peer, 5));
--- a/tests/reporter_test.cpp
+++ b/tests/reporter_test.cpp
@@ -145,7 +145,7 @@
   std::size_t max = 0;
   Nanos until = node.loop.now() + 3 * kSecond;
   node.run_until([&] {
-    max = std::max(max, node.reporter.bytes_waiting());
+    max = std::max(max, node.reporter.unsent_bytes());
     return node.loop.now() > until || max > 64 * 1024;
   });
   EXPECT_LE(max, 32u * 1024);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 TEST(Router, RestoredSnapshotIsServedUntilServersReport) {
-  FleetWorld first;
+  FleetSimulation first;
   first.run(3 * kSecond);
   first.reports["n2"].draining = true;
   first.run(3 * kSecond);
   PersistedState persisted = first.router.persisted_state();
-  FleetWorld second(small_fleet(), persisted, false);
+  FleetSimulation second(small_fleet(), persisted, false);
   second.without_reports = {{"n1", true}, {"n2", true}, {"n3", true}};
   second.run(60 * kSecond);
   ASSERT_TRUE(second.router.published());
@@ -21,11 +21,11 @@
 }
 
 TEST(Router, RestoredSnapshotLosesOnlyServersThatTheFleetFileNoLongerNames) {
-  FleetWorld first;
+  FleetSimulation first;
   first.run(3 * kSecond);
   fleet::Fleet smaller_fleet = small_fleet();
   smaller_fleet.nodes.erase(smaller_fleet.nodes.begin() + 1);
-  FleetWorld second(smaller_fleet, first.router.persisted_state(), false);
+  FleetSimulation second(smaller_fleet, first.router.persisted_state(), false);
   second.without_reports = {{"n1", true}, {"n3", true}};
   second.run(kSecond);
   EXPECT_EQ(second.route("n1").health, Health::kHealthy);
@@ -34,7 +34,7 @@
 }
 
 TEST(Router, LastSnapshotStaysWhenAllServersDrain) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   for (auto& [name, report] : simulation.reports) report.draining = true;
   simulation.run(5 * kSecond);
@@ -43,7 +43,7 @@
 }
 
 TEST(Router, SmallChangesOfAWindowAreNotPublished) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(5 * kSecond);
   std::size_t before = simulation.published.size();
   for (int i = 0; i < 20; ++i) {
--- a/tests/routing_fakes.h
+++ b/tests/routing_fakes.h
@@ -45,11 +45,11 @@
 }
 
 // Runs a Router with reports of simulated servers.
-struct FleetWorld {
+struct FleetSimulation {
   static constexpr std::uint64_t kRequests = 2;  // received by a server for each class between two reports
 
-  explicit FleetWorld(fleet::Fleet initial_fleet = small_fleet(),
-                      std::optional<PersistedState> persisted = std::nullopt, bool first_start = true)
+  explicit FleetSimulation(fleet::Fleet initial_fleet = small_fleet(),
+                           std::optional<PersistedState> persisted = std::nullopt, bool first_start = true)
       : fleet(std::move(initial_fleet)),
         router(fleet, std::move(persisted), first_start, now,
                [this](const std::string& line) { lines.push_back(line); }) {
--- a/tests/saved_state_test.cpp
+++ b/tests/saved_state_test.cpp
@@ -14,7 +14,7 @@
 
 using routing_state::SavedState;
 SavedState make_state() {
-  routing::FleetWorld simulation;
+  routing::FleetSimulation simulation;
   simulation.run(3 * kSecond);
   return {simulation.router.persisted_state(), {"p1", "p2"}};
 }
--- a/tests/server_registry_test.cpp
+++ b/tests/server_registry_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(ServerRegistry, SilentServerIsOutWithinLostAfterAndReturnsOnceItReports) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   EXPECT_EQ(simulation.route("n2").health, Health::kHealthy);
   simulation.without_reports["n2"] = true;
@@ -25,7 +25,7 @@
 }
 
 TEST(ServerRegistry, DrainedServerThatFallsSilentChangesNothing) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.reports["n2"].draining = true;
   simulation.run(500 * kMs);
@@ -40,7 +40,7 @@
 }
 
 TEST(ServerRegistry, RejectedReportsDoNotKeepAServerFromBeingLost) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.without_reports["n1"] = true;
   for (int i = 0; i < 30; ++i) {
@@ -68,7 +68,7 @@
 }
 
 TEST(ServerRegistry, ServerAddedToTheFleetFileIsServingOnceItReports) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   fleet::Fleet larger_fleet = small_fleet(4);
   simulation.router.update_fleet(larger_fleet, simulation.now);
@@ -82,7 +82,7 @@
 }
 
 TEST(ServerRegistry, ServerAtAnotherAddressIsAnotherServer) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   fleet::Fleet moved = small_fleet();
   moved.nodes[0].port = 5000;
@@ -93,7 +93,7 @@
 }
 
 TEST(ServerRegistry, ServerIsFoundByNameAndAddressAfterAnotherFleetFile) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   std::rotate(simulation.fleet.nodes.begin(), simulation.fleet.nodes.begin() + 1,
               simulation.fleet.nodes.end());
   simulation.fleet.nodes[0].port = 4999;  // n2
--- a/tests/server_restart_test.cpp
+++ b/tests/server_restart_test.cpp
@@ -22,8 +22,8 @@
     if (process > 0) kill_server();
     std::filesystem::remove_all(folder);
   }
-  Plain caller() {
-    Plain peer;
+  TestSocket caller() {
+    TestSocket peer;
     peer.connect(port);
     usleep(30'000);
     return peer;
@@ -43,30 +43,30 @@
 TEST_F(ServerRestartTest, CompletedRequestIsAnsweredAndOneThatMayHaveRunFails) {
   start();
   {
-    Plain engine = engine_up();
-    Plain peer = caller();
+    TestSocket engine = engine_up();
+    TestSocket peer = caller();
     peer.write(booking(1, "00000000000000a1", "aa"));
-    ASSERT_TRUE(comes(engine, "00000000000000a1"));
+    ASSERT_TRUE(receives(engine, "00000000000000a1"));
     engine.write(R"({"cmd":"DONE","offset":1,"req":"00000000000000a1","result":"success","payload":"QUJD"})"
                  "\n");
-    ASSERT_TRUE(comes(peer, "ABC"));
+    ASSERT_TRUE(receives(peer, "ABC"));
     peer.write(booking(2, "00000000000000b1", "bb"));
-    ASSERT_TRUE(comes(engine, "00000000000000b1"));
+    ASSERT_TRUE(receives(engine, "00000000000000b1"));
     usleep(100'000);  // the outcome of the first is on its way to the disk
     kill_server();
   }
   start();
-  Plain engine = engine_up();
-  Plain peer = caller();
+  TestSocket engine = engine_up();
+  TestSocket peer = caller();
   peer.write(booking(1, "00000000000000a2", "aa"));
-  EXPECT_TRUE(comes(peer, "ABC"));
+  EXPECT_TRUE(receives(peer, "ABC"));
   peer.write(booking(2, "00000000000000b2", "bb"));
-  EXPECT_TRUE(comes(peer, "Status: 500"));
+  EXPECT_TRUE(receives(peer, "Status: 500"));
   // A new request runs.
   peer.write(booking(3, "00000000000000c2", "cc"));
   std::string commands;
   EXPECT_TRUE(
-      until([&] { return (commands += engine.read()).find("00000000000000c2") != std::string::npos; }));
+      eventually([&] { return (commands += engine.read()).find("00000000000000c2") != std::string::npos; }));
   EXPECT_EQ(commands.find("00000000000000a2"), std::string::npos);
   EXPECT_EQ(commands.find("00000000000000b2"), std::string::npos);
 }
@@ -78,8 +78,8 @@
   int traces = 0;
   for (int starts = 0; starts < 8; ++starts) {
     start();
-    Plain engine = engine_up();
-    Plain peer = caller();
+    TestSocket engine = engine_up();
+    TestSocket peer = caller();
     std::string commands;
     int offset = 0;
     auto read_engine = [&] {
@@ -91,9 +91,9 @@
         std::string id = line.substr(at + 7, 16);
         ++ran[key_of[id]];
         if (random() % 4) {
-          engine.offer(R"({"cmd":"DONE","offset":)" + std::to_string(++offset) + R"(,"req":")" + id +
-                       R"(","result":"success","payload":"QUJD"})"
-                       "\n");
+          engine.try_write(R"({"cmd":"DONE","offset":)" + std::to_string(++offset) + R"(,"req":")" + id +
+                           R"(","result":"success","payload":"QUJD"})"
+                           "\n");
         }
       }
     };
@@ -102,7 +102,7 @@
       std::snprintf(trace, sizeof trace, "%016x", ++traces);
       std::string key = std::to_string(10 + random() % 40);
       key_of[trace] = key;
-      peer.offer(booking(i % 32 + 1, trace, key));
+      peer.try_write(booking(i % 32 + 1, trace, key));
       usleep(static_cast<useconds_t>(random() % 3'000));
       read_engine();
       peer.read();
@@ -118,7 +118,7 @@
 
 TEST_F(ServerRestartTest, StartFailsWhenTheFolderIsInUseOrUnusable) {
   start();
-  Plain engine = engine_up();
+  TestSocket engine = engine_up();
   pid_t first = std::exchange(process, 0);
   port = free_port();  // or it would end for that
   write_config(free_port(), 9);
--- a/tests/server_states_test.cpp
+++ b/tests/server_states_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(ServerStates, ServerThatAnswersNothingIsUnresponsiveThoughItReportsHealthy) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.hung["n3"] = true;
   simulation.run(2500 * kMs);
@@ -18,7 +18,7 @@
 }
 
 TEST(ServerStates, ServerIsUnresponsiveWhenProxiesGetNoAnswers) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   for (int i = 0; i < 30; ++i) {
     simulation.run(100 * kMs);
@@ -31,7 +31,7 @@
 }
 
 TEST(ServerStates, ServerThatReportsItsRejectionsStaysThoughProxiesSeeOnlyErrors) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.rejects["n2"] = 2;
   for (int i = 0; i < 30; ++i) {
@@ -43,7 +43,7 @@
 }
 
 TEST(ServerStates, FlappingServerStaysOutForLongerEachTime) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   std::vector<Nanos> times_out_of_rotation;
   for (int round = 0; round < 4; ++round) {
--- a/tests/shards_test.cpp
+++ b/tests/shards_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 TEST(Shards, ShardChangesOwnerOnlyAfterAWindowWithoutOne) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   std::set<std::size_t> shards_of_n1;
   for (std::size_t shard = 0; shard < 256; ++shard) {
@@ -32,7 +32,7 @@
 }
 
 TEST(Shards, ShardStaysClosedUntilAllProxiesHaveAppliedTheClosure) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.proxies_apply = false;
   simulation.without_reports["n1"] = true;
@@ -45,7 +45,7 @@
 }
 
 TEST(Shards, OwnerThatReturnsAsTheSameIncarnationGetsItsShardsAtOnce) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.without_reports["n1"] = true;
   simulation.run(1500 * kMs);
@@ -56,7 +56,7 @@
 }
 
 TEST(Shards, OwnerThatReturnsAsAnotherIncarnationHasLostItsShards) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.reports["n1"].incarnation = 200;  // restarted between two reports, and warmed up
   simulation.run(300 * kMs);
@@ -68,7 +68,7 @@
 }
 
 TEST(Shards, AllAreClosedForAWindowWithoutPersistedState) {
-  FleetWorld simulation(small_fleet(), std::nullopt, false);
+  FleetSimulation simulation(small_fleet(), std::nullopt, false);
   simulation.run(kSecond);
   EXPECT_EQ(simulation.router.shards().closed(), 256u);
   simulation.run(simulation.fleet.longest_deduplication_window() + kSecond);
@@ -76,7 +76,7 @@
 }
 
 TEST(Shards, RebalancingClosesNoMoreThanMaxMigrating) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   fleet::Fleet larger_fleet = small_fleet(4);
   simulation.router.update_fleet(larger_fleet, simulation.now);
@@ -98,7 +98,7 @@
 // other within its deduplication window. Proxies apply publications late, each after a delay of its own.
 TEST(Shards, NoKeyRunsAtTwoServersWithinItsWindow) {
   std::mt19937 random(11);
-  FleetWorld simulation(small_fleet(5));
+  FleetSimulation simulation(small_fleet(5));
   simulation.proxies_apply = false;
   std::vector<std::shared_ptr<const PublishedSnapshot>> proxies(3);
   std::vector<Nanos> stalled_until(3);
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -13,7 +13,7 @@
 namespace myrtlecroft::standin {
 namespace {
 
-AppliedSet::Endpoints served(routing::FleetWorld& world) {
+AppliedSet::Endpoints served(routing::FleetSimulation& world) {
   auto set = xds::build_resource_set(*world.router.published(), nullptr);
   ParsedResourceCache bodies;
   const std::string& plain = set->of(xds::ResourceType::kEndpoints).at("group/read")->sotw_encoding;
@@ -28,7 +28,7 @@
 }
 
 TEST(Ring, AKeyStaysWhereItIsAndOnlyWhatANodeHadMovesWhenItGoes) {
-  routing::FleetWorld world(routing::small_fleet(5));
+  routing::FleetSimulation world(routing::small_fleet(5));
   world.run(5 * kSecond);
   AppliedSet::Endpoints before = served(world);
   world.reports["n2"].draining = true;
@@ -56,7 +56,7 @@
 TEST(Ring, ANodeOfLessWeightHasFewerKeys) {
   fleet::Fleet fleet = routing::small_fleet(3);
   fleet.nodes[0].capacity = 0.25;
-  routing::FleetWorld world(fleet);
+  routing::FleetSimulation world(fleet);
   world.run(5 * kSecond);
   AppliedSet::Endpoints endpoints = served(world);
   std::map<std::string, int> owned;
--- a/tests/tenant_index_test.cpp
+++ b/tests/tenant_index_test.cpp
@@ -64,7 +64,7 @@
 struct TenantIndexTest : net::FastCgiServerTest {
   // What a server with so many tenants uses for a hundred requests, one after the other.
   double cpu_of_requests(int count) {
-    ServiceConfig config = net::calling_much();
+    ServiceConfig config = net::high_dependency_share_config();
     config.tenants = many_tenants(count);
     FakeWorld its(std::move(config), 1'000);
     its.time = loop.now();
@@ -72,16 +72,16 @@
     int at = net::free_port();
     net::FastCgiServer its_front(loop, *this, net::at_port(at), 12, 300'000);
     its_front.serve(its.service, [] {});
-    net::Plain peer;
+    net::TestSocket peer;
     peer.connect(at);
-    turn(5 * kMs);
+    run_loop_for(5 * kMs);
     double begun = thread_cpu_seconds();
     for (int i = 0; i < 100; ++i) {
       std::string id = std::to_string(1'000'000'000'000'000 + i);
       peer.write(request(1, "/api/v2/read", id, 1, {{"HTTP_PROJECT", name_of(i % count)}}));
-      EXPECT_TRUE(until([&] { return its.count("run " + id) == 1; }));
+      EXPECT_TRUE(eventually([&] { return its.count("run " + id) == 1; }));
       its.done(id);
-      EXPECT_TRUE(comes(peer, "Status: 200"));
+      EXPECT_TRUE(receives(peer, "Status: 200"));
     }
     return thread_cpu_seconds() - begun;
   }
--- a/tests/weights_test.cpp
+++ b/tests/weights_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(Weights, ServerThatIsWarmingUpGetsItsWeightInSmallSteps) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.without_reports["n1"] = true;
   simulation.run(4 * kSecond);
@@ -32,7 +32,7 @@
 }
 
 TEST(Weights, ServerUnderMorePressureLosesWeightAtABoundedSpeed) {
-  FleetWorld simulation;
+  FleetSimulation simulation;
   simulation.run(3 * kSecond);
   simulation.rejects["n3"] = 1;
   simulation.reports["n3"].queued_requests = 20;
--- a/tests/xds_subsets_test.cpp
+++ b/tests/xds_subsets_test.cpp
@@ -321,7 +321,7 @@
     harness.run_until_idle(caller);
     harness.disconnect(caller);
   }
-  EXPECT_EQ(harness.table.gone(), 1u);
+  EXPECT_EQ(harness.table.disconnected_count(), 1u);
   harness.connect(caller);
   harness.run_until_idle(caller);
   EXPECT_EQ(harness.table.applied_by_all(60 * kSecond, harness.now), harness.number);
@@ -344,7 +344,7 @@
     EXPECT_EQ(table.applied_by_all(kSecond, kSecond), 0u);
     for (StreamId stream : streams) table.close(stream, kSecond);
   }
-  EXPECT_EQ(table.gone(), static_cast<std::size_t>(kCallers))
+  EXPECT_EQ(table.disconnected_count(), static_cast<std::size_t>(kCallers))
       << "each caller once, though it connected twice";
   EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds(10));
 }
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -12,7 +12,7 @@
 namespace myrtlecroft::xds {
 namespace {
 
-using routing::FleetWorld;
+using routing::FleetSimulation;
 using routing::Health;
 
 class BothVariants : public testing::TestWithParam<bool> {};
@@ -352,7 +352,7 @@
   harness.connect(other);
   harness.run_until_idle(other);
   EXPECT_EQ(harness.table.applied_by_all(60 * kSecond, harness.now), 1u);
-  EXPECT_EQ(harness.table.known().size(), 2u);
+  EXPECT_EQ(harness.table.known_proxies().size(), 2u);
 }
 
 // As in the control service, the closed set has the number of the publication that it is made from.
