--- a/include/myrtlecroft/decaying_sum.h
+++ b/include/myrtlecroft/decaying_sum.h
@@ -1,4 +1,4 @@
-// How things have gone lately, measured so that what is older counts less.
+// An exponentially decaying sum of samples.
 #pragma once
 
 #include <cmath>
@@ -7,18 +7,19 @@
 
 namespace myrtlecroft {
 
-// A sum in which what is older counts less, brought up to date when it is read.
+// Sums samples whose weights decay by a factor of e in each time constant. The decay is computed when the sum
+// is read. `now` must not go backwards.
 class DecayingSum {
  public:
-  explicit DecayingSum(Nanos over) : over_(over) {}
-  void add(double x, Nanos now) { sum_ = read(now) + x, at_ = now; }
+  explicit DecayingSum(Nanos time_constant) : time_constant_(time_constant) {}
+  void add(double amount, Nanos now) { sum_ = read(now) + amount, updated_at_ = now; }
   double read(Nanos now) const {
-    return sum_ * std::exp(-static_cast<double>(now - at_) / static_cast<double>(over_));
+    return sum_ * std::exp(-static_cast<double>(now - updated_at_) / static_cast<double>(time_constant_));
   }
 
  private:
-  Nanos over_;
-  Nanos at_ = 0;
+  Nanos time_constant_;
+  Nanos updated_at_ = 0;
   double sum_ = 0;
 };
 
--- a/src/overload/capacity_estimate.h
+++ b/src/overload/capacity_estimate.h
@@ -1,5 +1,5 @@
-// What the server can do, as measured: service times by request class, throughput, how many queued requests
-// can still be answered within their latency objective, and how that is shared by priority and tenant quota.
+// Measures the server's capacity: service times by request class, throughput, and how many queued requests
+// can still be answered within their latency objective. Priority and tenant quota share out that number.
 #pragma once
 
 #include <vector>
@@ -10,41 +10,44 @@
 
 namespace myrtlecroft::overload {
 
+// One thread. `now` must not go backwards.
 class CapacityEstimate {
  public:
-  // Both must outlive it.
+  // Both arguments must outlive the estimate.
   CapacityEstimate(const ServiceConfig& config, const ConcurrencyLimit& concurrency);
 
   void request_received(const Request& request, Nanos now);
   void request_rejected(Nanos now) { rejected_.add(1, now); }
-  // A run ended, or was stopped while it ran.
-  void run_measured(const Request& request, Nanos now);
+  // Records the times of a run that ended or was stopped.
+  void record_run(const Request& request, Nanos now);
 
-  // Seconds on a core for one request, over all classes.
+  // Mean seconds on a core for one request, over all classes.
   double core_time(Nanos now) const;
-  // The same of the request's class.
+  // The same for the request's class.
   double core_time_of(const Request& request, Nanos now) const { return core_time(class_of(request), now); }
-  // Seconds from start to end.
+  // Mean seconds from the start to the end of a run of the request's class.
   double run_time_of(const Request& request, Nanos now) const { return run_time(class_of(request), now); }
-  // Dependency calls for each run.
+  // Mean number of dependency calls for each run of the request's class.
   double calls_of(const Request& request, Nanos now) const;
   // Requests per second.
   double throughput(Nanos now) const;
 
-  // The position up to which the request may be queued: from there an answer can still come within the
-  // latency objective. Requests of less value stay below what any of more value may use, and below a share of
-  // it. `call_wait`: seconds that its dependency calls will wait.
+  // The last queue position from which the request can still be answered within the latency objective. A
+  // request of less value is limited to a share of the positions that requests of more value may use.
+  // `call_wait`: seconds that its dependency calls are expected to wait.
   double max_position(const Request& request, int window, double call_wait, Nanos now) const;
-  // The largest queue that any class may use.
+  // The largest queue, in positions, that any class may use.
   double max_queue(int window, Nanos now) const;
 
+  // Whether more than this share of recent requests was rejected.
   bool rejects_more_than(double share, Nanos now) const;
-  // While runs take no longer than usual, many rejections mean that the whole fleet is short of capacity.
+  // Whether runs take no longer than usual. Many rejections then mean that the whole fleet lacks capacity.
   bool runs_at_usual_speed(Nanos now) const;
+  // The decayed number of requests received, over kEstimateTimeConstant.
   double received_recently(Nanos now) const { return received_.read(now); }
 
  private:
-  // Of one request class.
+  // The estimates for one request class.
   struct ClassEstimate {
     DecayingMean core_time;  // seconds, without dependency calls
     DecayingMean run_time;   // seconds from start to end
@@ -55,20 +58,20 @@
   std::size_t tenant_of(const Request& request) const;
   double core_time(std::size_t request_class, Nanos now) const;
   double run_time(std::size_t request_class, Nanos now) const;
-  double core_time_guess(std::size_t request_class, Nanos now) const;
+  double initial_core_time(std::size_t request_class, Nanos now) const;
   double value(std::size_t request_class, Nanos now) const;
   double tenant_factor(const Request& request, Nanos now) const;
-  double time_to_queue(std::size_t request_class, Nanos time, Nanos now) const;
+  double max_queue_wait(std::size_t request_class, Nanos time, Nanos now) const;
 
   const ServiceConfig& config_;
   const ConcurrencyLimit& concurrency_;
   std::vector<ClassEstimate> classes_;
-  std::vector<DecayingSum> tenant_rates_;
+  std::vector<DecayingSum> tenant_rates_;  // requests over kTenantRateTimeConstant
   DecayingMean core_time_;
-  DecayingMean current_speed_;  // core time as if nothing but runs shared the cores
-  DecayingMean usual_speed_;    // the same, over a longer time
-  DecayingSum received_{kRecent};
-  DecayingSum rejected_{kRecent};
+  DecayingMean recent_uncontended_time_;  // seconds of core time, corrected for CPU contention
+  DecayingMean usual_uncontended_time_;   // the same, over a longer time
+  DecayingSum received_{kEstimateTimeConstant};
+  DecayingSum rejected_{kEstimateTimeConstant};
 };
 
 }  // namespace myrtlecroft::overload
--- a/src/overload/controller.cpp
+++ b/src/overload/controller.cpp
@@ -1,4 +1,5 @@
-// The public interface of the overload controller: each event with its time, then dispatch.
+// Forwards each event of the public interface to Controller::Core: sets the time, handles the event, then
+// starts the work that the event made possible.
 #include "myrtlecroft/controller.h"
 
 #include "overload/controller_core.h"
@@ -27,9 +28,9 @@
   core_->dispatch();
 }
 
-void Controller::call_ended(Request& request, Outcome outcome, Nanos took, Nanos now) {
+void Controller::call_ended(Request& request, Outcome outcome, Nanos duration, Nanos now) {
   core_->set_now(now);
-  core_->call_ended(request, outcome, took);
+  core_->call_ended(request, outcome, duration);
   core_->dispatch();
 }
 
--- a/src/overload/controller_core.cpp
+++ b/src/overload/controller_core.cpp
@@ -14,17 +14,22 @@
 
 constexpr Nanos kTimerInterval = 25 * kMs;
 constexpr Nanos kAdviceInterval = 250 * kMs;
-constexpr double kManyRejected = 0.35;  // of what is received: more than uneven callers explain
-constexpr double kFewRejected = 0.1;  // of what is received; with more rejected, less capacity is advertised
-// From this share on, an answer past the latency objective is worth nearly as much as one in time.
-constexpr double kLateIsUseful = 0.5;
-// Of the latency objective, spent before the request was read: others wait unread behind it.
-constexpr double kLongUnread = 0.2;
+// Shares of the received requests that are rejected. Above the first, the fleet counts as overloaded: uneven
+// load from callers does not explain so many. Above the second, less capacity is advertised.
+constexpr double kFleetOverloadRejectedShare = 0.35;
+constexpr double kReducedCapacityRejectedShare = 0.1;
+// Share of its weight from which an answer past the latency objective counts as nearly as valuable as a
+// timely one.
+constexpr double kUsefulLateWeightShare = 0.5;
+// Share of the latency objective: a request that waited longer before it was read has unread requests behind
+// it.
+constexpr double kUnreadBacklogShare = 0.2;
 
 Nanos min_latency_objective(const ServiceConfig& config) {
-  Nanos out = config.request_classes.front().latency_objective;
-  for (const RequestClass& one : config.request_classes) out = std::min(out, one.latency_objective);
-  return out;
+  Nanos shortest = config.request_classes.front().latency_objective;
+  for (const RequestClass& candidate : config.request_classes)
+    shortest = std::min(shortest, candidate.latency_objective);
+  return shortest;
 }
 
 }  // namespace
@@ -57,17 +62,17 @@
       request.client_deadline ? request.client_deadline : request.arrived + request_class.client_timeout;
   request.deadline = std::max(now_, client_deadline);
   request.useful_until = request.deadline;
-  if (request_class.late_weight_share < kLateIsUseful) {
+  if (request_class.late_weight_share < kUsefulLateWeightShare) {
     request.useful_until = std::min(request.deadline, request.arrived + request_class.latency_objective);
   }
   capacity_.request_received(request, now_);
   request.phase = Phase::kReceived;
   request.admitted = now_;
   open_requests_.push_back(&request);
-  bool in_time = !arrived_after_grace(request) && !has_no_time_left(request);
+  bool arrived_in_time = !arrived_after_grace(request) && !has_no_time_left(request);
   bool is_idempotent = request_class.idempotency == Idempotency::kIdempotent;
-  if (must_join_original(request) && (in_time || !is_idempotent)) {
-    apply(request, in_time ? RequestEvent::kJoinsOriginal : RequestEvent::kTimedOut);
+  if (must_join_original(request) && (arrived_in_time || !is_idempotent)) {
+    apply(request, arrived_in_time ? RequestEvent::kJoinsOriginal : RequestEvent::kTimedOut);
     return;
   }
   static constexpr std::array<Check, 7> kRejections = {
@@ -84,7 +89,7 @@
   apply(request, RequestEvent::kRunEnded);
 }
 
-// A request that can't be protected from running twice must not run: it is rejected, having never started.
+// A request whose intent is not durable could run again after a crash. It is rejected before it starts.
 void Controller::Core::intent_recorded(Request& request, bool durable) {
   request.awaits_intent = false;
   if (!durable && request.phase == Phase::kQueued) apply(request, RequestEvent::kRejected);
@@ -92,12 +97,12 @@
 
 void Controller::Core::call_needed(Request& request) {
   apply(request, RequestEvent::kNeedsCall);
-  health_.progress(now_);
+  health_.record_progress(now_);
 }
 
-void Controller::Core::call_ended(Request& request, Outcome outcome, Nanos took) {
-  dependency_.call_ended(request, outcome, took, now_);
-  health_.progress(now_);
+void Controller::Core::call_ended(Request& request, Outcome outcome, Nanos duration) {
+  dependency_.call_ended(request, outcome, duration, now_);
+  health_.record_progress(now_);
   RequestEvent event = RequestEvent::kCallLost;
   if (outcome == Outcome::kOk) event = RequestEvent::kCallOk;
   if (overload::DependencyBudget::never_ran(outcome)) event = RequestEvent::kCallNeverRan;
@@ -110,7 +115,7 @@
 
 void Controller::Core::timer_expired(const Gauges& gauges) {
   actions_.schedule_timer(kTimerInterval, 0);
-  concurrency_.follow(gauges, !queue_.empty(), now_);
+  concurrency_.adjust(gauges, !queue_.empty(), now_);
   answer_due_requests();
   if (now_ - advertised_at_ < kAdviceInterval) return;
   advertised_at_ = now_;
@@ -129,14 +134,14 @@
           .running = concurrency_.running()};
 }
 
-// ---- Checks
+// ---- Admission and dispatch checks
 
 bool Controller::Core::arrived_after_grace(const Request& request) const {
   return health_.arrived_after_grace(request, config_.drain_grace);
 }
 
 bool Controller::Core::has_no_time_left(const Request& request) const {
-  return request.deadline - now_ <= answer_lead();
+  return request.deadline - now_ <= answer_lead_time();
 }
 
 bool Controller::Core::is_unhealthy(const Request&) const {
@@ -147,16 +152,17 @@
   return !memory_.fits_queued(request, key_lifetime(request) > 0);
 }
 
-// A late answer is of little value, and a core spent on it makes others late too. A request that waited long
-// before it was read has unread ones behind it even when the queue is empty. With nothing behind it it runs
-// all the same.
+// A late answer has little value, and the core time spent on it delays other requests. If a request waited
+// long before it was read, others wait unread behind it even when the queue is empty. A request with no other
+// behind it runs in any case.
 bool Controller::Core::misses_objective(const Request& request) const {
-  double left = seconds(request.useful_until - now_);
-  double unread = seconds(request.admitted - request.arrived);
-  std::size_t itself = request.position ? 1 : 0;
-  bool others_wait =
-      queue_.size() > itself || unread > kLongUnread * seconds(request.request_class->latency_objective);
-  return others_wait && left < 0.5 * capacity_.run_time_of(request, now_);
+  double time_left = seconds(request.useful_until - now_);
+  double unread_time = seconds(request.admitted - request.arrived);
+  std::size_t own_entries = request.position ? 1 : 0;
+  bool other_requests_wait =
+      queue_.size() > own_entries ||
+      unread_time > kUnreadBacklogShare * seconds(request.request_class->latency_objective);
+  return other_requests_wait && time_left < 0.5 * capacity_.run_time_of(request, now_);
 }
 
 bool Controller::Core::is_beyond_window(const Request&) const {
@@ -173,16 +179,17 @@
   return window_.is_likely_late(request.position);
 }
 
-// With all slots taken and the dependency slow, a request that needs a call would keep those behind it from
-// idle cores. One is rejected now and then just before a slot is free.
+// While all slots are taken and the dependency is slow, a request that needs a call would keep the requests
+// behind it from idle cores. Occasionally a request is rejected just before a slot becomes free.
 bool Controller::Core::lacks_dependency_slot(const Request& request) const {
   if (!dependency_.lacks_slot(request, now_)) return false;
   return dependency_.slots(now_) == 0 || (queue_.size() > 1 && dependency_.is_slow_for(request, now_));
 }
 
-// A retry of a keyed request that is queued, runs or has run is never run again: it gets the other's result.
-// An original that is no longer known is one that has run. Two attempts in one batch name each other, and one
-// that was rejected before it ran binds nobody.
+// A retry of a keyed request that is queued, runs or has run never runs itself; it gets the result of its
+// original. An original that is no longer known has run. Two attempts in one batch name each other as
+// originals, so an original that is not yet admitted does not count, nor does one that was rejected before it
+// ran.
 bool Controller::Core::must_join_original(const Request& request) const {
   if (!request.is_retry) return false;
   const Request* original = request.original;
@@ -192,20 +199,22 @@
 
 bool Controller::Core::can_start(const Request& request) const {
   if (concurrency_.running() + 1 > health_.max_running(concurrency_.limit())) return false;
-  int in_server = concurrency_.running() + dependency_.requests_in_calls();
-  if (in_server + 1 > concurrency_.max_concurrency(now_)) return false;
+  int requests_in_server = concurrency_.running() + dependency_.requests_in_calls();
+  if (requests_in_server + 1 > concurrency_.max_concurrency(now_)) return false;
   if (dependency_.lacks_slot(request, now_)) return false;
   return memory_.fits_running(request);
 }
 
-// As quick as usual and still rejecting much, this server is one of many that are short of capacity: a
-// rejection is then best passed on at once, as further attempts cost other servers their reading.
+// A server that rejects many requests although its runs take no longer than usual is one of many that lack
+// capacity. Callers should then not fail over: further attempts only cost other servers the time to read
+// them.
 bool Controller::Core::fleet_is_overloaded() const {
-  return health_.mode() == Mode::kServing && capacity_.rejects_more_than(kManyRejected, now_) &&
+  return health_.mode() == Mode::kServing && capacity_.rejects_more_than(kFleetOverloadRejectedShare, now_) &&
          capacity_.runs_at_usual_speed(now_);
 }
 
-// A keyed request needs its key; a read that may share its answer has one while memory is to spare.
+// How long the key of a request is retained; 0: not at all. A keyed request always needs its key, a read that
+// may share its answer has one only while memory is available.
 Nanos Controller::Core::key_lifetime(const Request& request) const {
   const RequestClass& request_class = *request.request_class;
   if (request_class.idempotency == Idempotency::kKeyed) return request_class.deduplication_window;
@@ -214,53 +223,56 @@
   return may_share && memory_.has_room_for_shared_answers() ? config_.answer_sharing_window : 0;
 }
 
-Nanos Controller::Core::answer_lead() const { return kTimerInterval + 2 * config_.tick; }
+Nanos Controller::Core::answer_lead_time() const { return kTimerInterval + 2 * config_.tick; }
 
-// ---- Measures and upkeep
+// ---- Measurements and periodic work
 
 void Controller::Core::measure_run(Request& request, Outcome outcome) {
   bool ok = outcome == Outcome::kOk;
-  if (ok || outcome == Outcome::kFailed) health_.run_ended(ok, now_);
-  if (ok) count_answer(request);
-  // What was stopped while it ran tells that work takes longer: without it, only short work would count.
-  bool stopped = outcome == Outcome::kCanceled && request.occupies_core;
-  if ((!ok && !stopped) || !health_.started_after_stall(request)) return;
+  if (ok || outcome == Outcome::kFailed) health_.record_run_end(ok, now_);
+  if (ok) record_answer(request);
+  // A run that was stopped shows that runs take longer. If it were left out, only short runs would be
+  // measured.
+  bool was_stopped_running = outcome == Outcome::kCanceled && request.occupies_core;
+  if ((!ok && !was_stopped_running) || !health_.started_after_stall(request)) return;
   concurrency_.end_running(request, now_);
-  capacity_.run_measured(request, now_);
+  capacity_.record_run(request, now_);
 }
 
-void Controller::Core::count_answer(Request& request) {
+void Controller::Core::record_answer(Request& request) {
   if (request.answered) return;
   if (now_ <= request.deadline) {
-    window_.answer_was_timely();
+    window_.record_timely_answer();
   } else {
-    answer_was_late(request);
+    record_late_answer(request);
   }
 }
 
-// A position measures the wait in the queue. Where the calls took longer than that wait, the dependency made
-// the answer late, and a smaller window would only reject requests that do not call it.
-void Controller::Core::answer_was_late(const Request& request) {
-  Nanos queued = request.started - request.admitted;
-  Nanos in_calls = now_ - request.started - request.core_time;
-  bool caused_by_dependency = request.ran && in_calls > queued && request.calls > 0 && !request.occupies_core;
-  window_.answer_was_late(request.position, caused_by_dependency);
+// A queue position measures the wait in the queue. If the calls took longer than that wait, the dependency
+// made the answer late, and a smaller window would only reject requests that do not call it.
+void Controller::Core::record_late_answer(const Request& request) {
+  Nanos queue_time = request.started - request.admitted;
+  Nanos call_time = now_ - request.started - request.core_time;
+  bool caused_by_dependency =
+      request.ran && call_time > queue_time && request.calls > 0 && !request.occupies_core;
+  window_.record_late_answer(request.position, caused_by_dependency);
 }
 
-// Every request is answered before its deadline, and all of them before the stop, whatever still runs.
+// Answers each request before its deadline, and all requests before a graceful shutdown ends, even if they
+// still run.
 void Controller::Core::answer_due_requests() {
-  bool stopping = health_.stops_within(4 * answer_lead(), now_);
-  std::vector<Request*> due;
+  bool stop_is_near = health_.stops_within(4 * answer_lead_time(), now_);
+  std::vector<Request*> due_requests;
   for (Request* request : open_requests_) {
-    if (!request->answered && (stopping || has_no_time_left(*request))) due.push_back(request);
+    if (!request->answered && (stop_is_near || has_no_time_left(*request))) due_requests.push_back(request);
   }
-  for (Request* request : due) {
+  for (Request* request : due_requests) {
     apply(*request, request->phase == Phase::kQueued ? RequestEvent::kRejected : RequestEvent::kTimedOut);
   }
 }
 
-void Controller::Core::change_health() {
-  auto transition = health_.next(now_);
+void Controller::Core::update_health() {
+  auto transition = health_.due_transition(now_);
   if (!transition) {
     health_.clear_progress();
     return;
@@ -281,10 +293,10 @@
     case overload::HealthAction::kProbe:
       actions_.report_health(true);
       break;
-    case overload::HealthAction::kRestart:
-      window_.restart();
+    case overload::HealthAction::kResetWindow:
+      window_.reset();
       break;
-    case overload::HealthAction::kReportBad:
+    case overload::HealthAction::kReportUnhealthy:
       actions_.report_health(false);
       break;
   }
@@ -294,18 +306,18 @@
 void Controller::Core::dispatch() {
   memory_.expire_keys(now_);
   dependency_.expire_abandoned_calls(now_);
-  change_health();
+  update_health();
   dispatch_queue();
   dispatch_calls();
 }
 
 void Controller::Core::dispatch_queue() {
-  for (std::size_t at = 0; at < queue_.size();) {
-    Request& request = *queue_[at];
+  for (std::size_t index = 0; index < queue_.size();) {
+    Request& request = *queue_[index];
     if (is_likely_late(request) || misses_objective(request) || lacks_dependency_slot(request)) {
       apply(request, RequestEvent::kRejected);
     } else if (request.awaits_intent) {
-      ++at;  // waits for the disk and not for a core: those behind it may start
+      ++index;  // waits for the disk and not for a core, so requests behind it may start
     } else if (can_start(request)) {
       apply(request, RequestEvent::kStarted);
     } else {
@@ -318,7 +330,7 @@
   for (Request* request : dependency_.lost_calls(now_)) {
     if (actions_.abandon_call(*request)) apply(*request, RequestEvent::kCallLost);
   }
-  dependency_.refill(now_);
+  dependency_.refill_credit(now_);
   using Decision = overload::DependencyBudget::Decision;
   for (Request* request : dependency_.awaiting_by_value()) {
     switch (dependency_.decide(*request, now_)) {
@@ -338,7 +350,7 @@
 }
 
 void Controller::Core::advertise() {
-  bool many_rejected = capacity_.rejects_more_than(kFewRejected, now_);
+  bool many_rejected = capacity_.rejects_more_than(kReducedCapacityRejectedShare, now_);
   double admissible = 0;
   if (config_.advertised_capacity == AdvertisedCapacity::kMaxInFlight) {
     admissible = concurrency_.limit() + capacity_.max_queue(window_.size(), now_);
--- a/src/overload/controller_core.h
+++ b/src/overload/controller_core.h
@@ -1,5 +1,5 @@
-// Receives the events of one server, asks the mechanisms of this package in a fixed order, and carries out
-// their decisions through ControllerActions. One thread; no I/O and no clock of its own.
+// Handles the events of one server: asks the mechanisms of this package in a fixed order and carries out
+// their decisions through ControllerActions. One thread; no I/O, and the clock comes with each event.
 #pragma once
 
 #include <deque>
@@ -20,9 +20,10 @@
 
 class Controller::Core {
  public:
+  // `config` and `actions` must outlive the core.
   Core(const ServiceConfig& config, ControllerActions& actions, std::uint64_t seed);
 
-  // Before each event, and dispatch() after it.
+  // Must be called before each event, and dispatch() after it.
   void set_now(Nanos now) { now_ = now; }
 
   void start();
@@ -30,12 +31,12 @@
   void run_completed(Request& request, Outcome outcome);
   void intent_recorded(Request& request, bool durable);
   void call_needed(Request& request);
-  void call_ended(Request& request, Outcome outcome, Nanos took);
+  void call_ended(Request& request, Outcome outcome, Nanos duration);
   void caller_disconnected(Request& request);
   void timer_expired(const Gauges& gauges);
   void begin_drain(Nanos stop_at);
 
-  // Starts what may start: changes of health, queued requests, dependency calls.
+  // Makes the pending change of health, then starts the queued requests and dependency calls that may start.
   void dispatch();
 
   ControllerStats stats() const;
@@ -43,11 +44,12 @@
  private:
   using Check = bool (Core::*)(const Request&) const;
 
-  // The one way by which a request changes its phase.
+  // Changes the phase of the request and performs the action of that transition. Nothing else changes a
+  // phase.
   void apply(Request& request, overload::RequestEvent event);
   void perform(Request& request, overload::RequestAction action);
 
-  // Actions of the lifecycle.
+  // Actions of the request lifecycle.
   void enqueue(Request& request);
   void coalesce(Request& request);
   void reject(Request& request);
@@ -65,7 +67,7 @@
   void leave_queue(Request& request);
   void release(Request& request);
 
-  // Reasons to reject an arrival, or not to start the request at the front.
+  // Reasons to reject an arrival or the request at the front of the queue.
   bool arrived_after_grace(const Request& request) const;
   bool has_no_time_left(const Request& request) const;
   bool is_unhealthy(const Request& request) const;
@@ -81,14 +83,14 @@
   bool fleet_is_overloaded() const;
   Nanos key_lifetime(const Request& request) const;
   int next_position() const { return static_cast<int>(queue_.size()) + 1; }
-  // Time ahead of a deadline at which the answer has to be given.
-  Nanos answer_lead() const;
+  // How long before its deadline a request is answered.
+  Nanos answer_lead_time() const;
 
   void measure_run(Request& request, Outcome outcome);
-  void count_answer(Request& request);
-  void answer_was_late(const Request& request);
+  void record_answer(Request& request);
+  void record_late_answer(const Request& request);
   void answer_due_requests();
-  void change_health();
+  void update_health();
   void dispatch_queue();
   void dispatch_calls();
   void advertise();
@@ -99,7 +101,7 @@
   Nanos now_ = 0;
 
   std::deque<Request*> queue_;           // in arrival order
-  std::vector<Request*> open_requests_;  // all that are not done
+  std::vector<Request*> open_requests_;  // all requests that are not done
 
   overload::AdmissionWindow window_;
   overload::MemoryBudget memory_;
--- a/src/overload/decaying_mean.h
+++ b/src/overload/decaying_mean.h
@@ -1,30 +1,33 @@
-// A mean of samples in which older ones count less.
+// An exponentially decaying mean of samples.
 #pragma once
 
 #include "myrtlecroft/decaying_sum.h"
 
 namespace myrtlecroft::overload {
 
-// Time over which most estimates forget.
-constexpr Nanos kRecent = 4 * kSecond;
+// The time constant of most estimates.
+constexpr Nanos kEstimateTimeConstant = 4 * kSecond;
 
+// A mean of samples whose weights decay by a factor of e in each time constant.
 class DecayingMean {
  public:
-  explicit DecayingMean(Nanos over = kRecent) : total_(over), weight_(over) {}
+  explicit DecayingMean(Nanos time_constant = kEstimateTimeConstant)
+      : total_(time_constant), weight_(time_constant) {}
 
   void add(double sample, Nanos now) {
     total_.add(sample, now);
     weight_.add(1, now);
   }
 
-  // `guess` counts as `guess_weight` samples: the requests that end first are not typical of all that run.
-  double mean(double guess, Nanos now, double guess_weight = kGuessWeight) const {
+  // The mean including `prior`, which counts as `prior_weight` samples: the runs that end first are shorter
+  // than typical runs.
+  double mean(double prior, Nanos now, double prior_weight = kPriorWeight) const {
     double weight = weight_.read(now);
-    return (total_.read(now) + guess * guess_weight) / (weight + guess_weight);
+    return (total_.read(now) + prior * prior_weight) / (weight + prior_weight);
   }
 
  private:
-  static constexpr double kGuessWeight = 2;  // samples
+  static constexpr double kPriorWeight = 2;  // samples
 
   DecayingSum total_;
   DecayingSum weight_;
--- a/src/overload/health_state.cpp
+++ b/src/overload/health_state.cpp
@@ -8,23 +8,23 @@
 namespace myrtlecroft::overload {
 namespace {
 
-// Stalled when no run moves for this many core times, divided by the number of runs, and for this many more:
-// what still runs is the longer part of the work.
+// The server is stalled when no run makes progress for kStallCoreTimes core times divided by the number of
+// runs, plus kMinStallCoreTimes, since the runs that are still going are longer than the mean.
 constexpr double kStallCoreTimes = 16;
 constexpr double kMinStallCoreTimes = 2;
-constexpr double kMinStallOfObjective = 0.4;  // of the shortest latency objective
-constexpr Nanos kMinStall = 3 * kSecond;      // once runs fail, and between probes
-constexpr double kFailingShare = 0.3;         // of recent runs
-constexpr double kMinRunsToJudge = 6;
-constexpr int kMaxProbes = 2;      // at once
-constexpr int kProbesToProve = 6;  // in a row
+constexpr double kMinStallObjectiveShare = 0.4;  // share of the shortest latency objective
+constexpr Nanos kStallTimeout = 3 * kSecond;     // until probing, if runs fail or none is left
+constexpr double kMaxFailedShare = 0.3;       // share of recent runs; above it the server counts as failing
+constexpr double kMinRunsForFailureRate = 6;  // recent runs
+constexpr int kMaxProbes = 2;                 // running or queued at once
+constexpr int kProbesToServe = 6;             // in a row
 
 }  // namespace
 
 struct HealthState::Row {
   Mode mode;
-  bool (HealthState::*when)(Nanos) const;
-  Mode next;
+  bool (HealthState::*condition)(Nanos) const;
+  Mode next_mode;
   HealthAction action;
   const char* reason;
 };
@@ -34,25 +34,25 @@
   return kNames[static_cast<std::size_t>(mode)];
 }
 
-void HealthState::progress(Nanos now) {
+void HealthState::record_progress(Nanos now) {
   last_progress_ = now;
-  progressed_ = true;
+  progressed_since_dispatch_ = true;
 }
 
-void HealthState::run_ended(bool ok, Nanos now) {
-  progress(now);
-  runs_.add(1, now);
-  if (!ok) failures_.add(1, now);
-  probes_ok_ = ok ? probes_ok_ + 1 : 0;
+void HealthState::record_run_end(bool ok, Nanos now) {
+  record_progress(now);
+  recent_runs_.add(1, now);
+  if (!ok) recent_failures_.add(1, now);
+  consecutive_probe_successes_ = ok ? consecutive_probe_successes_ + 1 : 0;
 }
 
 void HealthState::begin_drain(Nanos stop_at, Nanos now) {
-  drain_begun_ = now;
+  drain_started_at_ = now;
   stop_at_ = stop_at;
 }
 
 double HealthState::failed_share(Nanos now) const {
-  return failures_.read(now) / std::max(1.0, runs_.read(now));
+  return recent_failures_.read(now) / std::max(1.0, recent_runs_.read(now));
 }
 
 bool HealthState::rejects_arrivals(int requests_in_server) const {
@@ -66,28 +66,29 @@
 }
 
 bool HealthState::arrived_after_grace(const Request& request, Nanos grace) const {
-  return stop_at_ != 0 && request.arrived > drain_begun_ + grace;
+  return stop_at_ != 0 && request.arrived > drain_started_at_ + grace;
 }
 
-std::optional<HealthTransition> HealthState::next(Nanos now) const {
+std::optional<HealthTransition> HealthState::due_transition(Nanos now) const {
   static constexpr std::array<Row, 7> kRows = {{
-      {Mode::kServing, &HealthState::draining, Mode::kDraining, HealthAction::kReportBad,
+      {Mode::kServing, &HealthState::is_draining, Mode::kDraining, HealthAction::kReportUnhealthy,
        "graceful shutdown"},
-      {Mode::kStalled, &HealthState::draining, Mode::kDraining, HealthAction::kReportBad,
+      {Mode::kStalled, &HealthState::is_draining, Mode::kDraining, HealthAction::kReportUnhealthy,
        "graceful shutdown"},
-      {Mode::kProbing, &HealthState::draining, Mode::kDraining, HealthAction::kReportBad,
+      {Mode::kProbing, &HealthState::is_draining, Mode::kDraining, HealthAction::kReportUnhealthy,
        "graceful shutdown"},
-      {Mode::kServing, &HealthState::stalled, Mode::kStalled, HealthAction::kShedQueue,
+      {Mode::kServing, &HealthState::is_stalled, Mode::kStalled, HealthAction::kShedQueue,
        "runs make no progress or fail"},
-      {Mode::kProbing, &HealthState::stalled, Mode::kStalled, HealthAction::kShedQueue,
+      {Mode::kProbing, &HealthState::is_stalled, Mode::kStalled, HealthAction::kShedQueue,
        "probes make no progress or fail"},
       {Mode::kStalled, &HealthState::may_probe, Mode::kProbing, HealthAction::kProbe,
        "a run made progress, or the stall timeout passed"},
-      {Mode::kProbing, &HealthState::proven, Mode::kServing, HealthAction::kRestart, "probes succeeded"},
+      {Mode::kProbing, &HealthState::probes_succeeded, Mode::kServing, HealthAction::kResetWindow,
+       "probes succeeded"},
   }};
   for (const Row& row : kRows) {
-    if (row.mode != mode_ || !(this->*row.when)(now)) continue;
-    return HealthTransition{row.mode, row.next, row.action, row.reason};
+    if (row.mode != mode_ || !(this->*row.condition)(now)) continue;
+    return HealthTransition{row.mode, row.next_mode, row.action, row.reason};
   }
   return std::nullopt;
 }
@@ -96,32 +97,34 @@
   mode_ = transition.to;
   if (transition.action == HealthAction::kShedQueue) stalled_at_ = now;
   if (transition.action != HealthAction::kProbe) return;
-  probes_ok_ = 0;
-  runs_ = DecayingSum(kFailuresRecent);
-  failures_ = DecayingSum(kFailuresRecent);
+  consecutive_probe_successes_ = 0;
+  recent_runs_ = DecayingSum(kFailureTimeConstant);
+  recent_failures_ = DecayingSum(kFailureTimeConstant);
   last_progress_ = now;
 }
 
-// The fewer runs, the longer a pause that chance explains, more so where some work takes far longer than
-// most. A sudden slowdown by several times looks the same at first; it costs a short time of probing.
-bool HealthState::stalled(Nanos now) const {
-  if (runs_fail(now)) return true;
+// The fewer requests run, the longer a time without progress can be by chance, especially if some requests
+// take far longer than most. A sudden slowdown by several times looks like a stall at first; it costs a short
+// time of probing.
+bool HealthState::is_stalled(Nanos now) const {
+  if (failure_rate_is_high(now)) return true;
   if (concurrency_.running() == 0) return false;
-  double pause = seconds(now - last_progress_);
-  return pause > capacity_.core_time(now) * (kMinStallCoreTimes + kStallCoreTimes / concurrency_.running()) &&
-         pause > kMinStallOfObjective * seconds(min_objective_);
+  double time_without_progress = seconds(now - last_progress_);
+  return time_without_progress >
+             capacity_.core_time(now) * (kMinStallCoreTimes + kStallCoreTimes / concurrency_.running()) &&
+         time_without_progress > kMinStallObjectiveShare * seconds(min_objective_);
 }
 
 bool HealthState::may_probe(Nanos now) const {
-  bool rested = now - stalled_at_ >= kMinStall;
-  if (rested) return concurrency_.running() == 0 || progressed_;
-  return progressed_ && !runs_fail(now);
+  bool stall_timeout_passed = now - stalled_at_ >= kStallTimeout;
+  if (stall_timeout_passed) return concurrency_.running() == 0 || progressed_since_dispatch_;
+  return progressed_since_dispatch_ && !failure_rate_is_high(now);
 }
 
-bool HealthState::proven(Nanos) const { return probes_ok_ >= kProbesToProve; }
+bool HealthState::probes_succeeded(Nanos) const { return consecutive_probe_successes_ >= kProbesToServe; }
 
-bool HealthState::runs_fail(Nanos now) const {
-  return runs_.read(now) >= kMinRunsToJudge && failed_share(now) > kFailingShare;
+bool HealthState::failure_rate_is_high(Nanos now) const {
+  return recent_runs_.read(now) >= kMinRunsForFailureRate && failed_share(now) > kMaxFailedShare;
 }
 
 }  // namespace myrtlecroft::overload
--- a/src/overload/health_state.h
+++ b/src/overload/health_state.h
@@ -1,5 +1,5 @@
-// Whether the server as a whole serves: from measured progress and failures to serving, stalled, probing
-// (half-open: a few trial runs) and draining.
+// The state machine of the server's mode (serving, stalled, probing, draining), driven by the progress and
+// the failures of runs.
 #pragma once
 
 #include <optional>
@@ -11,16 +11,18 @@
 
 namespace myrtlecroft::overload {
 
+// The mode's name in log lines.
 const char* name_of(Mode mode);
 
-// What a change of mode brings.
+// The action that a change of mode requires.
 enum class HealthAction {
-  kShedQueue,  // health is bad: all that is queued is rejected
-  kProbe,      // health is good again, for trial runs
-  kRestart,    // the admission window starts anew
-  kReportBad
+  kShedQueue,    // reports bad health and rejects all queued requests
+  kProbe,        // reports good health, so that requests for probe runs arrive
+  kResetWindow,  // resets the admission window
+  kReportUnhealthy
 };
 
+// A change of mode. `reason` is for the log.
 struct HealthTransition {
   Mode from;
   Mode to;
@@ -28,61 +30,65 @@
   const char* reason;
 };
 
+// One thread. `now` must not go backwards.
 class HealthState {
  public:
-  // `min_objective`: the shortest latency objective of any class. The others must outlive it.
+  // `min_objective`: the shortest latency objective of any class. The other arguments must outlive the
+  // object.
   HealthState(Nanos min_objective, const ConcurrencyLimit& concurrency, const CapacityEstimate& capacity)
       : min_objective_(min_objective), concurrency_(concurrency), capacity_(capacity) {}
 
   void start(Nanos now) { last_progress_ = now; }
-  // A run or a call moved on.
-  void progress(Nanos now);
-  // The first run after none: no progress was to be expected before.
+  // Records that a run or a dependency call made progress.
+  void record_progress(Nanos now);
+  // Restarts the time without progress: while no request ran, no progress was possible.
   void first_run_started(Nanos now) { last_progress_ = now; }
-  void run_ended(bool ok, Nanos now);
+  void record_run_end(bool ok, Nanos now);
   void begin_drain(Nanos stop_at, Nanos now);
 
   Mode mode() const { return mode_; }
+  // The share of recent runs that failed.
   double failed_share(Nanos now) const;
-  // While probing only a few requests may be in the server, queued or running.
+  // `requests_in_server`: queued or running. While probing, only a few are allowed.
   bool rejects_arrivals(int requests_in_server) const;
-  // Requests that may run at once, of `limit`.
+  // The number of requests that may run at once in this mode; `limit` while the server is healthy.
   double max_running(double limit) const;
-  // A run that spans a stall tells how long the stall was, and not how long work takes.
+  // A run that began before a stall measures the stall and not the work.
   bool started_after_stall(const Request& request) const { return request.started >= stalled_at_; }
 
+  // Whether the request arrived more than `grace` after the drain began.
   bool arrived_after_grace(const Request& request, Nanos grace) const;
   bool stops_within(Nanos time, Nanos now) const { return stop_at_ != 0 && stop_at_ - now <= time; }
 
-  // The transition that is due, if any; it is in force once enter() was called.
-  std::optional<HealthTransition> next(Nanos now) const;
+  // The transition that is due, if any. It takes effect with enter().
+  std::optional<HealthTransition> due_transition(Nanos now) const;
   void enter(const HealthTransition& transition, Nanos now);
-  // Progress counts until here only.
-  void clear_progress() { progressed_ = false; }
+  // Must be called at the end of each dispatch: only progress since then counts.
+  void clear_progress() { progressed_since_dispatch_ = false; }
 
  private:
   struct Row;
 
-  bool draining(Nanos) const { return stop_at_ != 0; }
-  bool stalled(Nanos now) const;
+  bool is_draining(Nanos) const { return stop_at_ != 0; }
+  bool is_stalled(Nanos now) const;
   bool may_probe(Nanos now) const;
-  bool proven(Nanos) const;
-  bool runs_fail(Nanos now) const;
+  bool probes_succeeded(Nanos) const;
+  bool failure_rate_is_high(Nanos now) const;
 
-  static constexpr Nanos kFailuresRecent = 3 * kSecond;
+  static constexpr Nanos kFailureTimeConstant = 3 * kSecond;
 
   Nanos min_objective_;
   const ConcurrencyLimit& concurrency_;
   const CapacityEstimate& capacity_;
   Mode mode_ = Mode::kServing;
-  Nanos drain_begun_ = 0;
+  Nanos drain_started_at_ = 0;
   Nanos stop_at_ = 0;  // 0: not draining
   Nanos last_progress_ = 0;
   Nanos stalled_at_ = 0;
-  bool progressed_ = false;
-  int probes_ok_ = 0;  // in a row
-  DecayingSum runs_{kFailuresRecent};
-  DecayingSum failures_{kFailuresRecent};
+  bool progressed_since_dispatch_ = false;
+  int consecutive_probe_successes_ = 0;
+  DecayingSum recent_runs_{kFailureTimeConstant};
+  DecayingSum recent_failures_{kFailureTimeConstant};
 };
 
 }  // namespace myrtlecroft::overload
--- a/src/overload/idle_connections.h
+++ b/src/overload/idle_connections.h
@@ -1,9 +1,9 @@
-// When callers' idle connections are closed.
+// Decides when callers' idle connections are closed.
 //
-// A table of connections that is full rejects new callers unseen while cores idle, and an open connection
-// costs core time. So idle connections are closed the sooner the more are open and the more rarely callers
-// return. While handshakes already occupy the cores, a fuller table keeps a storm of reconnects out, and the
-// limit grows again.
+// A full connection table refuses new callers, unnoticed, while cores are idle, and each open connection
+// costs core time. So the more connections are open and the more rarely callers return, the sooner idle
+// connections are closed. While handshakes already occupy the cores, a fuller table keeps a storm of
+// reconnects out, so the time limit grows.
 #pragma once
 
 #include <optional>
@@ -12,17 +12,19 @@
 
 namespace myrtlecroft::overload {
 
+// Adapts the time limit of idle connections. One thread.
 class IdleConnections {
  public:
-  // `config` must outlive it.
+  // `config` must outlive the object.
   explicit IdleConnections(const ServiceConfig& config) : config_(config), limit_(config.max_idle_time) {}
 
+  // The server's present load.
   struct Load {
     std::size_t open_requests = 0;
-    double received_recently = 0;  // requests, over kRecent
-    double other_threads = 0;      // that want a core, without those of running requests
+    double received_recently = 0;  // requests, over kEstimateTimeConstant
+    double other_threads = 0;      // runnable threads, without those of running requests
   };
-  // The idle time after which connections are to be closed from now on, where it changes.
+  // The idle time after which connections are closed from now on; nullopt if it does not change.
   std::optional<Nanos> next_limit(const Gauges& gauges, const Load& load);
 
  private:
--- a/src/overload/lifecycle_actions.cpp
+++ b/src/overload/lifecycle_actions.cpp
@@ -1,4 +1,4 @@
-// What each action of the request lifecycle does (overload/request_lifecycle.h).
+// The implementation of each action of the request lifecycle (overload/request_lifecycle.h).
 #include "overload/controller_core.h"
 
 namespace myrtlecroft {
@@ -54,7 +54,7 @@
   memory_.charge(request, request.queued_kb);
   queue_.push_back(&request);
   if (request.awaits_intent) actions_.record_intent(request);
-  // Retained while it is queued, so that a retry names it instead of looking like new work.
+  // The key is retained from here on, so that a retry is recognized while its original is still queued.
   Nanos lifetime = key_lifetime(request);
   if (lifetime <= 0) return;
   request.key_retained = true;
@@ -64,7 +64,7 @@
 }
 
 void Controller::Core::coalesce(Request& request) {
-  request.ran = true;  // some attempt of it has, or may yet
+  request.ran = true;  // its original has run or may still run
   memory_.charge(request, request.queued_kb);
   actions_.coalesce(request);
 }
@@ -108,12 +108,12 @@
 }
 
 void Controller::Core::resume(Request& request) {
-  dependency_.call_left(request, now_);
+  dependency_.remove_call(request, now_);
   concurrency_.begin_running(request, now_);
 }
 
 void Controller::Core::await_again(Request& request) {
-  dependency_.call_left(request, now_);
+  dependency_.remove_call(request, now_);
   dependency_.await_slot(request);
 }
 
@@ -124,18 +124,18 @@
 
 void Controller::Core::finish(Request& request) {
   concurrency_.end_running(request, now_);
-  dependency_.call_left(request, now_);
+  dependency_.remove_call(request, now_);
 }
 
-// The final answer to a request that has run or may have: a failure that promises nothing. Work that can be
-// stopped is, unless a retry may still want its result.
+// Fails a request that was started. The failure does not say whether the request took effect. Its work is
+// stopped where that is possible, unless a retry may still need the result.
 void Controller::Core::abandon(Request& request) {
   if (!request.answered) {
     actions_.fail(request);
-    answer_was_late(request);
+    record_late_answer(request);
   }
   request.answered = true;
-  dependency_.call_left(request, now_);
+  dependency_.remove_call(request, now_);
   bool is_idempotent = request.request_class->idempotency == Idempotency::kIdempotent;
   if (request.occupies_core && config_.stop_mode != StopMode::kNone && is_idempotent)
     actions_.stop_work(request);
@@ -144,16 +144,16 @@
 void Controller::Core::fail_unstarted(Request& request) {
   leave_queue(request);
   actions_.fail(request);
-  if (request.position) answer_was_late(request);
+  if (request.position) record_late_answer(request);
 }
 
 void Controller::Core::disconnect(Request& request) {
-  answer_was_late(request);
+  record_late_answer(request);
   request.answered = true;
   abandon(request);
 }
 
-// It has not run: its key must not bind retries.
+// The request has not run, so its key is discarded: a retry may run.
 void Controller::Core::leave_queue(Request& request) {
   std::erase(queue_, &request);
   if (!request.key_retained) return;
--- a/src/overload/memory_budget.cpp
+++ b/src/overload/memory_budget.cpp
@@ -3,7 +3,7 @@
 namespace myrtlecroft::overload {
 namespace {
 
-// Shares of all memory.
+// Shares of ServiceConfig::memory_kb.
 constexpr double kMaxQueuedShare = 0.8;
 constexpr double kMaxRunningShare = 0.92;
 constexpr double kMaxSharedAnswersShare = 0.5;
@@ -29,8 +29,8 @@
   request.memory_kb = kb;
 }
 
-void MemoryBudget::forget_key(Nanos until) {
-  auto key = keys_.find(until);
+void MemoryBudget::forget_key(Nanos expires_at) {
+  auto key = keys_.find(expires_at);
   if (key != keys_.end()) keys_.erase(key);
 }
 
--- a/src/overload/memory_budget.h
+++ b/src/overload/memory_budget.h
@@ -1,7 +1,7 @@
-// The memory that queued and running requests and retained idempotency keys share.
+// The memory budget that queued and running requests and retained idempotency keys share.
 //
-// Past its limit the server is killed, and a key without room would let an effect happen twice. So whatever
-// does not fit is rejected before it runs.
+// A server that exceeds its memory limit is killed, and a key that is not retained would let a request run
+// twice. So a request that does not fit is rejected before it runs.
 #pragma once
 
 #include <set>
@@ -10,20 +10,24 @@
 
 namespace myrtlecroft::overload {
 
+// One thread.
 class MemoryBudget {
  public:
+  // `config` must outlive the budget.
   explicit MemoryBudget(const ServiceConfig& config) : config_(config) {}
 
+  // Whether a queued request fits, with its key if `retains_key`.
   bool fits_queued(const Request& request, bool retains_key) const;
+  // Whether the request fits once it runs.
   bool fits_running(const Request& request) const;
-  // Whether keys of reads that may share an answer are worth their memory.
+  // Whether memory suffices for the keys of reads that may share an answer.
   bool has_room_for_shared_answers() const;
 
-  // Sets what the request takes from here on, in kB.
+  // Sets the memory that the request uses from now on.
   void charge(Request& request, double kb);
 
-  void retain_key(Nanos until) { keys_.insert(until); }
-  void forget_key(Nanos until);
+  void retain_key(Nanos expires_at) { keys_.insert(expires_at); }
+  void forget_key(Nanos expires_at);
   void expire_keys(Nanos now);
 
  private:
--- a/src/overload/request_lifecycle.h
+++ b/src/overload/request_lifecycle.h
@@ -1,4 +1,5 @@
-// The states of one request, the events that move it and the action of each move, as a table.
+// The state machine of one request: its phases, the events that change the phase, and the action of each
+// transition.
 #pragma once
 
 #include <optional>
@@ -7,6 +8,7 @@
 
 namespace myrtlecroft::overload {
 
+// Events in the life of a request.
 enum class RequestEvent {
   kAdmitted,
   kJoinsOriginal,  // a retry of a request that was admitted before
@@ -16,13 +18,14 @@
   kCallIssued,
   kCallSkipped,
   kCallOk,
-  kCallNeverRan,
-  kCallLost,  // no reply: the call may have had its effect
+  kCallNeverRan,  // the call was not executed
+  kCallLost,      // no reply: the call may have been executed
   kRunEnded,
   kTimedOut,
   kCallerDisconnected
 };
 
+// Actions of a transition, carried out by Controller::Core.
 enum class RequestAction {
   kEnqueue,
   kCoalesce,
@@ -33,20 +36,21 @@
   kSkipCall,
   kResume,         // after a call that succeeded
   kAwaitAgain,     // after a call that never ran
-  kCountLostCall,  // and await the dependency again
+  kCountLostCall,  // and awaits the dependency again
   kFinish,
-  kAbandon,  // answers with a failure, whatever still runs
-  kFailUnstarted,
-  kDisconnect,  // nobody waits for the answer any more
+  kAbandon,        // answers with a failure while the work goes on
+  kFailUnstarted,  // answers a request that has not started with a failure
+  kDisconnect,     // the caller does not wait for the answer any more
   kLeaveQueue
 };
 
+// The phase and action that follow from an event.
 struct RequestTransition {
   Phase next;
   RequestAction action;
 };
 
-// std::nullopt where the event changes nothing in that phase.
+// The transition for an event in a phase; nullopt if the event changes nothing in that phase.
 std::optional<RequestTransition> request_transition(Phase phase, RequestEvent event);
 
 }  // namespace myrtlecroft::overload
--- a/src/service/dependency_calls.cpp
+++ b/src/service/dependency_calls.cpp
@@ -1,5 +1,5 @@
-// The part of Service for calls to the dependency: their time limits, and their results for the controller
-// and the engine.
+// The part of Service that handles dependency calls: it enforces their time limits and passes their results
+// to the controller and the engine.
 #include <algorithm>
 #include <utility>
 
@@ -8,14 +8,14 @@
 namespace myrtlecroft::service {
 namespace {
 
-// A call that was not executed is reported no sooner than this after it was made, so that a database that
-// rejects everything at once is not called in a tight loop.
-constexpr Nanos kMinFailedCall = 10 * kMs;
+// A call that was not executed is reported this long after its issue at the earliest, so that a database that
+// rejects every call immediately is not called in a tight loop.
+constexpr Nanos kMinFailedCallDuration = 10 * kMs;
 
 }  // namespace
 
 void Service::call_completed(ServerRequest& request, CallResult result, std::string body) {
-  handle([&] {
+  handle_event([&] {
     if (!request.dependency_call.active || request.dependency_call.result) return;
     switch (result) {
       case CallResult::kSucceeded:
@@ -38,7 +38,7 @@
         break;
     }
     request.dependency_call.deadline =
-        std::min(request.dependency_call.deadline, request.dependency_call.started + kMinFailedCall);
+        std::min(request.dependency_call.deadline, request.dependency_call.started + kMinFailedCallDuration);
   });
 }
 
@@ -55,7 +55,7 @@
   request.dependency_call.active = false;
 }
 
-// The dependency's client has no timers: the time limits of calls are enforced here.
+// Enforces the time limits of calls, since the dependency's client has no timers.
 void Service::end_overdue_calls() {
   std::vector<ServerRequest*> calls = calls_;
   for (ServerRequest* request : calls) {
@@ -65,18 +65,18 @@
   }
 }
 
-void Service::call(Request& given, Nanos longest) {
-  ServerRequest& request = server_request(given);
+void Service::call(Request& base_request, Nanos max_duration) {
+  ServerRequest& request = server_request(base_request);
   request.dependency_call.active = true;
   request.dependency_call.result.reset();
   request.dependency_call.started = now_;
-  request.dependency_call.deadline = now_ + longest;
+  request.dependency_call.deadline = now_ + max_duration;
   calls_.push_back(&request);
-  ports_.dependency.call(request, request.payload, longest);
+  ports_.dependency.call(request, request.payload, max_duration);
 }
 
-bool Service::abandon_call(Request& given) {
-  ServerRequest& request = server_request(given);
+bool Service::abandon_call(Request& base_request) {
+  ServerRequest& request = server_request(base_request);
   if (!request.dependency_call.active || request.dependency_call.result) return false;
   abandon_active_call(request);
   return true;
--- a/src/service/drain.cpp
+++ b/src/service/drain.cpp
@@ -1,31 +1,32 @@
-// The part of Service for graceful shutdown: when it began, and when the listener closes.
+// The part of Service that handles graceful shutdown: its start and the closing of the listener.
 
 #include "service/service.h"
 
 namespace myrtlecroft::service {
 namespace {
 
-constexpr Nanos kCloseLead = 60 * kMs;  // before the stop, to flush and close callers' connections
+// Before the stop, for flushing and closing callers' connections.
+constexpr Nanos kListenerCloseLeadTime = 60 * kMs;
 
 }  // namespace
 
 void Service::begin_drain() {
-  handle([&] {
+  handle_event([&] {
     if (stop_at_) return;
-    drain_began_ = now_;
+    drain_started_at_ = now_;
     stop_at_ = now_ + start_.stop_after;
     ports_.logger.line("drain begun, stop in " + std::to_string(start_.stop_after / kMs) + " ms");
     if (controller_) controller_->begin_drain(stop_at_, now_);
   });
 }
 
-// After the grace period nothing new may run: once all requests are answered, callers are better served by a
-// refused connection.
+// After the grace period no new request may run. Once all requests are answered, a refused connection tells
+// callers sooner than a rejection that they have to use another server.
 void Service::close_listener_when_drained() {
   if (!stop_at_ || listener_closed_) return;
-  bool past_grace = now_ > drain_began_ + start_.config.drain_grace;
-  bool empty = unanswered_ == 0 && past_grace;
-  if (controller_ && !empty && now_ < stop_at_ - kCloseLead) return;
+  bool past_grace = now_ > drain_started_at_ + start_.config.drain_grace;
+  bool drained = unanswered_ == 0 && past_grace;
+  if (controller_ && !drained && now_ < stop_at_ - kListenerCloseLeadTime) return;
   listener_closed_ = true;
   ports_.listener.finish();
 }
--- a/src/service/health_checks.cpp
+++ b/src/service/health_checks.cpp
@@ -1,5 +1,5 @@
-// The part of Service that answers health checks: from what the controller reports, or, for a probe, after
-// the engine has done a test.
+// The part of Service that answers health checks: with the health that the controller reported or, for a
+// probe, after a self-test of the engine.
 #include <utility>
 
 #include "service/service.h"
@@ -7,12 +7,12 @@
 namespace myrtlecroft::service {
 namespace {
 
-constexpr Nanos kHealthCheckTimeout = 1000 * kMs;  // for the engine's test; then the answer is negative
+constexpr Nanos kHealthCheckTimeout = 1000 * kMs;  // for the engine's self-test; then the check fails
 
 }  // namespace
 
 void Service::health_check(AnswerSink& sink, bool probe) {
-  handle([&] {
+  handle_event([&] {
     if (!healthy_ || !probe) {
       sink.answer({.kind = healthy_ ? Answer::kCompleted : Answer::kRejected});
       return;
@@ -36,7 +36,7 @@
 }
 
 void Service::test_completed(bool passed) {
-  handle([&] { answer_health_checks(passed && healthy_); });
+  handle_event([&] { answer_health_checks(passed && healthy_); });
 }
 
 void Service::report_health(bool healthy) {
--- a/src/service/ports.h
+++ b/src/service/ports.h
@@ -1,5 +1,6 @@
-// The interfaces of the service to clock, sockets, log and disk. src/net and src/recovery implement them,
-// tests by fakes. All on the loop's thread; none of them calls back while it is called.
+// The interfaces of the service to the clock, sockets, log and disk. src/net and src/recovery implement them,
+// and tests use fakes. All calls are on the loop's thread; no implementation calls the service back from
+// within a call.
 #pragma once
 
 #include <string>
@@ -9,72 +10,83 @@
 
 namespace myrtlecroft::service {
 
+// The monotonic clock and the one timer of the service.
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Nanos now() const = 0;         // never goes backwards
-  virtual void wake_at(Nanos when) = 0;  // calls Service::timer_expired() then; replaces an earlier time
+  virtual Nanos now() const = 0;  // never goes backwards
+  // Calls Service::timer_expired() at `when`, which replaces an earlier time.
+  virtual void wake_at(Nanos when) = 0;
 };
 
+// Accepts callers' connections.
 class Listener {
  public:
   virtual ~Listener() = default;
-  virtual void close_idle(Nanos after) = 0;  // connections without a request for this long
-  virtual void finish() = 0;  // accepts no connection any more, and closes each once it has no request
+  virtual void close_idle(Nanos after) = 0;  // closes connections without a request for `after`
+  virtual void finish() = 0;  // stops accepting connections, and closes each one when it has no request
 };
 
+// Sends commands to the engine over the link. EngineSession decides when.
 class Engine {
  public:
   virtual ~Engine() = default;
+  // Asks for the notices that follow `last_notice`.
   virtual void attach(std::uint64_t last_notice) = 0;
   virtual void run(std::string_view id, std::string_view request_class, std::string_view body) = 0;
   virtual void deliver_reply(std::string_view id, std::string_view reply) = 0;
+  // Lets the run continue without the call that it asked for with `notice`.
   virtual void skip(std::string_view id, std::uint64_t notice) = 0;
   virtual void query_gauges(std::uint64_t token) = 0;
   virtual void test(std::uint64_t token) = 0;
 };
 
+// The client of the dependency.
 class Dependency {
  public:
   virtual ~Dependency() = default;
-  virtual void call(ServerRequest& request, std::string_view body, Nanos longest) = 0;
-  virtual void abandon_call(ServerRequest& request) = 0;  // discards its reply
+  virtual void call(ServerRequest& request, std::string_view body, Nanos max_duration) = 0;
+  virtual void abandon_call(ServerRequest& request) = 0;  // the reply is discarded
 };
 
+// Reports health to the membership service.
 class HealthReporter {
  public:
   virtual ~HealthReporter() = default;
-  virtual void report(bool good) = 0;  // repeated by itself from the first report on
+  virtual void report(bool healthy) = 0;  // the last value is repeated without further calls
 };
 
+// Writes log lines.
 class Logger {
  public:
   virtual ~Logger() = default;
   virtual void line(const std::string& text) = 0;
-  virtual void write_rate_limited(
-      const std::string& text) = 0;                         // rate limited separately: may come in storms
-  virtual void write_routine(const std::string& text) = 0;  // the same, for ordinary ends
+  // For lines that may come in bursts. They have their own rate limit.
+  virtual void write_rate_limited(const std::string& text) = 0;
+  // For connections that ended normally. They have their own rate limit too.
+  virtual void write_routine(const std::string& text) = 0;
 };
 
-// Records which keyed requests ran, over a crash. Without one a service knows only those of its own
+// Records durably which keyed requests ran. Without the log, a service knows only the requests of its own
 // incarnation.
 class IdempotencyLog {
  public:
   virtual ~IdempotencyLog() = default;
   virtual bool accepts_writes() const = 0;  // false: the disk has failed
-  virtual void record_intent(const ServerRequest& request,
-                             Nanos window) = 0;  // calls Service::intent_recorded() later
-  virtual void record_outcome(const ServerRequest& request, bool good, std::string_view result) = 0;
+  // Service::intent_recorded() is called later. `window`: how long the record must be retained.
+  virtual void record_intent(const ServerRequest& request, Nanos window) = 0;
+  virtual void record_outcome(const ServerRequest& request, bool completed, std::string_view result) = 0;
   virtual void erase_intent(const ServerRequest& request) = 0;
 };
 
-// Which keyed requests are this server's to run, where shards are assigned to servers.
+// Tells which keyed requests this server may run, if shards are assigned to servers.
 class ShardOwnership {
  public:
   virtual ~ShardOwnership() = default;
   virtual bool admits(std::string_view key) const = 0;
 };
 
+// The ports of one service. All must outlive it.
 struct Ports {
   Clock& clock;
   Listener& listener;
@@ -82,7 +94,7 @@
   Dependency& dependency;
   HealthReporter& health;
   Logger& logger;
-  IdempotencyLog* idempotency_log = nullptr;  // null: none
+  IdempotencyLog* idempotency_log = nullptr;  // null: keyed requests are not recorded
   const ShardOwnership* ownership = nullptr;  // null: this server owns all keys
 };
 
--- a/src/service/server_request.h
+++ b/src/service/server_request.h
@@ -1,5 +1,5 @@
-// One request of a server, on the loop's thread. The listener fills in what it received and gets the answer;
-// the engine session and the dependency calls keep their state of the request here.
+// One request of a server, used on the loop's thread. The listener fills in the data that it received and
+// gets the answer. The engine session and the dependency calls keep their state of the request in it.
 #pragma once
 
 #include <optional>
@@ -10,24 +10,27 @@
 
 namespace myrtlecroft::service {
 
+// The kinds of final answers. Only kRejected says that the request did not run.
 enum class Answer { kCompleted, kRejected, kFailed };
 
+// The final answer to a request or health check.
 struct FinalAnswer {
   Answer kind = Answer::kFailed;
-  std::string_view result{};  // of kCompleted
-  bool no_failover = false;
-  Nanos retry_after = 0;      // 0: none
-  bool unrecognized = false;  // the engine knows of no such request, or another one owns its id or key
+  std::string_view result{};  // for kCompleted
+  bool no_failover = false;   // an attempt at another server would not succeed either
+  Nanos retry_after = 0;      // 0: no advice
+  bool unrecognized = false;  // the engine does not know the request, or its id or key belongs to another
 };
 
-// Receives the one final answer of a request or health check. It must not call back.
+// Receives the single final answer of a request or health check. It must not call the service from answer().
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
   virtual void answer(const FinalAnswer& answer) = 0;
 };
 
-enum class Command { kNone, kRun, kFeed, kSkip };  // to the engine
+// A command to the engine about one request.
+enum class Command { kNone, kRun, kFeed, kSkip };
 
 struct KeyEntry;
 
@@ -36,32 +39,34 @@
   bool active = false;
   Nanos started = 0;
   Nanos deadline = 0;
-  std::optional<Outcome> result;  // known already, and reported at the deadline
+  std::optional<Outcome> result;  // set if it is known, but reported only at the deadline
 };
 
+// A Request with the state that the service keeps for it.
 struct ServerRequest : Request {
-  // From the listener.
+  // Set by the listener.
   std::string id;  // of this attempt
   std::string body;
   std::string key;  // shared by attempts of one keyed request, or by reads of one subject; empty: none
   AnswerSink* sink = nullptr;  // null once it is answered or its connection is gone
 
-  // Of the engine session.
-  Command command = Command::kNone;  // sent last, or to be sent, and not known to be done
-  bool sent = false;                 // that command was sent, perhaps on a link that broke
-  bool in_doubt = false;             // whether it arrived is not known, and it may not be sent again
-  std::uint64_t sent_as = 0;         // the command's number among all that were sent
-  std::uint64_t at_notice = 0;       // the notice that named the call the run waits for
-  std::string payload;               // of the call, then its reply
-  bool unknown_to_engine = false;    // the engine says that it received no such request
+  // Set by the engine session.
+  Command command = Command::kNone;  // last one sent or to be sent; kNone once a notice answered it
+  bool sent = false;                 // the command was sent, perhaps on a link that has broken
+  bool delivery_is_unknown = false;  // it is unknown whether the command arrived
+  std::uint64_t command_number = 0;  // the command's number among all commands sent
+  std::uint64_t call_notice = 0;     // the notice that asked for the call that the run waits for
+  std::string payload;               // the body of the call, then its reply
+  bool unknown_to_engine = false;    // the engine reported that it does not know the request
 
   DependencyCall dependency_call;
 
   bool intent_recorded = false;  // its intent is in the idempotency log, or being written
 
-  KeyEntry* entry = nullptr;  // its own, or that of the request it is a retry of
+  KeyEntry* entry = nullptr;  // its own entry, or that of its original; null: none
 };
 
+// Valid for requests that Service passed to its Controller.
 inline ServerRequest& server_request(Request& request) { return static_cast<ServerRequest&>(request); }
 
 }  // namespace myrtlecroft::service
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -6,8 +6,8 @@
 namespace myrtlecroft::service {
 namespace {
 
-constexpr Nanos kMaxGaugeAge = 250 * kMs;     // older gauges are not used
-constexpr Nanos kMaxTimerDelay = 1000 * kMs;  // where the Controller has set no timer
+constexpr Nanos kMaxGaugeAge = 250 * kMs;     // older gauges are passed as unknown
+constexpr Nanos kMaxTimerDelay = 1000 * kMs;  // if the Controller has set no timer
 
 }  // namespace
 
@@ -24,12 +24,12 @@
   return controller_->stats();
 }
 
-void Service::begin_handling() {
-  handling_ = true;
+void Service::begin_event() {
+  handling_event_ = true;
   now_ = std::max(now_, ports_.clock.now());
 }
 
-void Service::finish_handling() {
+void Service::finish_event() {
   while (!deferred_.empty()) {
     auto [request, outcome] = deferred_.front();
     deferred_.pop_front();
@@ -37,7 +37,8 @@
     if (request->phase != Phase::kCoalesced) {
       run_ended(*request, outcome, "");
     } else {
-      end(*request, outcome,
+      finish_request(
+          *request, outcome,
           request->entry && outcome == Outcome::kOk ? std::string_view(request->entry->result) : "");
     }
   }
@@ -45,24 +46,25 @@
   released_.clear();
   close_listener_when_drained();
   set_timer();
-  handling_ = false;
+  handling_event_ = false;
 }
 
 // ---- From the listener
 
-void Service::request_received(std::unique_ptr<ServerRequest> given) {
-  handle([&] {
-    ServerRequest& request = *given;
+void Service::request_received(std::unique_ptr<ServerRequest> received) {
+  handle_event([&] {
+    ServerRequest& request = *received;
     ++unanswered_;
     ++counts_of(request).read;
-    if (!controller_) return answer(request, before_engine(request));
-    // A second request with the id of one that is not done yet: that one has, or gets, the answer.
-    auto same = requests_.find(request.id);
-    if (same != requests_.end()) return answer(request, {.unrecognized = same->second->sink != nullptr});
+    if (!controller_) return answer(request, answer_without_engine(request));
+    // The id belongs to a request that is not done yet, which has got or will get the answer.
+    auto existing = requests_.find(request.id);
+    if (existing != requests_.end())
+      return answer(request, {.unrecognized = existing->second->sink != nullptr});
     if (!qualify_key(request)) return answer(request, {.unrecognized = true});
     find_original(request);
-    if (owned_elsewhere(request)) return answer(request, owned_elsewhere_answer());
-    // A retry needs no record of its own.
+    if (is_owned_elsewhere(request)) return answer(request, owned_elsewhere_answer());
+    // A retry needs no intent of its own: its original has one.
     if (ports_.idempotency_log && request.request_class->idempotency == Idempotency::kKeyed &&
         !request.is_retry) {
       if (!ports_.idempotency_log->accepts_writes()) {
@@ -70,13 +72,13 @@
       }
       request.awaits_intent = true;
     }
-    requests_.emplace(request.id, std::move(given));
+    requests_.emplace(request.id, std::move(received));
     controller_->request_received(request, now_);
   });
 }
 
 void Service::caller_disconnected(ServerRequest& request) {
-  handle([&] {
+  handle_event([&] {
     request.sink = nullptr;
     --unanswered_;
     controller_->caller_disconnected(request, now_);
@@ -87,7 +89,7 @@
 // ---- From the engine
 
 void Service::engine_up(bool booting, Nanos age) {
-  handle([&] {
+  handle_event([&] {
     start_.config.warming_up = start_.config.warming_up || booting;
     ports_.logger.line(std::string("engine up: ") + (booting ? "booting" : "steady") + " for " +
                        std::to_string(age / kMs) + " ms");
@@ -98,21 +100,21 @@
 }
 
 void Service::run_needs_call(ServerRequest& request) {
-  handle([&] {
-    if (request.entry && request.entry->original == &request) request.entry->proven = true;
+  handle_event([&] {
+    if (request.entry && request.entry->original == &request) request.entry->accepted_by_engine = true;
     controller_->call_needed(request, now_);
   });
 }
 
 void Service::run_ended(ServerRequest& request, Outcome outcome, std::string_view result) {
-  handle([&] {
+  handle_event([&] {
     engine_.forget(request);
     abandon_active_call(request);
-    record_end(request, outcome, result);
+    update_idempotency_log(request, outcome, result);
     KeyEntry* entry = request.entry && request.entry->original == &request ? request.entry : nullptr;
-    end(request, outcome, result);
+    finish_request(request, outcome, result);
     if (!entry) return;
-    if (outcome == Outcome::kIgnored) {  // it never ran, so that retries may
+    if (outcome == Outcome::kIgnored) {  // it never ran, so a retry may run
       erase_key(*entry);
       return;
     }
@@ -123,8 +125,8 @@
   });
 }
 
-// Ends a run, or the wait for another request's result.
-void Service::end(ServerRequest& request, Outcome outcome, std::string_view result) {
+// Ends a run or the wait for the result of another request.
+void Service::finish_request(ServerRequest& request, Outcome outcome, std::string_view result) {
   bool completed = outcome == Outcome::kOk;
   answer(request, {.kind = completed ? Answer::kCompleted : Answer::kFailed,
                    .result = result,
@@ -146,7 +148,7 @@
 // ---- From the clock and the operators
 
 void Service::timer_expired() {
-  handle([&] {
+  handle_event([&] {
     if (!controller_) return;
     end_overdue_calls();
     if (!health_checks_.empty() && now_ >= health_checks_deadline_) answer_health_checks(false);
@@ -199,12 +201,14 @@
   abandon(server_request(request));
 }
 
-// The engine goes on with the work. Where it is unknown whether the run has reached the engine, no end may
-// ever come, and its concurrency slot would never be freed.
+// The engine continues to work on an abandoned request. If it is unknown whether the run command reached the
+// engine, the notice of its end may never come; the run is ended at once, so that its place in the
+// concurrency limit is freed.
 void Service::abandon(ServerRequest& request) {
   if (request.phase != Phase::kAbandoned) return;
   abandon_active_call(request);
-  if (request.in_doubt && request.command == Command::kRun) deferred_.push_back({&request, Outcome::kFailed});
+  if (request.delivery_is_unknown && request.command == Command::kRun)
+    deferred_.push_back({&request, Outcome::kFailed});
 }
 
 void Service::skip_call(Request& request) { engine_.skip(server_request(request)); }
@@ -214,11 +218,11 @@
   timer_token_ = token;
 }
 
-void Service::release(Request& given) {
-  ServerRequest& request = server_request(given);
+void Service::release(Request& base_request) {
+  ServerRequest& request = server_request(base_request);
   engine_.forget(request);
   abandon_active_call(request);
-  if (!request.ran) record_end(request, Outcome::kIgnored, {});
+  if (!request.ran) update_idempotency_log(request, Outcome::kIgnored, {});
   if (request.entry) {
     std::erase(request.entry->waiters, &request);
     if (request.entry->original == &request) request.entry->original = nullptr;
--- a/src/service/service.h
+++ b/src/service/service.h
@@ -1,9 +1,9 @@
-// The core of one server: receives requests and events, carries out what its Controller decides, and owns the
-// requests, the keys with their results, the timers, the health checks and the drain. No I/O: sockets and
+// The core of one server: handles requests and events, carries out the decisions of its Controller, and owns
+// the requests, the keys with their results, the timers, the health checks and the drain. No I/O: sockets and
 // files are behind the interfaces of ports.h. All calls on the loop's thread.
 //
-// service.cpp has the requests' course, keyed_requests.cpp, dependency_calls.cpp, health_checks.cpp and
-// drain.cpp the rest.
+// service.cpp implements the course of requests; keyed_requests.cpp, dependency_calls.cpp, health_checks.cpp
+// and drain.cpp implement the parts that they are named after.
 #pragma once
 
 #include <deque>
@@ -22,7 +22,8 @@
 
 namespace myrtlecroft::service {
 
-// How a call to the dependency ended, as its client saw it.
+// How a call ended for the client of the dependency. After kAtCapacity, kNotExecuted and kUnreachable the
+// call was certainly not executed.
 enum class CallResult {
   kSucceeded,
   kAtCapacity,
@@ -35,16 +36,17 @@
 
 class Service final : public ControllerActions, public EngineEvents {
  public:
+  // The settings of a service, fixed when it starts.
   struct Start {
     ServiceConfig config;
-    std::vector<std::string> gauge_names;
+    std::vector<std::string> gauge_names;  // of the values that the engine sends, in their order
     std::uint64_t seed = 0;
     Nanos stop_after = 0;              // from begin_drain()
-    std::size_t max_result_bytes = 0;  // the bound on results retained by key
+    std::size_t max_result_bytes = 0;  // limit of all results retained by key
   };
   Service(Start start, const Ports& ports);
 
-  // Requests of one class, since the start.
+  // Counters of the requests of one class since the start.
   struct Counts {
     std::uint64_t read = 0;  // received
     std::uint64_t rejected = 0;
@@ -57,43 +59,46 @@
   const Tenant* tenant(std::string_view name) const { return tenants_.find(name); }  // null: unknown
   const std::vector<Counts>& counts() const { return counts_; }  // in the order of config().request_classes
   Nanos core_time() const { return core_time_; }                 // of all requests that are done
-  // None before the engine is up.
+  // Empty before the engine is up.
   std::optional<ControllerStats> stats() const;
   EngineSession& engine() { return engine_; }
 
-  // From the listener. A request is received with its last byte; its sink gets one answer, unless its caller
-  // disconnects first.
+  // Called by the listener once the last byte of a request was read. The sink of the request gets one answer,
+  // unless the caller disconnects first.
   void request_received(std::unique_ptr<ServerRequest> request);
+  // The sink of the request is not used any more.
   void caller_disconnected(ServerRequest& request);
-  // `probe`: the engine does a test before the answer.
+  // `probe`: the engine does a self-test before the answer.
   void health_check(AnswerSink& sink, bool probe);
+  // The sink gets no answer any more.
   void health_check_disconnected(AnswerSink& sink);
-  // From the dependency's client.
+  // Called by the dependency's client.
   void call_completed(ServerRequest& request, CallResult result, std::string body);
-  // From the idempotency log: whether the intent of that request is known to be durable.
+  // Called by the idempotency log. `durable`: the intent of the request is known to be on disk.
   void intent_recorded(const std::string& id, bool durable);
-  // From the idempotency log, before any request: one that an earlier incarnation ran, or may have run where
-  // it is not known to have completed; its key is retained for `remaining`.
+  // Called by the idempotency log before any request is received, for each request of an earlier incarnation.
+  // If it is not `completed`, it may have run. Its key is retained for `remaining`.
   void restore(const std::string& request_class, const std::string& key, bool completed,
                std::string_view result, Nanos remaining);
-  // From the clock, and from the operators' signal.
+  // Called by the clock.
   void timer_expired();
+  // Called when an operator signals a graceful shutdown; later calls have no effect.
   void begin_drain();
   bool draining() const { return stop_at_ != 0; }
 
-  // From the engine session (EngineEvents).
+  // EngineEvents, called by the engine session.
   void engine_up(bool booting, Nanos age) override;
   void run_needs_call(ServerRequest& request) override;
   void run_ended(ServerRequest& request, Outcome outcome, std::string_view result) override;
   void gauges_received(const std::vector<double>& values) override;
   void test_completed(bool passed) override;
 
-  // From the Controller (ControllerActions).
+  // ControllerActions, called by the Controller.
   void run(Request& request) override;
   void stop_work(Request&) override {}
   void reject(Request& request, bool no_failover, Nanos retry_after) override;
   void fail(Request& request) override;
-  void call(Request& request, Nanos longest) override;
+  void call(Request& request, Nanos max_duration) override;
   bool abandon_call(Request& request) override;
   void skip_call(Request& request) override;
   void retain_key(Request& request, Nanos lifetime) override;
@@ -108,33 +113,33 @@
   void release(Request& request) override;
 
  private:
-  // The end of a request that follows from another event.
+  // The end of a request that another event caused.
   struct DeferredEnd {
     ServerRequest* request;
     Outcome outcome;
   };
 
-  // Every event passes here. What follows from it without an event of its own (results for retries) comes
-  // after it, since the Controller's events never nest; requests that are done are freed last.
-  template <class Step>
-  void handle(Step step) {
-    if (handling_) return step();
-    begin_handling();
-    step();
-    finish_handling();
+  // Handles an event. Consequences that have no event of their own, such as results for retries, are handled
+  // after it, since the Controller's events must not nest. Requests that are done are freed last.
+  template <class Handler>
+  void handle_event(Handler handler) {
+    if (handling_event_) return handler();
+    begin_event();
+    handler();
+    finish_event();
   }
-  void begin_handling();
-  void finish_handling();
-  void end(ServerRequest& request, Outcome outcome, std::string_view result);
-  void record_end(ServerRequest& request, Outcome outcome, std::string_view result);
+  void begin_event();
+  void finish_event();
+  void finish_request(ServerRequest& request, Outcome outcome, std::string_view result);
+  void update_idempotency_log(ServerRequest& request, Outcome outcome, std::string_view result);
   void answer(ServerRequest& request, const FinalAnswer& answer);
   Counts& counts_of(const ServerRequest& request) {
     return counts_[static_cast<std::size_t>(request.request_class - start_.config.request_classes.data())];
   }
   bool qualify_key(ServerRequest& request);
-  bool owned_elsewhere(const ServerRequest& request) const;
+  bool is_owned_elsewhere(const ServerRequest& request) const;
   FinalAnswer owned_elsewhere_answer() const;
-  FinalAnswer before_engine(ServerRequest& request);
+  FinalAnswer answer_without_engine(ServerRequest& request);
   Nanos key_lifetime(const ServerRequest& request, Nanos lifetime) const;
   void find_original(ServerRequest& request);
   void fail_waiters(KeyEntry& entry);
@@ -154,24 +159,24 @@
   KeyTable keys_;
   std::unique_ptr<Controller> controller_;  // null until the engine is up
   std::unordered_map<std::string, std::unique_ptr<ServerRequest>> requests_;
-  std::vector<ServerRequest*> calls_;     // with a call to the dependency in flight
+  std::vector<ServerRequest*> calls_;     // requests with a dependency call in flight
   std::vector<ServerRequest*> released_;  // to be freed at the end of the event
   std::deque<DeferredEnd> deferred_;
-  std::vector<AnswerSink*> health_checks_;  // waiting for the engine's test
+  std::vector<AnswerSink*> health_checks_;  // that wait for the engine's self-test
   std::vector<Counts> counts_;
   Nanos core_time_ = 0;
   Gauges gauges_;
   Nanos gauges_at_ = 0;
-  Nanos now_ = 0;       // of the current event
+  Nanos now_ = 0;       // time of the current event
   Nanos timer_at_ = 0;  // of the Controller's timer; 0: not set
   std::uint64_t timer_token_ = 0;
   Nanos health_checks_deadline_ = 0;
-  Nanos drain_began_ = 0;
+  Nanos drain_started_at_ = 0;
   Nanos stop_at_ = 0;           // 0: not draining
-  std::size_t unanswered_ = 0;  // requests whose callers wait
+  std::size_t unanswered_ = 0;  // requests whose callers wait for an answer
   bool healthy_ = false;
   bool listener_closed_ = false;
-  bool handling_ = false;
+  bool handling_event_ = false;
 };
 
 }  // namespace myrtlecroft::service
--- a/src/service/tenant_index.h
+++ b/src/service/tenant_index.h
@@ -1,4 +1,5 @@
-// Finds a tenant by name among as many as a deployment has: every request names one.
+// An index of tenants by name. Each request names its tenant, so the lookup must be fast among all tenants of
+// a deployment.
 #pragma once
 
 #include <algorithm>
@@ -14,32 +15,32 @@
 
 namespace myrtlecroft::service {
 
-// A sorted list of places, at four bytes a tenant: a server of hundreds of thousands holds it beside them.
-// The tenants must outlive it, where they are.
+// A list of tenant indexes sorted by name, with a binary search. It takes four bytes a tenant, since a server
+// may have hundreds of thousands of them. The tenants must outlive the index at their addresses.
 template <class Less = std::less<std::string_view>>
 class TenantIndex {
  public:
   explicit TenantIndex(const std::vector<Tenant>& tenants, Less less = {})
       : tenants_(tenants), less_(std::move(less)), by_name_(tenants.size()) {
     std::iota(by_name_.begin(), by_name_.end(), 0u);
-    // Of those with one name they keep their order.
-    std::stable_sort(by_name_.begin(), by_name_.end(), [this](std::uint32_t one, std::uint32_t other) {
-      return less_(name(one), name(other));
+    // Tenants with the same name keep their order.
+    std::stable_sort(by_name_.begin(), by_name_.end(), [this](std::uint32_t left, std::uint32_t right) {
+      return less_(name(left), name(right));
     });
   }
 
-  // Of several with that name the last in the settings; null where there is none.
-  const Tenant* find(std::string_view wanted) const {
-    auto past = std::upper_bound(
-        by_name_.begin(), by_name_.end(), wanted,
-        [this](std::string_view sought, std::uint32_t place) { return less_(sought, name(place)); });
-    if (past == by_name_.begin()) return nullptr;
-    const Tenant& found = tenants_[*std::prev(past)];
-    return found.name == wanted ? &found : nullptr;
+  // Returns the last tenant of that name in the settings, or null if there is none.
+  const Tenant* find(std::string_view tenant_name) const {
+    auto after = std::upper_bound(
+        by_name_.begin(), by_name_.end(), tenant_name,
+        [this](std::string_view searched, std::uint32_t index) { return less_(searched, name(index)); });
+    if (after == by_name_.begin()) return nullptr;
+    const Tenant& found = tenants_[*std::prev(after)];
+    return found.name == tenant_name ? &found : nullptr;
   }
 
  private:
-  std::string_view name(std::uint32_t place) const { return tenants_[place].name; }
+  std::string_view name(std::uint32_t index) const { return tenants_[index].name; }
 
   const std::vector<Tenant>& tenants_;
   Less less_;
