--- a/tests/admission_window_test.cpp
+++ b/tests/admission_window_test.cpp
@@ -1,4 +1,4 @@
-// What the window over queue positions admits, and how it grows and is cut.
+// The admission window: which arrivals it rejects, how it grows and how it is cut.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(AdmissionWindowTest, RejectsBeyondFourTimesTheCoresAndStartsInArrivalOrder) {
-  ControllerHarness server(window_only());
+  ControllerHarness server(config_limited_by_the_window_alone());
   server.receive_many(2 + 8);
   EXPECT_EQ(server.count("run"), 2);
   EXPECT_EQ(server.count("reject"), 0);
@@ -18,7 +18,7 @@
 }
 
 TEST(AdmissionWindowTest, GrowsByOneEachTenthTimelyAnswer) {
-  ControllerHarness server(window_only());
+  ControllerHarness server(config_limited_by_the_window_alone());
   server.serve(10);
   server.receive_many(2 + 9);
   EXPECT_EQ(server.count("reject"), 0);
@@ -26,7 +26,7 @@
 }
 
 TEST(AdmissionWindowTest, FailedAndLateAnswersAreNotCountedAsTimely) {
-  ControllerHarness server(window_only());
+  ControllerHarness server(config_limited_by_the_window_alone());
   server.serve(9);
   Request& failed = server.receive();
   server.advance(100 * kMs);
@@ -37,13 +37,13 @@
   EXPECT_EQ(server.last_action(abandoned), "fail");
   server.complete(abandoned);
   server.serve(9);
-  server.receive_many(2 + 2);  // the late answer had position 1: the window is at its floor
+  server.receive_many(2 + 2);  // the late answer had position 1, so the window is at its minimum
   EXPECT_EQ(server.count("reject"), 0);
   EXPECT_EQ(server.last_action(server.receive()), "reject");
 }
 
-TEST(AdmissionWindowTest, RequestAtTheFrontIsRejectedOnceACutLeftItFarBeyond) {
-  ServiceConfig config = window_only();
+TEST(AdmissionWindowTest, RequestAtTheFrontIsRejectedOnceItIsFarBeyondACutWindow) {
+  ServiceConfig config = config_limited_by_the_window_alone();
   config.cores = 4;
   ControllerHarness server(config);
   server.receive_many(20);
@@ -52,7 +52,7 @@
   EXPECT_EQ(last.position, 16);
   server.complete(server.requests[0]);
   server.advance(kSecond);
-  EXPECT_EQ(server.last_action(server.requests[4]), "fail");  // a cut to the floor of 4
+  EXPECT_EQ(server.last_action(server.requests[4]), "fail");  // the window is cut to its minimum of 4
   for (Request& request : server.requests) server.complete(request);
   EXPECT_EQ(server.last_action(last), "reject");
   EXPECT_EQ(server.last_action(server.requests[12]), "run");
--- a/tests/capacity_estimate_test.cpp
+++ b/tests/capacity_estimate_test.cpp
@@ -1,4 +1,4 @@
-// How many requests may be queued, by class and tenant.
+// The limits on queue positions by request class and tenant.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -10,23 +10,23 @@
   ControllerHarness server;
   server.serve(40, 500 * kMs);
   server.receive_many(2);
-  int taken = 0;
-  while (server.last_action(server.receive()) != "reject") ++taken;
-  EXPECT_GE(taken, 2);
-  EXPECT_LE(taken, 5) << "two cores, half a second each, two seconds of SLO time";
+  int queued = 0;
+  while (server.last_action(server.receive()) != "reject") ++queued;
+  EXPECT_GE(queued, 2);
+  EXPECT_LE(queued, 5) << "two cores, half a second each, a latency objective of two seconds";
 }
 
 TEST(CapacityEstimateTest, TenantFarBeyondItsQuotaIsRejectedFirst) {
   ControllerHarness server;
-  auto of = [&](int tenant) {
+  auto from_tenant = [&](int tenant) {
     return [&server, tenant](Request& request) {
       request.tenant = &server.config.tenants[static_cast<std::size_t>(tenant)];
     };
   };
   server.serve(20, 200 * kMs);
-  for (int i = 0; i < 14; ++i) server.receive(kReadClass, of(1));
-  EXPECT_EQ(server.last_action(server.receive(kReadClass, of(1))), "reject");
-  EXPECT_NE(server.last_action(server.receive(kReadClass, of(0))), "reject");
+  for (int i = 0; i < 14; ++i) server.receive(kReadClass, from_tenant(1));
+  EXPECT_EQ(server.last_action(server.receive(kReadClass, from_tenant(1))), "reject");
+  EXPECT_NE(server.last_action(server.receive(kReadClass, from_tenant(0))), "reject");
 }
 
 TEST(CapacityEstimateTest, OneRequestOfASmallTenantIsNotFarBeyondItsQuota) {
@@ -35,8 +35,8 @@
   ControllerHarness server(config);
   server.serve(20, 400 * kMs);
   server.receive_many(2 + 3);
-  auto of_small = [&](Request& request) { request.tenant = &server.config.tenants[1]; };
-  EXPECT_EQ(server.last_action(server.receive(kReadClass, of_small)), "");
+  auto from_small_tenant = [&](Request& request) { request.tenant = &server.config.tenants[1]; };
+  EXPECT_EQ(server.last_action(server.receive(kReadClass, from_small_tenant)), "");
 }
 
 }  // namespace
--- a/tests/concurrency_limit_test.cpp
+++ b/tests/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// How many requests run at once.
+// The limit on requests that run at once.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -6,8 +6,8 @@
 namespace myrtlecroft {
 namespace {
 
-TEST(ConcurrencyLimitTest, LimitGrowsWhileCoresIdleUpToWhatAServerThatWarmsUpSurvives) {
-  ServiceConfig config = window_only();
+TEST(ConcurrencyLimitTest, LimitGrowsWhileCoresAreIdleUpToWhatAWarmingServerSurvives) {
+  ServiceConfig config = config_limited_by_the_window_alone();
   config.warming_up = true;
   config.warm_up_initial_speed = 0.5;
   config.max_running_per_core = 4;
@@ -15,7 +15,7 @@
   ControllerHarness server(config);
   server.receive_many(10);
   server.advance(kSecond, 0.5);
-  // 0.7 x 2 x (1 + 3 x a little over 0.5) is 3.5
+  // kSurvivableShare 0.7 x 2 cores x (1 + 3 x a little over 0.5) is a little over 3.5.
   EXPECT_EQ(server.count("run"), 3);
 }
 
--- a/tests/controller_harness.h
+++ b/tests/controller_harness.h
@@ -1,4 +1,4 @@
-// A Controller with its configuration and clock, and a record of the actions that it asked for.
+// A Controller with its configuration and clock, and a record of its actions.
 #pragma once
 
 #include <deque>
@@ -11,6 +11,8 @@
 
 namespace myrtlecroft {
 
+// A server of two cores with a class for each kind of request: idempotent, keyed, keyed with a required call,
+// and idempotent with a call that it can do without.
 inline ServiceConfig two_core_config() {
   ServiceConfig config;
   RequestClass read{
@@ -49,13 +51,14 @@
 }
 
 // A server with another share of the dependency.
-inline ServiceConfig sharing(double dependency_share, ServiceConfig config = two_core_config()) {
+inline ServiceConfig config_with_dependency_share(double dependency_share,
+                                                  ServiceConfig config = two_core_config()) {
   config.dependency_share = dependency_share;
   return config;
 }
 
-// A server whose window alone decides: latency objectives far away, so that the room never binds.
-inline ServiceConfig window_only() {
+// A server on which only the admission window rejects: latency objectives are too long to limit the queue.
+inline ServiceConfig config_limited_by_the_window_alone() {
   ServiceConfig config = two_core_config();
   for (RequestClass& request_class : config.request_classes)
     request_class.latency_objective = request_class.client_timeout = 3600 * kSecond;
@@ -64,20 +67,22 @@
 
 enum RequestClassIndex { kReadClass, kWriteClass, kCallerClass, kSkipperClass };
 
+// Calls the Controller with the time `now`, and records its actions by name in `actions`.
 class ControllerHarness : public ControllerActions {
  public:
-  explicit ControllerHarness(ServiceConfig given = two_core_config())
-      : config(std::move(given)), controller(config, *this, 7) {
+  explicit ControllerHarness(ServiceConfig initial_config = two_core_config())
+      : config(std::move(initial_config)), controller(config, *this, 7) {
     controller.start(now);
   }
 
-  // A new request of a class, received now.
-  Request& receive(RequestClassIndex request_class = kReadClass, std::function<void(Request&)> with = {}) {
+  // Receives a new request of a class. `configure` may change it first.
+  Request& receive(RequestClassIndex request_class = kReadClass,
+                   std::function<void(Request&)> configure = {}) {
     Request& request = requests.emplace_back();
     request.request_class = &config.request_classes[static_cast<std::size_t>(request_class)];
     request.queued_kb = 10;
     request.arrived = now;
-    if (with) with(request);
+    if (configure) configure(request);
     controller.request_received(request, now);
     return request;
   }
@@ -93,7 +98,7 @@
   void complete(Request& request, Outcome outcome = Outcome::kOk) {
     controller.run_completed(request, outcome, now);
   }
-  // Lets time pass, with a timer each 25 ms and the gauges given.
+  // Advances the clock in steps of 25 ms, each with an expired timer and these gauges.
   void advance(Nanos time, double runnable_threads = 2, double connections = 2) {
     for (Nanos end = now + time; now < end;) {
       now += 25 * kMs;
@@ -103,48 +108,48 @@
       controller.timer_expired(0, gauges, now);
     }
   }
-  // Runs `count` requests to a timely end, one after the other.
-  void serve(int count, Nanos each = 100 * kMs, RequestClassIndex request_class = kReadClass) {
+  // Runs `count` requests to a timely completion, one after the other.
+  void serve(int count, Nanos run_time = 100 * kMs, RequestClassIndex request_class = kReadClass) {
     for (int i = 0; i < count; ++i) {
       Request& request = receive(request_class);
-      advance(each);
+      advance(run_time);
       complete(request);
     }
   }
-  // The same for requests that make one call each and do nothing else.
-  void serve_calls(int count, Nanos took) {
+  // Runs `count` requests that each make one call and do no other work.
+  void serve_calls(int count, Nanos duration) {
     for (int i = 0; i < count; ++i) {
       Request& request = receive(kCallerClass);
       controller.call_needed(request, now);
-      advance(took);
-      controller.call_ended(request, Outcome::kOk, took, now);
+      advance(duration);
+      controller.call_ended(request, Outcome::kOk, duration, now);
       complete(request);
     }
   }
-  int count(const std::string& what) const {
+  int count(const std::string& action_name) const {
     int n = 0;
-    for (const auto& did : done) n += did.first == what;
+    for (const auto& action : actions) n += action.first == action_name;
     return n;
   }
   std::string last_action(const Request& request) const {
-    std::string last;
-    for (const auto& did : done) {
-      if (did.second == &request) last = did.first;
+    std::string last_name;
+    for (const auto& action : actions) {
+      if (action.second == &request) last_name = action.first;
     }
-    return last;
+    return last_name;
   }
 
   void run(Request& request) override { note("run", &request); }
   void stop_work(Request& request) override { note("stop", &request); }
-  void reject(Request& request, bool last, Nanos pause) override {
+  void reject(Request& request, bool failover_is_useless, Nanos delay) override {
     note("reject", &request);
-    no_failover = last;
-    retry_after = pause;
+    no_failover = failover_is_useless;
+    retry_after = delay;
   }
   void fail(Request& request) override { note("fail", &request); }
-  void call(Request& request, Nanos longest) override {
+  void call(Request& request, Nanos max_duration) override {
     note("call", &request);
-    longest_call = longest;
+    max_call_duration = max_duration;
   }
   bool abandon_call(Request& request) override {
     note("abandon call", &request);
@@ -157,7 +162,7 @@
   }
   void forget_key(Request& request) override { note("forget key", &request); }
   void coalesce(Request& request) override { note("coalesce", &request); }
-  void report_health(bool good) override { healthy = good; }
+  void report_health(bool is_healthy) override { healthy = is_healthy; }
   void advertise(double value) override { advertised = value; }
   void close_idle(Nanos after) override { idle_limit = after; }
   void schedule_timer(Nanos, std::uint64_t) override { note("schedule timer", nullptr); }
@@ -168,18 +173,18 @@
   Nanos now = 100 * kSecond;
   Nanos retry_after = 0;
   Nanos key_lifetime = 0;
-  Nanos longest_call = 0;
+  Nanos max_call_duration = 0;
   Nanos idle_limit = 0;
   bool healthy = false;
   bool no_failover = false;
   double advertised = -1;
   std::deque<Request> requests;
-  std::vector<std::pair<std::string, const Request*>> done;
+  std::vector<std::pair<std::string, const Request*>> actions;
   std::vector<std::string> lines;
   Controller controller;
 
  private:
-  void note(const char* what, const Request* request) { done.emplace_back(what, request); }
+  void note(const char* action_name, const Request* request) { actions.emplace_back(action_name, request); }
 };
 
 }  // namespace myrtlecroft
--- a/tests/dependency_budget_test.cpp
+++ b/tests/dependency_budget_test.cpp
@@ -1,4 +1,4 @@
-// When calls to the shared dependency go out, are skipped, repeated and abandoned.
+// When calls to the shared dependency are issued, skipped, repeated and abandoned.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -38,8 +38,8 @@
   EXPECT_EQ(server.count("call"), 2);
 }
 
-TEST(DependencyBudgetTest, OvertakenCallIsRepeatedAndTellsNothingOfOthers) {
-  ControllerHarness server(sharing(20));
+TEST(DependencyBudgetTest, CallOvertakenByALaterOneIsRepeatedAndDoesNotSlowOthers) {
+  ControllerHarness server(config_with_dependency_share(20));
   server.serve_calls(10, 25 * kMs);
   Request& stuck = server.receive(kSkipperClass);
   server.controller.call_needed(stuck, server.now);
@@ -62,7 +62,7 @@
 }
 
 TEST(DependencyBudgetTest, RequestWithoutASlotDoesNotKeepOthersFromIdleCores) {
-  ControllerHarness server(sharing(1, window_only()));
+  ControllerHarness server(config_with_dependency_share(1, config_limited_by_the_window_alone()));
   server.serve_calls(10, 25 * kMs);
   server.serve_calls(10, kSecond);
   for (int i = 0; i < 5; ++i) server.controller.call_needed(server.receive(kCallerClass), server.now);
@@ -77,7 +77,7 @@
 }
 
 TEST(DependencyBudgetTest, RequestThatWaitsPastItsObjectiveForASlowDependencyFreesItsSlot) {
-  ControllerHarness server(sharing(1));
+  ControllerHarness server(config_with_dependency_share(1));
   server.serve_calls(10, 25 * kMs);
   server.serve_calls(3, kSecond);
   Request& called = server.receive(kCallerClass);
@@ -100,15 +100,16 @@
 }
 
 TEST(DependencyBudgetTest, CallTakesNoLongerThanASmallShareAllows) {
-  ControllerHarness server(sharing(0.4));
+  ControllerHarness server(config_with_dependency_share(0.4));
   server.controller.call_needed(server.receive(kSkipperClass), server.now);
   EXPECT_EQ(server.count("call"), 1);
-  EXPECT_LE(server.longest_call, 1 * kSecond) << "0.4 calls over 5 s are 2 s of calls, for all that is begun";
-  EXPECT_GE(server.longest_call, 300 * kMs);
+  EXPECT_LE(server.max_call_duration, 1 * kSecond)
+      << "a share of 0.4 calls over 5 s allows 2 s for all calls in flight";
+  EXPECT_GE(server.max_call_duration, 300 * kMs);
 }
 
 TEST(DependencyBudgetTest, WithoutAnyShareRequestsThatRequireACallAreRejectedAndOthersSkipIt) {
-  ControllerHarness server(sharing(0));
+  ControllerHarness server(config_with_dependency_share(0));
   EXPECT_EQ(server.last_action(server.receive(kCallerClass)), "reject");
   Request& skipper = server.receive(kSkipperClass);
   server.controller.call_needed(skipper, server.now);
@@ -116,7 +117,7 @@
 }
 
 TEST(DependencyBudgetTest, TinyShareStillAllowsQuickCalls) {
-  ControllerHarness server(sharing(0.02));
+  ControllerHarness server(config_with_dependency_share(0.02));
   for (int i = 0; i < 3; ++i) {
     Request& request = server.receive(kCallerClass);
     server.controller.call_needed(request, server.now);
@@ -127,8 +128,8 @@
   }
 }
 
-TEST(DependencyBudgetTest, CallsGoOutAgainAfterSomeWereAbandoned) {
-  ControllerHarness server(sharing(0.4));
+TEST(DependencyBudgetTest, CallsAreIssuedAgainAfterSomeWereAbandoned) {
+  ControllerHarness server(config_with_dependency_share(0.4));
   for (int i = 0; i < 3; ++i) {
     Request& lost = server.receive(kSkipperClass);
     server.controller.call_needed(lost, server.now);
@@ -136,26 +137,27 @@
     server.controller.call_ended(lost, Outcome::kTimedOut, 800 * kMs, server.now);
     server.complete(lost);
   }
-  int before = server.count("call");
+  int calls_before = server.count("call");
   server.advance(30 * kSecond);
   server.controller.call_needed(server.receive(kCallerClass), server.now);
   server.advance(100 * kMs);
-  EXPECT_EQ(server.count("call"), before + 1);
+  EXPECT_EQ(server.count("call"), calls_before + 1);
 }
 
 TEST(DependencyBudgetTest, SlowCallTimeIsNotForgottenWhileNoCallIsMade) {
-  ControllerHarness server(sharing(0.4));
+  ControllerHarness server(config_with_dependency_share(0.4));
   server.serve_calls(20, 25 * kMs);
   server.serve_calls(4, 400 * kMs);
   server.advance(10 * kSecond);
   Request& first = server.receive(kCallerClass);
   server.controller.call_needed(first, server.now);
   server.controller.call_needed(server.receive(kCallerClass), server.now);
-  int before = server.count("call");
+  int calls_before = server.count("call");
   server.advance(400 * kMs);
   server.controller.call_ended(first, Outcome::kOk, 400 * kMs, server.now);
   server.advance(400 * kMs);
-  EXPECT_EQ(server.count("call"), before) << "the rate follows the slow calls, not a first guess";
+  EXPECT_EQ(server.count("call"), calls_before)
+      << "the rate follows the measured slow calls, not the initial call time";
 }
 
 }  // namespace
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -1,4 +1,4 @@
-// The core of a server with fakes of all that it talks to (FakeWorld).
+// A Service with fakes of all its ports (FakeWorld).
 #pragma once
 
 #include <algorithm>
@@ -14,14 +14,15 @@
 
 namespace myrtlecroft {
 
-// Who asked for an answer, and what came.
+// Records the answers to one request or health check.
 struct Caller : service::AnswerSink {
-  void answer(const service::FinalAnswer& given) override {
+  void answer(const service::FinalAnswer& final_answer) override {
     using service::Answer;
-    unrecognized = given.unrecognized;
-    answers.push_back(given.kind == Answer::kCompleted  ? "completed " + std::string(given.result)
-                      : given.kind == Answer::kRejected ? "denied"
-                                                        : "terminated");
+    unrecognized = final_answer.unrecognized;
+    answers.push_back(final_answer.kind == Answer::kCompleted
+                          ? "completed " + std::string(final_answer.result)
+                      : final_answer.kind == Answer::kRejected ? "denied"
+                                                               : "terminated");
   }
   std::string only() const { return answers.size() == 1 ? answers[0] : std::to_string(answers.size()); }
   service::ServerRequest* request = nullptr;
@@ -29,7 +30,8 @@
   bool unrecognized = false;
 };
 
-// All ports of one server. The engine's end of the link is played by the story.
+// A Service and all its ports. The test plays the engine: it sends hello, notices and gauges. The commands of
+// the service are recorded in order.
 class FakeWorld : public service::Clock,
                   public service::Listener,
                   public service::Engine,
@@ -38,21 +40,21 @@
                   public service::Logger {
  public:
   explicit FakeWorld(ServiceConfig config = two_core_config(), std::size_t max_result_bytes = 1000,
-                     service::IdempotencyLog* records = nullptr,
-                     const service::ShardOwnership* gate = nullptr)
+                     service::IdempotencyLog* idempotency_log = nullptr,
+                     const service::ShardOwnership* ownership = nullptr)
       : service({.config = std::move(config),
                  .gauge_names = {"core_use", "on_cores", "heap_share", "links"},
                  .seed = 7,
                  .stop_after = 3 * kSecond,
                  .max_result_bytes = max_result_bytes},
-                {*this, *this, *this, *this, *this, *this, records, gate}) {}
+                {*this, *this, *this, *this, *this, *this, idempotency_log, ownership}) {}
 
   void engine_up() {
     service.engine().link_established();
     service.engine().hello(false, 0);
     answer_gauges();
   }
-  // The engine has seen all that was sent.
+  // The engine answers the last query, which confirms all commands sent so far.
   void answer_gauges() { service.engine().stats(last_token, {0.5, 1, 0.1, 3}); }
   void relink() {
     service.engine().link_lost();
@@ -60,7 +62,8 @@
   }
 
   Caller& read(const std::string& id, RequestClassIndex request_class = kReadClass,
-               const std::string& key = "", Nanos longest = 2 * kSecond, const std::string& body = "") {
+               const std::string& key = "", Nanos client_timeout = 2 * kSecond,
+               const std::string& body = "") {
     auto request = std::make_unique<service::ServerRequest>();
     Caller& caller = callers.emplace_back();
     caller.request = request.get();
@@ -70,7 +73,7 @@
     request->request_class = &service.config().request_classes[static_cast<std::size_t>(request_class)];
     request->queued_kb = 10;
     request->arrived = time;
-    request->client_deadline = time + longest;
+    request->client_deadline = time + client_timeout;
     request->has_lookup_key = true;
     request->sink = &caller;
     service.request_received(std::move(request));
@@ -82,8 +85,8 @@
   void need(const std::string& id, const std::string& body = "call") {
     service.engine().notice({service::Notice::Kind::kNeed, ++notices, id, Outcome::kOk, body});
   }
-  void pass(Nanos how_long) {
-    Nanos end = time + how_long;
+  void pass(Nanos duration) {
+    Nanos end = time + duration;
     while (timer <= end) {
       time = std::max(time, timer);
       timer = end + kSecond;
@@ -91,13 +94,15 @@
     }
     time = end;
   }
-  long count(const std::string& what) const { return std::count(did.begin(), did.end(), what); }
+  long count(const std::string& command_name) const {
+    return std::count(did.begin(), did.end(), command_name);
+  }
 
   Nanos now() const override { return time; }
   void wake_at(Nanos when) override { timer = when; }
   void close_idle(Nanos) override {}
   void finish() override { did.push_back("finish"); }
-  void attach(std::uint64_t last) override { did.push_back("attach " + std::to_string(last)); }
+  void attach(std::uint64_t last_notice) override { did.push_back("attach " + std::to_string(last_notice)); }
   void run(std::string_view id, std::string_view, std::string_view) override { note("run ", id); }
   void deliver_reply(std::string_view id, std::string_view reply) override {
     note("feed ", std::string(id) + " " + std::string(reply));
@@ -110,7 +115,7 @@
     if (on_call) on_call(request);
   }
   void abandon_call(service::ServerRequest& request) override { note("give up ", request.id); }
-  void report(bool good) override { healthy = good; }
+  void report(bool is_healthy) override { healthy = is_healthy; }
   void line(const std::string&) override {}
   void write_rate_limited(const std::string&) override {}
   void write_routine(const std::string&) override {}
@@ -127,7 +132,9 @@
   service::Service service;
 
  private:
-  void note(const std::string& what, std::string_view of) { did.push_back(what + std::string(of)); }
+  void note(const std::string& command_name, std::string_view request_id) {
+    did.push_back(command_name + std::string(request_id));
+  }
 };
 
 }  // namespace myrtlecroft
--- a/tests/health_state_test.cpp
+++ b/tests/health_state_test.cpp
@@ -1,4 +1,4 @@
-// When a server stalls, probes and serves again.
+// The transitions of a server between serving, stalled and probing.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -12,15 +12,15 @@
   server.receive_many(4);
   server.advance(2 * kSecond);
   EXPECT_FALSE(server.healthy);
-  EXPECT_EQ(server.count("reject"), 2) << "what was held is told at once";
+  EXPECT_EQ(server.count("reject"), 2) << "queued requests are rejected at once";
   EXPECT_EQ(server.last_action(server.receive()), "reject");
   EXPECT_EQ(server.retry_after, server.config.max_retry_after);
   for (Request& request : server.requests) {
     if (request.phase == Phase::kRunning) server.complete(request);
   }
-  EXPECT_TRUE(server.healthy) << "without it no trial would come";
+  EXPECT_TRUE(server.healthy) << "callers send requests for probe runs only to a healthy server";
   server.receive_many(2);
-  EXPECT_EQ(server.last_action(server.receive()), "reject") << "two trial runs at once";
+  EXPECT_EQ(server.last_action(server.receive()), "reject") << "only two probe runs at once";
   server.complete(server.requests[server.requests.size() - 2]);
   server.complete(server.requests[server.requests.size() - 3]);
   server.serve(6);
@@ -37,7 +37,7 @@
   server.serve(6);
   server.receive_many(2 + 7);
   EXPECT_EQ(server.last_action(server.requests.back()), "")
-      << "the window starts anew, and work takes what it took";
+      << "the window is reset, and the core time is that before the stall";
 }
 
 TEST(HealthStateTest, UnhealthyServerWithoutTrafficComesBackByItself) {
@@ -48,7 +48,7 @@
   EXPECT_TRUE(server.healthy);
 }
 
-TEST(HealthStateTest, FastFailuresDoNotLookLikeQuickRuns) {
+TEST(HealthStateTest, FastFailuresMakeTheServerUnhealthy) {
   ControllerHarness server;
   for (int i = 0; i < 10; ++i) {
     Request& request = server.receive();
@@ -63,7 +63,7 @@
   for (int i = 0; i < 20; ++i)
     server.receive(kReadClass, [&](Request& request) { request.arrived = server.now - 1900 * kMs; });
   server.advance(100 * kMs);
-  EXPECT_TRUE(server.healthy) << "a fleet swamped as a whole would fall one server after the other";
+  EXPECT_TRUE(server.healthy) << "otherwise an overloaded fleet would lose one server after the other";
 }
 
 }  // namespace
--- a/tests/keyed_requests_test.cpp
+++ b/tests/keyed_requests_test.cpp
@@ -1,4 +1,4 @@
-// Keyed requests and shared answers: what retries get, and that nothing runs twice.
+// Keyed requests and shared answers: the answers to retries, and that nothing runs twice.
 #include <gtest/gtest.h>
 
 #include "fakes.h"
@@ -6,7 +6,7 @@
 namespace myrtlecroft {
 namespace {
 
-// Owns the keys that begin with the letter.
+// Admits the keys that begin with `letter`.
 struct OwnedByFirstLetter : service::ShardOwnership {
   bool admits(std::string_view key) const override { return key.starts_with(letter); }
   char letter = 'a';
@@ -15,7 +15,7 @@
 TEST(KeyedRequestsTest, KeyOwnedByAnotherServerFailsAndIsNotRejected) {
   OwnedByFirstLetter ownership;
   FakeWorld world(two_core_config(), 1000, nullptr, &ownership);
-  EXPECT_EQ(world.read("1", kWriteClass, "b1").only(), "terminated") << "nor before the engine is up";
+  EXPECT_EQ(world.read("1", kWriteClass, "b1").only(), "terminated") << "also before the engine is up";
   world.engine_up();
   EXPECT_EQ(world.read("2", kWriteClass, "b2").only(), "terminated");
   EXPECT_EQ(world.count("run 2"), 0);
@@ -74,7 +74,7 @@
   EXPECT_EQ(world.read("b", kWriteClass, "key").only(), "terminated");
 }
 
-// Otherwise a caller that guesses another's key would get its result.
+// A caller that guesses the key of another caller must not get its result.
 TEST(KeyedRequestsTest, KnownKeyWithAnotherBodyFailsAndChangesNothing) {
   FakeWorld world;
   world.engine_up();
@@ -87,26 +87,26 @@
   EXPECT_EQ(world.read("c", kWriteClass, "key").only(), "completed once");
 }
 
-TEST(KeyedRequestsTest, KeyOfARequestUnknownToTheEngineBlocksNoOther) {
+TEST(KeyedRequestsTest, KeyOfARequestUnknownToTheEngineDoesNotBlockAnother) {
   FakeWorld world;
   world.engine_up();
-  Caller& fake = world.read("a", kWriteClass, "key", 2 * kSecond, "another body");
-  Caller& real = world.read("b", kWriteClass, "key");
+  Caller& forged = world.read("a", kWriteClass, "key", 2 * kSecond, "another body");
+  Caller& genuine = world.read("b", kWriteClass, "key");
   world.service.engine().command_ignored("RUN", "a");
-  EXPECT_TRUE(fake.unrecognized);
+  EXPECT_TRUE(forged.unrecognized);
   world.done("b", Outcome::kOk, "once");
-  EXPECT_EQ(real.only(), "completed once");
+  EXPECT_EQ(genuine.only(), "completed once");
 }
 
-TEST(KeyedRequestsTest, RequestThatLeftTheQueueUnrunBlocksNoRetry) {
+TEST(KeyedRequestsTest, RequestThatLeftTheQueueWithoutRunningDoesNotBlockItsRetry) {
   FakeWorld world;
   world.engine_up();
   world.read("r1");  // both cores are busy
   world.read("r2");
   Caller& queued = world.read("a", kWriteClass, "key", kSecond);
-  Caller& waits = world.read("b", kWriteClass, "key", 3 * kSecond);
+  Caller& waiting = world.read("b", kWriteClass, "key", 3 * kSecond);
   world.service.caller_disconnected(*queued.request);
-  EXPECT_EQ(waits.only(), "terminated");  // the request it waits for will not run
+  EXPECT_EQ(waiting.only(), "terminated");  // the request it waits for will not run
   world.done("r1");
   world.done("r2");
   world.read("c", kWriteClass, "key");
@@ -125,62 +125,64 @@
   EXPECT_EQ(world.count("run c"), 1);
 }
 
-// A window far shorter than the deadline. It counts from the accept time of the attempt that ran; a retry at
-// any time within it, also in the event in which the key expires, never runs, and is never rejected.
-enum class First { kQueued, kRuns, kJustEnded, kFailed, kAbandoned };
-struct ShortWindowTest : testing::TestWithParam<First> {
+// Retries within a deduplication window that is far shorter than the deadline. The window counts from the
+// time at which the first attempt was received. A retry within it must neither run nor be rejected, not even
+// in the event in which the key expires.
+enum class FirstAttempt { kQueued, kRunning, kJustEnded, kFailed, kAbandoned };
+struct ShortWindowTest : testing::TestWithParam<FirstAttempt> {
   static ServiceConfig config() {
     ServiceConfig config = two_core_config();
     config.request_classes[kWriteClass].deduplication_window = 300 * kMs;
     return config;
   }
-  // How many of the attempts so far were run.
-  static long runs(const FakeWorld& world, int tries) {
-    long all = 0;
-    for (int i = 0; i <= tries; ++i) all += world.count("run try" + std::to_string(i));
-    return all;
+  // The number of attempts that have run so far.
+  static long count_runs(const FakeWorld& world, int attempts) {
+    long total = 0;
+    for (int i = 0; i <= attempts; ++i) total += world.count("run try" + std::to_string(i));
+    return total;
   }
 };
 
 TEST_P(ShortWindowTest, NoRetryRunsWithinTheWindow) {
   FakeWorld world(config());
   world.engine_up();
-  bool queued = GetParam() == First::kQueued;
+  bool queued = GetParam() == FirstAttempt::kQueued;
   if (queued) {  // both cores are busy
     world.read("x");
     world.read("y");
   }
-  Nanos stamp = world.time;
-  Nanos patience = GetParam() == First::kAbandoned ? 150 * kMs : 2 * kSecond;
-  world.read("try0", kWriteClass, "key", patience);
+  Nanos received_at = world.time;
+  Nanos client_timeout = GetParam() == FirstAttempt::kAbandoned ? 150 * kMs : 2 * kSecond;
+  world.read("try0", kWriteClass, "key", client_timeout);
   ASSERT_EQ(world.count("run try0"), queued ? 0 : 1);
-  if (GetParam() == First::kJustEnded) world.done("try0", Outcome::kOk, "first");
-  if (GetParam() == First::kFailed) world.done("try0", Outcome::kFailed, "");
-  int tries = 0;
-  Nanos last = stamp + config().request_classes[kWriteClass].deduplication_window;
-  for (Nanos at = stamp + 10 * kMs; at <= last; at += 10 * kMs) {
+  if (GetParam() == FirstAttempt::kJustEnded) world.done("try0", Outcome::kOk, "first");
+  if (GetParam() == FirstAttempt::kFailed) world.done("try0", Outcome::kFailed, "");
+  int attempts = 0;
+  Nanos window_end = received_at + config().request_classes[kWriteClass].deduplication_window;
+  for (Nanos at = received_at + 10 * kMs; at <= window_end; at += 10 * kMs) {
     world.pass(at - world.time);
-    Caller& retry = world.read("try" + std::to_string(++tries), kWriteClass, "key");
+    Caller& retry = world.read("try" + std::to_string(++attempts), kWriteClass, "key");
     for (const std::string& answer : retry.answers) EXPECT_NE(answer, "denied");
-    EXPECT_LE(runs(world, tries), 1);
+    EXPECT_LE(count_runs(world, attempts), 1);
   }
   if (queued) world.done("x");
-  if (GetParam() != First::kJustEnded && GetParam() != First::kFailed)
+  if (GetParam() != FirstAttempt::kJustEnded && GetParam() != FirstAttempt::kFailed)
     world.done("try0", Outcome::kOk, "first");
   for (std::size_t i = 0; i < world.callers.size(); ++i) {
     if (i < (queued ? 2u : 0u)) continue;
-    std::string expected = GetParam() == First::kFailed ? "terminated" : "completed first";
-    if (GetParam() == First::kAbandoned && i == 0) expected = "terminated";
+    std::string expected = GetParam() == FirstAttempt::kFailed ? "terminated" : "completed first";
+    if (GetParam() == FirstAttempt::kAbandoned && i == 0) expected = "terminated";
     EXPECT_EQ(world.callers[i].only(), expected) << i;
   }
-  EXPECT_EQ(runs(world, tries), 1);
+  EXPECT_EQ(count_runs(world, attempts), 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(KeyedRequests, ShortWindowTest,
-                         testing::Values(First::kQueued, First::kRuns, First::kJustEnded, First::kFailed,
-                                         First::kAbandoned));
+                         testing::Values(FirstAttempt::kQueued, FirstAttempt::kRunning,
+                                         FirstAttempt::kJustEnded, FirstAttempt::kFailed,
+                                         FirstAttempt::kAbandoned));
 
-TEST(KeyedRequestsTest, RetryDoesNotRunBesideARunThatOutlivesItsWindow) {
+TEST(KeyedRequestsTest, RetryDoesNotRunWhileARunOutlivesItsWindow) {
   FakeWorld world(ShortWindowTest::config());
   world.engine_up();
   world.read("a", kWriteClass, "key", 100 * kMs);
--- a/tests/memory_budget_test.cpp
+++ b/tests/memory_budget_test.cpp
@@ -1,4 +1,4 @@
-// What is rejected or not retained because memory is short.
+// Requests that are rejected, and keys that are not retained, for lack of memory.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -14,7 +14,7 @@
   EXPECT_EQ(server.last_action(server.receive(kWriteClass)), "reject");
 }
 
-TEST(MemoryBudgetTest, NothingStartsBeyondTheMemory) {
+TEST(MemoryBudgetTest, RequestIsRejectedWhenTheMemoryIsFull) {
   ServiceConfig config = two_core_config();
   config.memory_kb = 100;
   ControllerHarness server(config);
@@ -23,7 +23,7 @@
   EXPECT_EQ(server.last_action(server.receive()), "reject");
 }
 
-TEST(MemoryBudgetTest, ReadsThatShareAnswersRetainKeysOnlyWhileMemoryIsToSpare) {
+TEST(MemoryBudgetTest, ReadsThatShareAnswersRetainKeysOnlyWhileMemoryIsAvailable) {
   ServiceConfig config = two_core_config();
   config.answer_sharing_window = 2 * kSecond;
   config.key_kb = 30'000;
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of one request: deadlines, retries and their keys, graceful shutdown.
+// The lifecycle of one request: deadlines, retries and their keys, graceful shutdown.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -22,7 +22,7 @@
   EXPECT_EQ(server.last_action(third), "run");
 }
 
-TEST(RequestLifecycleTest, StoppableWorkIsStoppedOnceItIsAnswered) {
+TEST(RequestLifecycleTest, WorkIsStoppedOnceItIsAnsweredUnlessARetryMayNeedIt) {
   ServiceConfig config = two_core_config();
   config.stop_mode = StopMode::kFreeze;
   ControllerHarness server(config);
@@ -70,10 +70,10 @@
 TEST(RequestLifecycleTest, RequestRejectedBeforeItRanReleasesItsKey) {
   ControllerHarness server;
   server.receive_many(2);
-  Request& held = server.receive(kWriteClass);
+  Request& queued = server.receive(kWriteClass);
   server.advance(4950 * kMs);
   EXPECT_EQ(server.count("forget key"), 1);
-  EXPECT_EQ(held.phase, Phase::kDone);
+  EXPECT_EQ(queued.phase, Phase::kDone);
 }
 
 TEST(RequestLifecycleTest, ArrivalsAfterTheDrainGraceAreRejectedAndAllAreAnsweredBeforeTheStop) {
@@ -97,10 +97,10 @@
   server.serve(10);
   server.receive_many(4);
   server.advance(400 * kMs);
-  Request& old = server.requests[server.requests.size() - 2];
-  old.useful_until = server.now;
+  Request& overdue = server.requests[server.requests.size() - 2];
+  overdue.useful_until = server.now;
   server.complete(server.requests[server.requests.size() - 4]);
-  EXPECT_EQ(server.last_action(old), "reject");
+  EXPECT_EQ(server.last_action(overdue), "reject");
   EXPECT_EQ(server.last_action(server.requests.back()), "run");
 }
 
--- a/tests/retry_advice_test.cpp
+++ b/tests/retry_advice_test.cpp
@@ -1,4 +1,4 @@
-// Failover advice with rejections, and the advertised capacity.
+// The failover advice of rejections, and the advertised capacity.
 #include <gtest/gtest.h>
 
 #include "controller_harness.h"
@@ -11,7 +11,7 @@
   server.serve(20, 200 * kMs);
   server.receive_many(12);
   EXPECT_EQ(server.last_action(server.receive()), "reject");
-  EXPECT_FALSE(server.no_failover) << "a few denials: others have room";
+  EXPECT_FALSE(server.no_failover) << "after a few rejections other servers may have capacity";
   server.receive_many(30);
   EXPECT_TRUE(server.no_failover);
 }
@@ -21,9 +21,9 @@
   config.advertised_capacity = AdvertisedCapacity::kMaxInFlight;
   ControllerHarness server(config);
   server.serve(20, 100 * kMs);
-  double quick = server.advertised;
+  double fast_allowance = server.advertised;
   server.serve(40, 500 * kMs);
-  EXPECT_LT(server.advertised, 0.7 * quick);
+  EXPECT_LT(server.advertised, 0.7 * fast_allowance);
 }
 
 TEST(RetryAdviceTest, AllowanceOfMoreCallersThanPositionsFallsBelowOneWithRejections) {
@@ -38,7 +38,7 @@
   EXPECT_LT(server.advertised, 0.8);
 }
 
-TEST(RetryAdviceTest, FloorRisesWithRejectionsAndFallsWithoutThem) {
+TEST(RetryAdviceTest, MinPriorityRisesWithRejectionsAndFallsWithoutThem) {
   ServiceConfig config = two_core_config();
   config.advertised_capacity = AdvertisedCapacity::kMinPriority;
   ControllerHarness server(config);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,4 @@
-// The core of a server without sockets: answers, health checks and the drain.
+// The Service with fake ports: answers, health checks and the drain.
 #include <gtest/gtest.h>
 
 #include "fakes.h"
@@ -45,7 +45,7 @@
   EXPECT_EQ(world.count("run b"), 1);
 }
 
-TEST(ServiceTest, EveryRequestIsAnsweredInTimeWhileTheEngineHangs) {
+TEST(ServiceTest, EveryRequestIsAnsweredInTimeWhileTheEngineLinkIsDown) {
   FakeWorld world;
   world.engine_up();
   world.service.engine().link_lost();
@@ -83,7 +83,8 @@
   world.pass(2 * kSecond);
   EXPECT_EQ(three.only(), "denied");
   world.service.health_check(five, true);
-  world.service.engine().command_ignored("TEST", "");  // the site allows no tests: the reported health counts
+  // The engine supports no tests, so the reported health decides.
+  world.service.engine().command_ignored("TEST", "");
   EXPECT_EQ(five.only(), "completed ");
   world.service.engine().link_lost();
   world.service.health_check(four, true);
--- a/tests/tenant_index_test.cpp
+++ b/tests/tenant_index_test.cpp
@@ -1,4 +1,4 @@
-// Tenants by name, at the size of a large deployment's settings.
+// The index of tenants by name, with as many tenants as a large deployment has.
 #include "service/tenant_index.h"
 
 #include <memory>
@@ -21,15 +21,16 @@
   return out;
 }
 
+// Counts the comparisons of names.
 struct CountingLess {
-  bool operator()(std::string_view one, std::string_view other) const {
+  bool operator()(std::string_view left, std::string_view right) const {
     ++*comparisons;
-    return one < other;
+    return left < right;
   }
   std::shared_ptr<int> comparisons = std::make_shared<int>(0);
 };
 
-TEST(TenantIndex, OfSeveralWithOneNameTheLastIsFound) {
+TEST(TenantIndex, LastOfSeveralTenantsWithOneNameIsFound) {
   const std::vector<Tenant> tenants = {{"b", 1}, {"a", 2}, {"b", 3}, {"c", 4}, {"b", 5}, {"a", 6}};
   service::TenantIndex<> index(tenants);
   EXPECT_EQ(index.find("a"), &tenants[5]);
@@ -37,60 +38,60 @@
   EXPECT_EQ(index.find("c"), &tenants[3]);
 }
 
-TEST(TenantIndex, WhatIsNotThereIsNotFound) {
+TEST(TenantIndex, UnknownNameIsNotFound) {
   const std::vector<Tenant> tenants = {{"b", 1}, {"d", 2}};
-  const std::vector<Tenant> none;
+  const std::vector<Tenant> no_tenants;
   service::TenantIndex<> index(tenants);
   for (const char* name : {"", "a", "c", "e", "bb"}) EXPECT_EQ(index.find(name), nullptr) << name;
-  EXPECT_EQ(service::TenantIndex<>(none).find("a"), nullptr);
+  EXPECT_EQ(service::TenantIndex<>(no_tenants).find("a"), nullptr);
 }
 
-TEST(TenantIndex, AnEmptyNameIsFoundWhereTheSettingsHaveOne) {
+TEST(TenantIndex, EmptyNameIsFoundIfTheSettingsHaveOne) {
   const std::vector<Tenant> tenants = {{"b", 1}, {"", 2}};
   EXPECT_EQ(service::TenantIndex<>(tenants).find(""), &tenants[1]);
 }
 
-TEST(TenantIndex, ALookUpAmongThePlannedNumberComparesTwentyNamesAtMost) {
+TEST(TenantIndex, LookupAmongThePlannedTenantsComparesAtMostTwentyNames) {
   const std::vector<Tenant> tenants = many_tenants(kPlannedTenants);
   CountingLess less;
   service::TenantIndex<CountingLess> index(tenants, less);
-  for (int place = 0; place < kPlannedTenants; place += 997) {
+  for (int index_in_settings = 0; index_in_settings < kPlannedTenants; index_in_settings += 997) {
     *less.comparisons = 0;
-    ASSERT_EQ(index.find(name_of(place)), &tenants[static_cast<std::size_t>(place)]);
+    ASSERT_EQ(index.find(name_of(index_in_settings)), &tenants[static_cast<std::size_t>(index_in_settings)]);
     ASSERT_LE(*less.comparisons, 20);
   }
 }
 
 struct TenantIndexTest : net::FastCgiServerTest {
-  // What a server with so many tenants uses for a hundred requests, one after the other.
+  // CPU seconds of a hundred consecutive requests to a server with `count` tenants.
   double cpu_of_requests(int count) {
     ServiceConfig config = net::calling_much();
     config.tenants = many_tenants(count);
-    FakeWorld its(std::move(config), 1'000);
-    its.time = loop.now();
-    its.engine_up();
-    int at = net::free_port();
-    net::FastCgiServer its_front(loop, *this, net::at_port(at), 12, 300'000);
-    its_front.serve(its.service, [] {});
+    FakeWorld local_world(std::move(config), 1'000);
+    local_world.time = loop.now();
+    local_world.engine_up();
+    int port = net::free_port();
+    net::FastCgiServer local_front(loop, *this, net::at_port(port), 12, 300'000);
+    local_front.serve(local_world.service, [] {});
     net::Plain peer;
-    peer.connect(at);
+    peer.connect(port);
     turn(5 * kMs);
-    double begun = thread_cpu_seconds();
+    double cpu_before = thread_cpu_seconds();
     for (int i = 0; i < 100; ++i) {
       std::string id = std::to_string(1'000'000'000'000'000 + i);
       peer.write(request(1, "/api/v2/read", id, 1, {{"HTTP_PROJECT", name_of(i % count)}}));
-      EXPECT_TRUE(until([&] { return its.count("run " + id) == 1; }));
-      its.done(id);
+      EXPECT_TRUE(until([&] { return local_world.count("run " + id) == 1; }));
+      local_world.done(id);
       EXPECT_TRUE(comes(peer, "Status: 200"));
     }
-    return thread_cpu_seconds() - begun;
+    return thread_cpu_seconds() - cpu_before;
   }
 };
 
-// Each request was compared with every tenant of the settings.
-TEST_F(TenantIndexTest, ARequestAmongThePlannedNumberOfCustomersCostsAboutWhatItDoesAmongTwo) {
-  double few = cpu_of_requests(2);
-  EXPECT_LT(cpu_of_requests(kPlannedTenants), 4 * few);
+// Guards against a lookup that compares each request with every tenant in the settings.
+TEST_F(TenantIndexTest, RequestCostsAboutTheSameAmongThePlannedTenantsAsAmongTwo) {
+  double cost_of_two = cpu_of_requests(2);
+  EXPECT_LT(cpu_of_requests(kPlannedTenants), 4 * cost_of_two);
 }
 
 }  // namespace
