--- a/src/service/drain.cpp
+++ b/src/service/drain.cpp
@@ -14,17 +14,17 @@
   handle_event([&] {
     if (stop_at_) return;
     drain_started_at_ = now_;
-    stop_at_ = now_ + start_.stop_after;
-    ports_.logger.line("drain begun, stop in " + std::to_string(start_.stop_after / kMs) + " ms");
+    stop_at_ = now_ + options_.stop_after;
+    ports_.logger.line("drain begun, stop in " + std::to_string(options_.stop_after / kMs) + " ms");
     if (controller_) controller_->begin_drain(stop_at_, now_);
   });
 }
 
-// After the grace period no new request may run. Once all requests are answered, a refused connection tells
-// callers sooner than a rejection that they have to use another server.
+// After the grace period no new request may run. Once all requests are answered, a refused connection is
+// better for callers than a rejection.
 void Service::close_listener_when_drained() {
   if (!stop_at_ || listener_closed_) return;
-  bool past_grace = now_ > drain_started_at_ + start_.config.drain_grace;
+  bool past_grace = now_ > drain_started_at_ + options_.config.drain_grace;
   bool drained = unanswered_ == 0 && past_grace;
   if (controller_ && !drained && now_ < stop_at_ - kListenerCloseLeadTime) return;
   listener_closed_ = true;
--- a/src/service/engine_session.cpp
+++ b/src/service/engine_session.cpp
@@ -153,8 +153,8 @@
   }
 }
 
-// The engine ignored the command. A run that it does not know has not started and never will. An engine that
-// supports no test counts as passing it, so that health checks depend on the reported health alone.
+// The engine ignored the command. A run that it does not know has not started and never will. A deployment
+// whose engine allows no self-tests passes them, so that the reported health alone decides its health checks.
 void EngineSession::command_ignored(std::string_view command, const std::string& id) {
   if (command == "TEST" && std::exchange(test_token_, 0)) return events_.test_completed(true);
   auto found = by_id_.find(id);
--- a/src/service/keyed_requests.cpp
+++ b/src/service/keyed_requests.cpp
@@ -30,7 +30,7 @@
 }
 
 FinalAnswer Service::owned_elsewhere_answer() const {
-  return {.kind = Answer::kFailed, .retry_after = start_.config.max_retry_after};
+  return {.kind = Answer::kFailed, .retry_after = options_.config.max_retry_after};
 }
 
 // Before the engine is up nothing can run, so new requests are rejected. A request that an earlier
@@ -64,7 +64,7 @@
   if (!entry) return;
   if (request.request_class->idempotency == Idempotency::kIdempotent) {
     bool is_fresh = entry->state == KeyEntry::State::kOk &&
-                    now_ - entry->completed_at <= start_.config.answer_sharing_window;
+                    now_ - entry->completed_at <= options_.config.answer_sharing_window;
     if (entry->state != KeyEntry::State::kOpen && !is_fresh) return;
   }
   request.entry = entry;
@@ -100,7 +100,7 @@
 void Service::restore(const std::string& request_class, const std::string& key, bool completed,
                       std::string_view result, Nanos remaining) {
   now_ = std::max(now_, ports_.clock.now());
-  for (const RequestClass& each : start_.config.request_classes) {
+  for (const RequestClass& each : options_.config.request_classes) {
     if (each.name == request_class) keys_.restore(&each, key, completed, result, now_, now_ + remaining);
   }
 }
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -11,12 +11,15 @@
 
 }  // namespace
 
-Service::Service(Start start, const Ports& ports)
-    : start_(std::move(start)), ports_(ports), engine_(ports.engine, *this), keys_(start_.max_result_bytes) {
+Service::Service(Start options, const Ports& ports)
+    : options_(std::move(options)),
+      ports_(ports),
+      engine_(ports.engine, *this),
+      keys_(options_.max_result_bytes) {
   // The engine protocol has no command to stop a run and no field for an advertised capacity.
-  start_.config.stop_mode = StopMode::kNone;
-  start_.config.advertised_capacity = AdvertisedCapacity::kNone;
-  counts_.resize(start_.config.request_classes.size());
+  options_.config.stop_mode = StopMode::kNone;
+  options_.config.advertised_capacity = AdvertisedCapacity::kNone;
+  counts_.resize(options_.config.request_classes.size());
 }
 
 std::optional<ControllerStats> Service::stats() const {
@@ -51,9 +54,9 @@
 
 // ---- From the listener
 
-void Service::request_received(std::unique_ptr<ServerRequest> received) {
+void Service::request_received(std::unique_ptr<ServerRequest> new_request) {
   handle_event([&] {
-    ServerRequest& request = *received;
+    ServerRequest& request = *new_request;
     ++unanswered_;
     ++counts_of(request).read;
     if (!controller_) return answer(request, answer_without_engine(request));
@@ -68,11 +71,11 @@
     if (ports_.idempotency_log && request.request_class->idempotency == Idempotency::kKeyed &&
         !request.is_retry) {
       if (!ports_.idempotency_log->accepts_writes()) {
-        return answer(request, {.kind = Answer::kRejected, .retry_after = start_.config.max_retry_after});
+        return answer(request, {.kind = Answer::kRejected, .retry_after = options_.config.max_retry_after});
       }
       request.awaits_intent = true;
     }
-    requests_.emplace(request.id, std::move(received));
+    requests_.emplace(request.id, std::move(new_request));
     controller_->request_received(request, now_);
   });
 }
@@ -90,10 +93,10 @@
 
 void Service::engine_up(bool booting, Nanos age) {
   handle_event([&] {
-    start_.config.warming_up = start_.config.warming_up || booting;
+    options_.config.warming_up = options_.config.warming_up || booting;
     ports_.logger.line(std::string("engine up: ") + (booting ? "booting" : "steady") + " for " +
                        std::to_string(age / kMs) + " ms");
-    controller_ = std::make_unique<Controller>(start_.config, *this, start_.seed);
+    controller_ = std::make_unique<Controller>(options_.config, *this, options_.seed);
     controller_->start(now_);
     if (stop_at_) controller_->begin_drain(stop_at_, now_);
   });
@@ -136,8 +139,8 @@
 
 void Service::gauges_received(const std::vector<double>& values) {
   gauges_ = {};
-  for (std::size_t i = 0; i < std::min(values.size(), start_.gauge_names.size()); ++i) {
-    const std::string& name = start_.gauge_names[i];
+  for (std::size_t i = 0; i < std::min(values.size(), options_.gauge_names.size()); ++i) {
+    const std::string& name = options_.gauge_names[i];
     if (name == "core_use") gauges_.core_utilization = values[i];
     if (name == "on_cores") gauges_.runnable_threads = values[i];
     if (name == "links") gauges_.connections = values[i];
--- a/src/service/service.h
+++ b/src/service/service.h
@@ -44,7 +44,8 @@
     Nanos stop_after = 0;              // from begin_drain()
     std::size_t max_result_bytes = 0;  // limit of all results retained by key
   };
-  Service(Start start, const Ports& ports);
+  // The ports must outlive the service.
+  Service(Start options, const Ports& ports);
 
   // Counters of the requests of one class since the start.
   struct Counts {
@@ -55,7 +56,7 @@
     std::uint64_t terminated = 0;  // failed
   };
 
-  const ServiceConfig& config() const { return start_.config; }
+  const ServiceConfig& config() const { return options_.config; }
   const Tenant* tenant(std::string_view name) const { return tenants_.find(name); }  // null: unknown
   const std::vector<Counts>& counts() const { return counts_; }  // in the order of config().request_classes
   Nanos core_time() const { return core_time_; }                 // of all requests that are done
@@ -134,7 +135,7 @@
   void update_idempotency_log(ServerRequest& request, Outcome outcome, std::string_view result);
   void answer(ServerRequest& request, const FinalAnswer& answer);
   Counts& counts_of(const ServerRequest& request) {
-    return counts_[static_cast<std::size_t>(request.request_class - start_.config.request_classes.data())];
+    return counts_[static_cast<std::size_t>(request.request_class - options_.config.request_classes.data())];
   }
   bool qualify_key(ServerRequest& request);
   bool is_owned_elsewhere(const ServerRequest& request) const;
@@ -152,8 +153,8 @@
   void set_timer();
   void answer_health_checks(bool healthy);
 
-  Start start_;
-  TenantIndex<> tenants_{start_.config.tenants};
+  Start options_;
+  TenantIndex<> tenants_{options_.config.tenants};
   Ports ports_;
   EngineSession engine_;
   KeyTable keys_;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -83,7 +83,7 @@
   world.pass(2 * kSecond);
   EXPECT_EQ(three.only(), "denied");
   world.service.health_check(five, true);
-  // The engine supports no tests, so the reported health decides.
+  // The engine allows no self-tests, so the reported health decides.
   world.service.engine().command_ignored("TEST", "");
   EXPECT_EQ(five.only(), "completed ");
   world.service.engine().link_lost();
--- a/tests/tenant_index_test.cpp
+++ b/tests/tenant_index_test.cpp
@@ -67,12 +67,12 @@
   double cpu_of_requests(int count) {
     ServiceConfig config = net::calling_much();
     config.tenants = many_tenants(count);
-    FakeWorld local_world(std::move(config), 1'000);
-    local_world.time = loop.now();
-    local_world.engine_up();
+    FakeWorld local_harness(std::move(config), 1'000);
+    local_harness.time = loop.now();
+    local_harness.engine_up();
     int port = net::free_port();
     net::FastCgiServer local_front(loop, *this, net::at_port(port), 12, 300'000);
-    local_front.serve(local_world.service, [] {});
+    local_front.serve(local_harness.service, [] {});
     net::Plain peer;
     peer.connect(port);
     turn(5 * kMs);
@@ -80,8 +80,8 @@
     for (int i = 0; i < 100; ++i) {
       std::string id = std::to_string(1'000'000'000'000'000 + i);
       peer.write(request(1, "/api/v2/read", id, 1, {{"HTTP_PROJECT", name_of(i % count)}}));
-      EXPECT_TRUE(until([&] { return local_world.count("run " + id) == 1; }));
-      local_world.done(id);
+      EXPECT_TRUE(until([&] { return local_harness.count("run " + id) == 1; }));
+      local_harness.done(id);
       EXPECT_TRUE(comes(peer, "Status: 200"));
     }
     return thread_cpu_seconds() - cpu_before;
