--- a/measure/agreement_world_checks.cpp
+++ b/measure/agreement_world_checks.cpp
@@ -52,11 +52,12 @@
     if (!instance.has_quorum())
       violate(result_.not_back,
               who + " is out of touch after the quiet, " + consensus::name_of(instance.raft_node().role()));
-    if (instance.agreed().epoch().number + 3 < agreed_)
+    if (instance.committed_state().epoch().number + 3 < agreed_)
       violate(result_.lost_entries, who + " lacks what was agreed");
     // Operators may have left servers out.
-    std::size_t closed =
-        instance.agreed().maintenance().leases().empty() ? instance.agreed().closed_shards() : 0;
+    std::size_t closed = instance.committed_state().maintenance().leases().empty()
+                             ? instance.committed_state().closed_shards()
+                             : 0;
     if (closed > 0)
       violate(result_.not_back, who + " has " + std::to_string(closed) + " shards closed after the quiet");
   }
--- a/measure/agreement_world_operators.cpp
+++ b/measure/agreement_world_operators.cpp
@@ -37,7 +37,7 @@
   });
   Control& one = *controls_[static_cast<std::size_t>(pick(options_.instances))];
   if (!one.instance || !one.instance->has_quorum()) return;
-  const agreement::MaintenanceState& maintenance = one.instance->agreed().maintenance();
+  const agreement::MaintenanceState& maintenance = one.instance->committed_state().maintenance();
   if (chance() < 0.15) {
     std::string node = nodes_[static_cast<std::size_t>(pick(options_.nodes))]->name;
     one.instance->submit_command((maintenance.drains().empty() ? "drain " : "undrain ") +
--- a/measure/agreement_world_replicas.cpp
+++ b/measure/agreement_world_replicas.cpp
@@ -63,7 +63,7 @@
     control.retired = true;
     return kill(control);
   }
-  const agreement::ReplicatedState& state = control.instance->agreed();
+  const agreement::ReplicatedState& state = control.instance->committed_state();
   std::uint64_t number = state.epoch().number;
   auto [seen, first] = digests_.emplace(number, 0);
   std::uint64_t digest = state.digest();
--- a/measure/agreement_world_servers.cpp
+++ b/measure/agreement_world_servers.cpp
@@ -33,7 +33,8 @@
       if (!to.instance) return;
       to.instance->router().handle_report_connection(node.name, true, now_ + to.ahead);
       to.instance->router().handle_report(report, now_ + to.ahead, kUnixStart + now_);
-      if (to.instance->agreed().epoch().number >= agreed_) track_leases(to.instance->agreed());
+      if (to.instance->committed_state().epoch().number >= agreed_)
+        track_leases(to.instance->committed_state());
       ShardAssignment order = to.instance->assignment_for(node.name);
       if (order.restart_version && !to.instance->has_quorum()) return;
       deliver(to.place, node.place, [this, &node, order, asked_at, incarnation = report.incarnation] {
--- a/measure/capacity/logged_instance.h
+++ b/measure/capacity/logged_instance.h
@@ -57,8 +57,8 @@
   void leave(int server) { servers_.leave(server); }
 
   agreement::ControlReplica& instance() { return instance_; }
-  std::uint64_t published() const { return instance_.agreed().published(); }
-  std::uint64_t decisions() const { return instance_.agreed().epoch().number; }
+  std::uint64_t published() const { return instance_.committed_state().published(); }
+  std::uint64_t decisions() const { return instance_.committed_state().epoch().number; }
 
  private:
   void wait_for(const std::function<bool()>& over, const char* what);
--- a/src/agreement/control_replica.cpp
+++ b/src/agreement/control_replica.cpp
@@ -8,9 +8,9 @@
 namespace myrtlecroft::agreement {
 namespace {
 
-constexpr Nanos kRecoveryInterval = 500 * kMs;  // after a failure of the disk
-constexpr Nanos kMaxElapsedBetweenDecisions =
-    600 * kMs;  // of the time between two decisions: windows are longer by as much
+constexpr Nanos kRecoveryInterval = 500 * kMs;  // between attempts to recover from a disk failure
+// Most replicated time that one decision adds. Quarantine windows are extended by as much.
+constexpr Nanos kMaxElapsedBetweenDecisions = 600 * kMs;
 
 }  // namespace
 
@@ -28,13 +28,12 @@
       state_(options.format),
       lease_(options.id, options.lease_duration),
       proxies_(options.lease_duration) {
-  // An instance may be wrong about being in touch for twice as long as contact lasts, and no shard moves in
-  // that time.
+  // A replica may wrongly assume a quorum for up to twice the lease duration; no shard may move in that time.
   router_.set_quarantine({.min = 3 * options_.lease_duration, .clock_margin = kMaxElapsedBetweenDecisions});
   start_raft_node();
 }
 
-// What is out ends with the member, and asks nothing of us any more.
+// Destroying the Raft node fails the pending proposal; its callback must not use this object any more.
 ControlReplica::~ControlReplica() {
   pending_proposal_ = 0;
   raft_node_.reset();
@@ -48,26 +47,26 @@
 
 void ControlReplica::start() {
   raft_node_->start();
-  applied_at_ = started_at_ = now();
-  // One that is alone, new, or only back after a failure of its disk has nobody to ask, or nothing to be
-  // asked about.
+  last_applied_at_ = started_at_ = now();
+  // There is nothing to verify for a single replica, one with an empty log or one without a vote, nor after a
+  // disk failure, as the storage was verified before it.
   storage_verified_ = storage_verified_ || raft_node_->voter_count() < 2 || raft_node_->last_index() == 0 ||
                       !raft_node_->is_voter(options_.id);
 }
 
-// After the disk has failed: what is there is read again, and the log is followed from there. Until it has
-// caught up with what was served here already, nothing older is.
+// Reloads the storage after a disk failure and follows the log from there. Nothing is served from the
+// reloaded state until it has caught up with the highest decision that this replica had applied.
 void ControlReplica::recover_from_disk_failure() {
-  rejoin_at_ = now() + kRecoveryInterval;
+  next_recovery_at_ = now() + kRecoveryInterval;
   if (!storage_.is_writable()) return;
-  leading_ = false;
+  is_deciding_ = false;
   pending_proposal_ = 0;
   membership_changing_ = false;
   state_ = ReplicatedState(options_.format);
   caught_up_at_ = catch_up_stamp_ = 0;
   raft_node_.reset();
   start_raft_node();
-  log_("the disk is well: back in the log");
+  log_("disk is writable again: rejoining the replicated log");
   start();
 }
 
@@ -78,51 +77,51 @@
   check_caught_up();
   if (!raft_node_->fault().empty() && fault_.empty()) {
     fault_ = raft_node_->fault();
-    log_("agreement ends here: " + fault_);
+    log_("replica stopped taking part in agreement: " + fault_);
   }
-  if (raft_node_->disk_failed() && now() >= rejoin_at_) {
-    if (rejoin_at_ == 0)
-      log_("the disk fails: no part in votes until it is well; the last agreed set is served on");
+  if (raft_node_->disk_failed() && now() >= next_recovery_at_) {
+    if (next_recovery_at_ == 0)
+      log_("disk failed: not voting until it is writable; the last committed snapshot stays in use");
     recover_from_disk_failure();
   }
-  if (now() - heartbeat_at_ >= options_.heartbeat_interval) send_heartbeats();
+  if (now() - last_heartbeat_at_ >= options_.heartbeat_interval) send_heartbeats();
   forward_commands();
   if (!raft_node_->ready()) {
     membership_changing_ = false;
-    if (leading_) log_("no longer deciding, term " + std::to_string(raft_node_->term()));
-    leading_ = false;
+    if (is_deciding_) log_("no longer deciding, term " + std::to_string(raft_node_->term()));
+    is_deciding_ = false;
     pending_proposal_ = 0;
   }
   if (now() >= next_decision_at_) {
     next_decision_at_ = now() + options_.decision_interval;
-    if (section_) section_->observe(view(state_.time(), 0));
+    if (contributor_) contributor_->observe(view(state_.time(), 0));
     if (raft_node_->ready() && has_quorum()) {
       decide();
     } else {
       router_.observe(now());
     }
   }
-  bool remaining = has_quorum();
-  if (remaining != had_quorum_) {
-    log_(remaining ? "in touch with a majority, epoch " + std::to_string(state_.epoch().number)
-                   : "out of touch with a majority: the last agreed set is served on, nothing is opened or "
-                     "permitted; epoch " +
+  bool in_quorum = has_quorum();
+  if (in_quorum != had_quorum_) {
+    log_(in_quorum ? "quorum reached, epoch " + std::to_string(state_.epoch().number)
+                   : "quorum lost: the last committed snapshot stays in use, no shard is opened "
+                     "and no maintenance is granted; epoch " +
                          std::to_string(state_.epoch().number));
-    had_quorum_ = remaining;
+    had_quorum_ = in_quorum;
   }
-  return std::exchange(changed_, false);
+  return std::exchange(state_changed_, false);
 }
 
-// Since the last decision was applied, as far as is believed. A clock that leaps while a shard cools would
-// shorten its window by the whole of what one entry may say; a leader that is well says something twice a
-// second, and where it says less than has passed, windows are only longer.
+// Time since the last decision was applied, at most kMaxElapsedBetweenDecisions. Without that limit a clock
+// that jumps while a shard is in quarantine would shorten the quarantine by up to kMaxElapsed. A healthy
+// leader proposes twice a second; where less time is reported than has passed, quarantines only last longer.
 Nanos ControlReplica::elapsed() const {
-  return std::clamp<Nanos>(now() - applied_at_, 0, kMaxElapsedBetweenDecisions);
+  return std::clamp<Nanos>(now() - last_applied_at_, 0, kMaxElapsedBetweenDecisions);
 }
 
-// A new leader goes on from what is agreed; so does one whose proposal came to nothing.
-void ControlReplica::adopt_agreed_state() {
-  leading_ = true;
+// Resets the router to the committed state, on a new leader and after a proposal that was not applied.
+void ControlReplica::adopt_committed_state() {
+  is_deciding_ = true;
   pending_proposal_ = 0;
   if (state_.epoch().number == 0) return router_.reset(first_start_);  // from the fleet file
   std::vector<routing::PersistedState::Node> nodes;
@@ -132,7 +131,7 @@
   router_.resume(nodes, state_.shards(), published_);
 }
 
-// The newest form of entries that all who belong know.
+// The newest entry format that all members know.
 std::uint32_t ControlReplica::format_of_all() const {
   std::uint32_t out = options_.format;
   for (const consensus::Server& server : raft_node_->servers()) {
@@ -143,40 +142,40 @@
 }
 
 DecisionContributor::View ControlReplica::view(Nanos time, std::uint64_t applied) const {
-  return {state_, router_, commands_, applied, time, now()};
+  return {state_, router_, pending_commands_, applied, time, now()};
 }
 
 void ControlReplica::decide() {
-  if (pending_proposal_ != 0) return;  // one at a time: each is drawn from the one before
-  if (!leading_) {
+  if (pending_proposal_ != 0) return;  // one at a time: each proposal is based on the decision before it
+  if (!is_deciding_) {
     log_("deciding, term " + std::to_string(raft_node_->term()) + ", epoch " +
          std::to_string(state_.epoch().number));
-    adopt_agreed_state();
+    adopt_committed_state();
   }
   promote_caught_up_learners();
-  ProposalContext leading;
-  leading.router = &router_;
-  leading.proxies = &proxies_;
-  leading.first_start = first_start_;
-  leading.applied = proxies_.applied_by_all(state_, now());
+  ProposalContext context;
+  context.router = &router_;
+  context.proxies = &proxies_;
+  context.first_start = first_start_;
+  context.applied = proxies_.applied_by_all(state_, now());
   for (const consensus::Server& server : raft_node_->servers()) {
-    leading.members.insert(server.id());
+    context.members.insert(server.id());
     auto peer = peers_.find(server.id());
-    if (peer != peers_.end()) leading.instances[server.id()] = peer->second.record;
+    if (peer != peers_.end()) context.replicas[server.id()] = peer->second.record;
   }
-  leading.instances[options_.id] = {options_.format, options_.fleet_file_hash};
-
-  router_.set_applied_by_all_proxies(leading.applied);
-  Nanos since = elapsed();
-  std::shared_ptr<const routing::PublishedSnapshot> next = router_.step(now(), state_.time() + since);
-  leading.next = next.get();
-  leading.format = format_of_all();
-  Decision decision = build_proposal(state_, leading);
-  if (section_ && leading.format >= kMaintenanceFormat && state_.epoch().number > 0 &&
+  context.replicas[options_.id] = {options_.format, options_.fleet_file_hash};
+
+  router_.set_applied_by_all_proxies(context.applied);
+  Nanos elapsed_time = elapsed();
+  std::shared_ptr<const routing::PublishedSnapshot> next = router_.step(now(), state_.time() + elapsed_time);
+  context.next = next.get();
+  context.format = format_of_all();
+  Decision decision = build_proposal(state_, context);
+  if (contributor_ && context.format >= kMaintenanceFormat && state_.epoch().number > 0 &&
       decision.begin_shards() == 0)
-    section_->append_steps(view(state_.time() + since, leading.applied), decision);
-  if (!has_changes(decision) && now() - proposed_at_ < options_.time_entry_interval) return;
-  decision.set_elapsed_ns(since);
+    contributor_->append_steps(view(state_.time() + elapsed_time, context.applied), decision);
+  if (!has_changes(decision) && now() - last_proposal_at_ < options_.time_entry_interval) return;
+  decision.set_elapsed_ns(elapsed_time);
   propose(std::move(decision));
 }
 
@@ -184,42 +183,42 @@
   decision.set_proposer(options_.id);
   decision.set_term(raft_node_->term());
   decision.set_basis(state_.epoch().number);
-  proposed_at_ = now();
-  std::uint64_t number = pending_proposal_ = ++proposals_;
+  last_proposal_at_ = now();
+  std::uint64_t number = pending_proposal_ = ++proposal_count_;
   std::uint64_t basis = state_.epoch().number;
-  bool begins = decision.begin_shards() > 0;
-  raft_node_->propose(decision.SerializeAsString(), [this, number, basis, begins](bool agreed) {
+  bool begins_shards = decision.begin_shards() > 0;
+  raft_node_->propose(decision.SerializeAsString(), [this, number, basis, begins_shards](bool committed) {
     if (pending_proposal_ != number) return;
     pending_proposal_ = 0;
-    bool taken = agreed && state_.epoch().number == basis + 1;
-    if (agreed && !taken) ++invalid_proposals_;
-    // What the router has concluded beyond what is agreed is given up.
-    if (!taken || begins) leading_ = false;
-    if (raft_node_->ready() && !leading_) adopt_agreed_state();
+    bool applied = committed && state_.epoch().number == basis + 1;
+    if (committed && !applied) ++invalid_proposals_;
+    // The router's conclusions that were not committed are discarded.
+    if (!applied || begins_shards) is_deciding_ = false;
+    if (raft_node_->ready() && !is_deciding_) adopt_committed_state();
   });
 }
 
 bool ControlReplica::apply(std::uint64_t, std::string_view entry) {
-  ApplyResult verdict = state_.apply(entry);
-  if (verdict == ApplyResult::kUnknownFormat) return false;
-  if (verdict != ApplyResult::kApplied) {
-    log_(std::string("a decision is refused: ") + name_of(verdict) + ", epoch " +
+  ApplyResult result = state_.apply(entry);
+  if (result == ApplyResult::kUnknownFormat) return false;
+  if (result != ApplyResult::kApplied) {
+    log_(std::string("decision rejected: ") + name_of(result) + ", epoch " +
          std::to_string(state_.epoch().number));
     return true;
   }
-  decision_applied();
+  on_decision_applied();
   return true;
 }
 
 bool ControlReplica::restore(std::string_view snapshot) {
   if (!state_.restore(snapshot)) return false;
-  decision_applied();
+  on_decision_applied();
   return true;
 }
 
-void ControlReplica::decision_applied() {
-  applied_at_ = now();
-  changed_ = true;
+void ControlReplica::on_decision_applied() {
+  last_applied_at_ = now();
+  state_changed_ = true;
   highest_applied_ = std::max(highest_applied_, state_.epoch().number);
   router_.set_out_for_maintenance(state_.maintenance().out_for_maintenance());
   if (state_.published() == 0 || (published_ && published_->number >= state_.published())) return;
@@ -229,8 +228,8 @@
       routing::PublishedSnapshot{.number = state_.published(), .snapshot = std::move(*snapshot)});
 }
 
-void ControlReplica::update_fleet(fleet::Fleet fleet, std::uint64_t settings) {
-  options_.fleet_file_hash = settings;
+void ControlReplica::update_fleet(fleet::Fleet fleet, std::uint64_t fleet_file_hash) {
+  options_.fleet_file_hash = fleet_file_hash;
   router_.update_fleet(std::move(fleet), now());
 }
 
--- a/src/agreement/control_replica_assignments.cpp
+++ b/src/agreement/control_replica_assignments.cpp
@@ -1,17 +1,18 @@
-// What each server is told: its shards, and whether it is to restart.
+// Builds the assignment of each server: its shards, and whether it is to restart.
 #include "agreement/control_replica.h"
 
 namespace myrtlecroft::agreement {
 
-// Once for each decision that reports come after, so that a report costs what its server owns.
-void ControlReplica::index_owners() {
-  if (owned_at_ == state_.epoch()) return;
-  owned_at_ = state_.epoch();
-  owned_.clear();
-  for (std::size_t at = 0; at < state_.shards().size(); ++at) {
-    const routing::Shard& shard = state_.shards()[at];
+// Rebuilds the index of shards by owner, at most once per decision, so that answering a report costs time
+// proportional to the number of shards of its server.
+void ControlReplica::index_owned_shards() {
+  if (owned_shards_epoch_ == state_.epoch()) return;
+  owned_shards_epoch_ = state_.epoch();
+  owned_shards_.clear();
+  for (std::size_t index = 0; index < state_.shards().size(); ++index) {
+    const routing::Shard& shard = state_.shards()[index];
     if (shard.state == routing::ShardState::kOwned)
-      owned_[shard.owner].push_back(static_cast<std::uint16_t>(at));
+      owned_shards_[shard.owner].push_back(static_cast<std::uint16_t>(index));
   }
 }
 
@@ -21,12 +22,12 @@
   auto known = state_.nodes().find(node);
   if (known != state_.nodes().end()) out.incarnation = known->second.life();
   out.shard_digits = router_.fleet().bounds.shard_digits;
-  index_owners();
-  auto owned = owned_.find(node);
-  if (owned != owned_.end()) {
-    for (std::uint16_t at : owned->second) {
-      const routing::Shard& shard = state_.shards()[at];
-      if (shard.incarnation == 0 || shard.incarnation == out.incarnation) out.shards.push_back(at);
+  index_owned_shards();
+  auto owned = owned_shards_.find(node);
+  if (owned != owned_shards_.end()) {
+    for (std::uint16_t index : owned->second) {
+      const routing::Shard& shard = state_.shards()[index];
+      if (shard.incarnation == 0 || shard.incarnation == out.incarnation) out.shards.push_back(index);
     }
   }
   const MaintenanceLease* lease = state_.maintenance().lease(node);
--- a/src/agreement/control_replica_messages.cpp
+++ b/src/agreement/control_replica_messages.cpp
@@ -1,5 +1,5 @@
-// What a replica exchanges with the others: heartbeats, commands and messages of the log; and what follows
-// from them: whether its storage is verified, its lease holds and it has caught up.
+// Messages between replicas: heartbeats, commands and messages of the log; and what a replica concludes from
+// them: whether its storage is verified, its lease holds and it has caught up.
 #include <algorithm>
 #include <utility>
 
@@ -8,23 +8,25 @@
 namespace myrtlecroft::agreement {
 namespace {
 
-constexpr Nanos kMajorityConfirmTimeout = 3000 * kMs;  // where not all others speak, a majority does
-constexpr Nanos kForwardInterval = 200 * kMs;          // a command, until its result is agreed
-constexpr std::size_t kMaxCommands = 16;               // that wait
+// How long all other voters are awaited to confirm the storage; after that a majority suffices.
+constexpr Nanos kMajorityConfirmTimeout = 3000 * kMs;
+constexpr Nanos kForwardInterval = 200 * kMs;  // between sendings of a command without a committed result
+constexpr std::size_t kMaxCommands = 16;       // pending commands on the leader
 
 }  // namespace
 
-// A folder that was put back from an older copy lacks entries which this instance said it had, and which the
-// fleet may have agreed on by its word. The others remember: until they have spoken, it takes no part; where
-// they know of more, it never does. Could keep a sound instance waiting for some seconds where another is
-// gone. Not found where those who remember are gone or restarted at the same time: that is a second fault at
-// once, which three instances don't stand.
+// Detects a storage folder that was restored from an older copy. It lacks entries that this replica
+// acknowledged and that may have been committed because of it. The other replicas keep in memory what it
+// reported as stored: it takes no part until they have confirmed that nothing is missing, and never where
+// something is. A sound replica may have to wait some seconds where another one is down. The check finds
+// nothing if the replicas that know of the entries are down or were restarted at the same time: a second
+// simultaneous fault, which three replicas don't tolerate.
 void ControlReplica::verify_storage(const consensus::PeerMessage& message) {
   if (!raft_node_->is_voter(message.from())) return;
   if (message.word().your_kept() > raft_node_->last_index()) {
     if (fault_.empty()) {
-      fault_ = "this folder is older than what instance " + std::to_string(message.from()) +
-               " heard from here: let it out, and begin a new one under a new id";
+      fault_ = "this folder is older than what replica " + std::to_string(message.from()) +
+               " heard from here: remove this replica and start a new one with a new id";
       log_(fault_);
     }
     return;
@@ -37,8 +39,8 @@
 }
 
 bool ControlReplica::received(const consensus::PeerMessage& message) {
-  // One whose fleet is another's, or that was never let in or is let in no more, is not listened to. An
-  // instance that is new itself knows nobody yet.
+  // Messages of another fleet, and from replicas that are not members, are ignored. A new replica has no
+  // configuration yet and accepts any sender.
   bool known = raft_node_->servers().empty() || raft_node_->role_of(message.from());
   if (message.fleet() != options_.raft.fleet || message.to() != options_.id ||
       message.from() == options_.id || !known)
@@ -46,12 +48,12 @@
   if (message.what_case() == consensus::PeerMessage::kWord) {
     handle_heartbeat(message);
   } else if (message.what_case() == consensus::PeerMessage::kCommand) {
-    if (raft_node_->is_leader() && commands_.size() < kMaxCommands)
-      commands_[message.command().id()] = message.command().text();
+    if (raft_node_->is_leader() && pending_commands_.size() < kMaxCommands)
+      pending_commands_[message.command().id()] = message.command().text();
   } else if (storage_verified_) {
     raft_node_->received(message);
   }
-  return std::exchange(changed_, false);
+  return std::exchange(state_changed_, false);
 }
 
 consensus::PeerMessage ControlReplica::message_to(consensus::ReplicaId id) const {
@@ -64,7 +66,7 @@
 }
 
 void ControlReplica::send_heartbeats() {
-  heartbeat_at_ = now();
+  last_heartbeat_at_ = now();
   for (const consensus::Server& server : raft_node_->servers()) {
     if (server.id() == options_.id) continue;
     consensus::PeerMessage message = message_to(server.id());
@@ -104,23 +106,24 @@
   if (raft_node_->disk_failed() || state_.epoch().number < highest_applied_) return 0;
   Nanos remaining =
       lease_.remaining(raft_node_->term(), raft_node_->leader(), raft_node_->voter_count(), now());
-  // A new leader, or one back from the dead, may not have applied all that was agreed before; nor may whoever
-  // follows.
+  // A leader that is new or was paused may not have applied all entries committed earlier; nor may a
+  // follower.
   if (raft_node_->is_leader()) return raft_node_->ready() ? remaining : 0;
   return caught_up_at_ == 0
              ? 0
              : std::min(remaining, std::max<Nanos>(0, options_.lease_duration - (now() - caught_up_at_)));
 }
 
-// Heard of is not yet applied: until what the leader had is here too, this is not the fleet's last word.
+// The leader's heartbeat names its last applied decision. This replica has caught up as of the heartbeat's
+// stamp only once it has applied that decision too.
 void ControlReplica::check_caught_up() {
   if (catch_up_stamp_ == 0 || state_.epoch().number < catch_up_target_) return;
   caught_up_at_ = catch_up_stamp_;
   catch_up_stamp_ = 0;
 }
 
-void ControlReplica::set_local_proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> here) {
-  local_proxies_ = std::move(here);
+void ControlReplica::set_local_proxies(google::protobuf::RepeatedPtrField<consensus::ProxyStatus> proxies) {
+  local_proxies_ = std::move(proxies);
   proxies_.update(options_.id, local_proxies_, now());
 }
 
@@ -131,24 +134,25 @@
 
 std::uint64_t ControlReplica::submit_command(const std::string& text) {
   std::uint64_t id = std::uint64_t{random_()} << 32 | random_();
-  own_commands_[id] = text;
+  local_commands_[id] = text;
   forwarded_at_ = 0;
   request_decision();
   return id;
 }
 
-// Sent again until its result is agreed: a leader that dies with it has done nothing, or has it agreed.
+// Sends commands to the leader again until their results are committed. A leader that fails in between has
+// either committed the result or not carried out the command at all.
 void ControlReplica::forward_commands() {
-  auto known = [&](const auto& one) { return state_.maintenance().result(one.first) != nullptr; };
-  std::erase_if(own_commands_, known);
-  std::erase_if(commands_, known);
-  if (!raft_node_->is_leader()) commands_.clear();
-  if (own_commands_.empty() || now() - forwarded_at_ < kForwardInterval) return;
+  auto has_result = [&](const auto& one) { return state_.maintenance().result(one.first) != nullptr; };
+  std::erase_if(local_commands_, has_result);
+  std::erase_if(pending_commands_, has_result);
+  if (!raft_node_->is_leader()) pending_commands_.clear();
+  if (local_commands_.empty() || now() - forwarded_at_ < kForwardInterval) return;
   forwarded_at_ = now();
-  if (raft_node_->is_leader()) commands_.insert(own_commands_.begin(), own_commands_.end());
+  if (raft_node_->is_leader()) pending_commands_.insert(local_commands_.begin(), local_commands_.end());
   for (const consensus::Server& server : raft_node_->servers()) {
     if (server.id() != raft_node_->leader() || server.id() == options_.id) continue;
-    for (const auto& [id, text] : own_commands_) {
+    for (const auto& [id, text] : local_commands_) {
       consensus::PeerMessage message = message_to(server.id());
       message.mutable_command()->set_id(id);
       message.mutable_command()->set_text(text);
--- a/src/agreement/leader_lease.cpp
+++ b/src/agreement/leader_lease.cpp
@@ -12,41 +12,41 @@
   heartbeat.set_leader(leader);
   heartbeat.set_stamp(static_cast<std::uint64_t>(now));
   auto found = peers_.find(to);
-  if (found != peers_.end()) heartbeat.set_your_stamp(found->second.their_stamp);
+  if (found != peers_.end()) heartbeat.set_your_stamp(found->second.received_stamp);
 }
 
 void LeaderLease::receive(consensus::ReplicaId from, const consensus::Heartbeat& heartbeat,
                           std::uint64_t term, consensus::ReplicaId leader) {
   Peer& peer = peers_[from];
-  peer.their_stamp = std::max(peer.their_stamp, heartbeat.stamp());
+  peer.received_stamp = std::max(peer.received_stamp, heartbeat.stamp());
   if (heartbeat.term() != term) return;
   if (leader == self_ && heartbeat.leader() == self_) {
-    if (peer.echoed_term != term) peer.echoed = 0;
-    peer.echoed = std::max(peer.echoed, heartbeat.your_stamp());
+    if (peer.echoed_term != term) peer.echoed_stamp = 0;
+    peer.echoed_stamp = std::max(peer.echoed_stamp, heartbeat.your_stamp());
     peer.echoed_term = term;
   }
   if (leader == from && heartbeat.leader() == from && heartbeat.confirmed()) {
-    if (peer.confirmed_term != term) peer.confirmed = 0;
-    peer.confirmed = std::max(peer.confirmed, heartbeat.your_stamp());
+    if (peer.confirmed_term != term) peer.confirmed_stamp = 0;
+    peer.confirmed_stamp = std::max(peer.confirmed_stamp, heartbeat.your_stamp());
     peer.confirmed_term = term;
   }
 }
 
-Nanos LeaderLease::certain_at(std::uint64_t term, consensus::ReplicaId leader,
-                              std::size_t voter_count) const {
+Nanos LeaderLease::quorum_confirmed_at(std::uint64_t term, consensus::ReplicaId leader,
+                                       std::size_t voter_count) const {
   if (leader == 0) return 0;
   if (leader != self_) {
     auto found = peers_.find(leader);
     return found != peers_.end() && found->second.confirmed_term == term
-               ? static_cast<Nanos>(found->second.confirmed)
+               ? static_cast<Nanos>(found->second.confirmed_stamp)
                : 0;
   }
-  // The stamp that enough others have sent back; our own voice is one of the majority.
+  // The latest stamp that enough other replicas have returned; this replica itself is one of the majority.
   std::size_t others = voter_count / 2;
   if (others == 0) return std::numeric_limits<Nanos>::max();
   std::vector<std::uint64_t> stamps;
   for (const auto& [id, peer] : peers_) {
-    if (peer.echoed_term == term) stamps.push_back(peer.echoed);
+    if (peer.echoed_term == term) stamps.push_back(peer.echoed_stamp);
   }
   if (stamps.size() < others) return 0;
   std::sort(stamps.begin(), stamps.end(), std::greater<>());
--- a/src/agreement/maintenance_image.cpp
+++ b/src/agreement/maintenance_image.cpp
@@ -1,9 +1,9 @@
-// The maintenance state as a message, for snapshots of the replicated state.
+// Conversion of the maintenance state to and from its message in images of the replicated state.
 #include "agreement/maintenance_state.h"
 
 namespace myrtlecroft::agreement {
 
-void MaintenanceState::fill(MaintenanceImage& out) const {
+void MaintenanceState::write_image(MaintenanceImage& out) const {
   *out.mutable_budgets() = budgets_;
   for (const auto& [node, lease] : leases_) {
     MaintenanceLeaseRecord& to = *out.add_trips();
@@ -14,7 +14,7 @@
     to.set_life(lease.incarnation);
     to.set_shown_in(lease.zero_weight_publication);
     to.set_recalled(lease.cancelled_in_decision);
-    to.set_granted_ns(lease.granted);
+    to.set_granted_ns(lease.granted_at);
     to.set_since_ns(lease.since);
     to.set_until_ns(lease.until);
   }
@@ -34,7 +34,7 @@
                              .incarnation = lease.life(),
                              .zero_weight_publication = lease.shown_in(),
                              .cancelled_in_decision = lease.recalled(),
-                             .granted = lease.granted_ns(),
+                             .granted_at = lease.granted_ns(),
                              .since = lease.since_ns(),
                              .until = lease.until_ns()};
   }
--- a/src/agreement/maintenance_state.cpp
+++ b/src/agreement/maintenance_state.cpp
@@ -8,8 +8,8 @@
 namespace myrtlecroft::agreement {
 namespace {
 
-constexpr std::uint64_t kOne = 1000;     // thousandths
-constexpr std::size_t kMaxResults = 32;  // of commands, that are still known
+constexpr std::uint64_t kThousandthsPerServer = 1000;  // in a budget by count
+constexpr std::size_t kMaxResults = 32;                // of commands; older ones are dropped
 
 struct MaintenanceRule {
   MaintenancePhase phase;
@@ -17,7 +17,7 @@
   MaintenancePhase next;
 };
 
-// A grant, a server that is warm, an extension and giving up have no row: they begin, end or keep a place.
+// MAINTENANCE_GRANT, COMPLETE, EXTEND and FAIL have no row: they create, end or extend a lease.
 constexpr MaintenanceRule kMaintenanceRules[] = {
     {MaintenancePhase::kDraining, MAINTENANCE_DRAINED, MaintenancePhase::kDrained},
     {MaintenancePhase::kDrained, MAINTENANCE_RESTART, MaintenancePhase::kRestarting},
@@ -26,10 +26,10 @@
     {MaintenancePhase::kDrained, MAINTENANCE_CANCEL, MaintenancePhase::kCancelling},
     {MaintenancePhase::kRestarting, MAINTENANCE_CANCEL, MaintenancePhase::kCancelling},
     {MaintenancePhase::kCancelling, MAINTENANCE_RESTARTED,
-     MaintenancePhase::kSlowStart},  // it had gone all the same
+     MaintenancePhase::kSlowStart},  // it restarted before the cancellation reached it
 };
 
-bool serves(const routing_state::PersistedNode& node) {
+bool is_serving(const routing_state::PersistedNode& node) {
   return node.state() == routing_state::stored_name(routing::ServerState::kServing);
 }
 
@@ -56,15 +56,15 @@
     if (one.wanted() == drains_.contains(one.node())) return false;
     one.wanted() ? void(drains_.insert(one.node())) : void(drains_.erase(one.node()));
     auto lease = leases_.find(one.node());
-    bool ends = !one.wanted() && lease != leases_.end() && lease->second.reason == REASON_DRAIN;
-    if (ends && lease->second.is_out_of_rotation())
-      enter(lease->second, MaintenancePhase::kCancelling, context);
+    bool drain_ends = !one.wanted() && lease != leases_.end() && lease->second.reason == REASON_DRAIN;
+    if (drain_ends && lease->second.is_out_of_rotation())
+      enter_phase(lease->second, MaintenancePhase::kCancelling, context);
   }
-  if (decision.has_release() && !step(decision.release(), context)) return false;
+  if (decision.has_release() && !apply_step(decision.release(), context)) return false;
   for (const MaintenanceStep& one : decision.trips()) {
-    if (!step(one, context)) return false;
+    if (!apply_step(one, context)) return false;
   }
-  // What is shown out from now on is out in this publication.
+  // Leases whose server has weight 0 for the first time in this publication.
   for (const routing_state::NodeRoute& node : context.snapshot.nodes()) {
     auto lease = leases_.find(node.name());
     if (lease == leases_.end() || lease->second.zero_weight_publication != 0 ||
@@ -72,11 +72,12 @@
       continue;
     if (node.weight() == 0) lease->second.zero_weight_publication = context.snapshot.number();
   }
-  std::vector<std::string> over;
+  std::vector<std::string> expired;
   for (const auto& [node, lease] : leases_) {
-    if (lease.until <= context.time) over.push_back(node);
+    if (lease.until <= context.time) expired.push_back(node);
   }
-  for (const std::string& node : over) end(node, "its permit ran out");
+  // This text is part of the replicated state: changing it would make replicas of different versions diverge.
+  for (const std::string& node : expired) end_lease(node, "its permit ran out");
   for (const CommandResult& one : decision.results()) {
     if (result(one.id())) return false;
     results_.push_back(one);
@@ -85,9 +86,9 @@
   return true;
 }
 
-// ---- Servers that are out
+// ---- Maintenance leases
 
-void MaintenanceState::enter(MaintenanceLease& lease, MaintenancePhase phase, const Context& context) {
+void MaintenanceState::enter_phase(MaintenanceLease& lease, MaintenancePhase phase, const Context& context) {
   if (lease.phase == MaintenancePhase::kRestarting && phase == MaintenancePhase::kCancelling)
     lease.cancelled_in_decision = context.number;
   orders_changed_ = orders_changed_ || lease.phase == MaintenancePhase::kRestarting ||
@@ -96,16 +97,16 @@
   lease.since = context.time;
 }
 
-void MaintenanceState::mark_failed(const std::string& node, const std::string& failed) {
+void MaintenanceState::mark_failed(const std::string& node, const std::string& failure) {
   for (UpdatedServer& one : *release_.mutable_taken()) {
-    if (one.node() == node) one.set_failed(failed);
+    if (one.node() == node) one.set_failed(failure);
   }
 }
 
-void MaintenanceState::end(const std::string& node, const std::string& failed) {
+void MaintenanceState::end_lease(const std::string& node, const std::string& failure) {
   const MaintenanceLease& lease = leases_.at(node);
   orders_changed_ = orders_changed_ || lease.phase == MaintenancePhase::kRestarting;
-  if (!failed.empty() && lease.reason != REASON_DRAIN) mark_failed(node, failed);
+  if (!failure.empty() && lease.reason != REASON_DRAIN) mark_failed(node, failure);
   leases_.erase(node);
 }
 
@@ -114,31 +115,34 @@
   return found == capacities_.end() ? 0 : found->second;
 }
 
-bool MaintenanceState::is_out(const std::string& node, const Nodes& nodes) const {
+bool MaintenanceState::is_unavailable(const std::string& node, const Nodes& nodes) const {
   auto known = nodes.find(node);
-  return leases_.contains(node) || known == nodes.end() || !serves(known->second);
+  return leases_.contains(node) || known == nodes.end() || !is_serving(known->second);
 }
 
 std::uint64_t MaintenanceState::unavailable_capacity(const Budget& budget, const Nodes& nodes) const {
   std::uint64_t out = 0;
   for (const std::string& node : budget.nodes()) {
-    if (is_out(node, nodes)) out += budget.by_count() ? kOne : capacity_of(node);
+    if (is_unavailable(node, nodes)) out += budget.by_count() ? kThousandthsPerServer : capacity_of(node);
   }
   return out;
 }
 
-// One that is out for its health, and would not come back by itself, takes nothing more; one that is on its
-// way back counts like any other. Where nothing may be out, nothing goes by choice.
+// A server that is unhealthy or unresponsive and would not return by itself uses no further budget; one that
+// is returning counts like any other. A budget of zero permits no maintenance at all.
 const Budget* MaintenanceState::exceeded_budget(const std::string& node, const Nodes& nodes) const {
-  bool already = is_out(node, nodes);
+  bool already_unavailable = is_unavailable(node, nodes);
   auto known = nodes.find(node);
   bool unhealthy = known != nodes.end() &&
                    (known->second.state() == routing_state::stored_name(routing::ServerState::kUnhealthy) ||
                     known->second.state() == routing_state::stored_name(routing::ServerState::kUnresponsive));
   for (const Budget& budget : budgets_.budgets()) {
     if (std::find(budget.nodes().begin(), budget.nodes().end(), node) == budget.nodes().end()) continue;
-    std::uint64_t more = already ? 0 : budget.by_count() ? kOne : capacity_of(node);
-    if (budget.most() == 0 || (!unhealthy && unavailable_capacity(budget, nodes) + more > budget.most()))
+    std::uint64_t added_capacity = already_unavailable ? 0
+                                   : budget.by_count() ? kThousandthsPerServer
+                                                       : capacity_of(node);
+    if (budget.most() == 0 ||
+        (!unhealthy && unavailable_capacity(budget, nodes) + added_capacity > budget.most()))
       return &budget;
   }
   return nullptr;
@@ -148,24 +152,24 @@
   auto known = context.nodes.find(step.node());
   if (leases_.contains(step.node()) || known == context.nodes.end() || step.for_ns() <= 0) return false;
   if (capacity_of(step.node()) == 0 || exceeded_budget(step.node(), context.nodes)) return false;
-  const UpdatedServer* before = updated_server(step.node());
+  const UpdatedServer* updated = updated_server(step.node());
   switch (step.why()) {
     case REASON_DRAIN:
       if (!drains_.contains(step.node())) return false;
       break;
     case REASON_RELEASE:
       if (release_.phase() != PHASE_ROLLING || step.version() != release_.plan().version()) return false;
-      if (before) {
-        if (!before->failed().empty()) return false;
+      if (updated) {
+        if (!updated->failed().empty()) return false;
       } else {
-        UpdatedServer& now = *release_.add_taken();
-        now.set_node(step.node());
-        now.set_from_version(known->second.version());
-        now.set_wave(release_.wave());
+        UpdatedServer& added = *release_.add_taken();
+        added.set_node(step.node());
+        added.set_from_version(known->second.version());
+        added.set_wave(release_.wave());
       }
       break;
     case REASON_ROLLBACK:
-      if (release_.phase() != PHASE_ROLLING_BACK || !before || step.version() != before->from_version())
+      if (release_.phase() != PHASE_ROLLING_BACK || !updated || step.version() != updated->from_version())
         return false;
       break;
     default:
@@ -177,13 +181,13 @@
                           .incarnation = known->second.life(),
                           .zero_weight_publication = 0,
                           .cancelled_in_decision = 0,
-                          .granted = context.time,
+                          .granted_at = context.time,
                           .since = context.time,
                           .until = context.time + step.for_ns()};
   return true;
 }
 
-bool MaintenanceState::step(const MaintenanceStep& step, const Context& context) {
+bool MaintenanceState::apply_step(const MaintenanceStep& step, const Context& context) {
   if (step.input() == MAINTENANCE_GRANT) return grant(step, context);
   auto found = leases_.find(step.node());
   if (found == leases_.end()) return false;
@@ -194,11 +198,11 @@
       lease.until = context.time + step.for_ns();
       return true;
     case MAINTENANCE_FAIL:
-      end(step.node(), step.reason());
+      end_lease(step.node(), step.reason());
       return true;
     case MAINTENANCE_COMPLETE:
       if (!may_complete(step.node(), lease, context)) return false;
-      end(step.node(), "");
+      end_lease(step.node(), "");
       return true;
     default:
       break;
@@ -208,17 +212,17 @@
     mark_failed(step.node(), step.reason());
   for (const MaintenanceRule& rule : kMaintenanceRules) {
     if (rule.phase != lease.phase || rule.input != step.input()) continue;
-    enter(lease, rule.next, context);
+    enter_phase(lease, rule.next, context);
     return true;
   }
   return false;
 }
 
-// In service again, either after its restart or without one.
+// Whether the server is in service again, after its restart or, if the lease was cancelled, without one.
 bool MaintenanceState::may_complete(const std::string& node, const MaintenanceLease& lease,
                                     const Context& context) {
   auto known = context.nodes.find(node);
-  if (known == context.nodes.end() || !serves(known->second)) return false;
+  if (known == context.nodes.end() || !is_serving(known->second)) return false;
   bool same_incarnation = known->second.life() == lease.incarnation;
   return lease.phase == MaintenancePhase::kSlowStart ||
          (lease.phase == MaintenancePhase::kCancelling && same_incarnation);
--- a/src/agreement/proposal.cpp
+++ b/src/agreement/proposal.cpp
@@ -13,9 +13,10 @@
 using routing::Shard;
 using routing::ShardState;
 
-constexpr double kMinWeightChange = 0.05;  // it is for the next leader to start from, not to be followed
+// Smaller changes of a weight are not proposed: the committed weight is only what a new leader starts from.
+constexpr double kMinWeightChange = 0.05;
 
-// By which step one state follows from another; none where none leads there.
+// The step that leads from one state of a shard to another; STEP_NONE where there is none.
 ShardTransition step_between(const Shard& from, const Shard& to) {
   if (from.state == to.state) {
     return to.state == ShardState::kOwned && from.owner == to.owner && from.incarnation == 0 &&
@@ -35,65 +36,66 @@
   return STEP_NONE;
 }
 
-void propose_shards(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
-  const std::vector<Shard>& wanted = leading.router->shards().all();
-  bool begins = agreed.shards().size() != wanted.size();
-  if (begins) {
-    out.set_begin_shards(static_cast<std::uint32_t>(wanted.size()));
-    out.set_first_start(leading.first_start && agreed.epoch().number == 0);
-    if (!out.first_start()) return;  // the next decision goes on from there
+void propose_shards(const ReplicatedState& committed, const ProposalContext& context, Decision& out) {
+  const std::vector<Shard>& target = context.router->shards().all();
+  bool is_initial = committed.shards().size() != target.size();
+  if (is_initial) {
+    out.set_begin_shards(static_cast<std::uint32_t>(target.size()));
+    out.set_first_start(context.first_start && committed.epoch().number == 0);
+    if (!out.first_start()) return;  // owners are assigned by later decisions
   }
-  for (std::size_t at = 0; at < wanted.size(); ++at) {
-    ShardTransition step = begins ? (wanted[at].owner.empty() ? STEP_NONE : STEP_ASSIGN)
-                                  : step_between(agreed.shards()[at], wanted[at]);
+  for (std::size_t index = 0; index < target.size(); ++index) {
+    ShardTransition step = is_initial ? (target[index].owner.empty() ? STEP_NONE : STEP_ASSIGN)
+                                      : step_between(committed.shards()[index], target[index]);
     if (step == STEP_NONE) continue;
     ShardStep& to = *out.add_shards();
-    to.set_shard(static_cast<std::uint32_t>(at));
+    to.set_shard(static_cast<std::uint32_t>(index));
     to.set_step(step);
-    to.set_owner(wanted[at].owner);
-    to.set_life(wanted[at].incarnation);
-    to.set_moves(wanted[at].migrating);
+    to.set_owner(target[index].owner);
+    to.set_life(target[index].incarnation);
+    to.set_moves(target[index].migrating);
   }
 }
 
-void propose_servers(const ReplicatedState& agreed, const ProposalContext& leading, Decision& out) {
-  const routing::ServerRegistry& members = leading.router->registry();
-  for (const routing::ServerStatus& server : members.all()) {
-    auto known = agreed.nodes().find(server.node.name);
+void propose_servers(const ReplicatedState& committed, const ProposalContext& context, Decision& out) {
+  const routing::ServerRegistry& servers = context.router->registry();
+  for (const routing::ServerStatus& server : servers.all()) {
+    auto known = committed.nodes().find(server.node.name);
     const char* state = routing_state::stored_name(server.state);
-    bool same = known != agreed.nodes().end() && known->second.state() == state &&
+    bool same = known != committed.nodes().end() && known->second.state() == state &&
                 known->second.life() == server.incarnation && known->second.flaps() == server.flaps &&
-                (known->second.version() == server.version || leading.format < kMaintenanceFormat) &&
+                (known->second.version() == server.version || context.format < kMaintenanceFormat) &&
                 std::abs(known->second.weight() - server.weight) < kMinWeightChange;
     if (same) continue;
     *out.add_nodes() = routing_state::to_proto(routing::PersistedState::Node{
         server.node.name, server.state, server.incarnation, server.weight, server.flaps,
-        leading.format < kMaintenanceFormat ? 0 : server.version});
+        context.format < kMaintenanceFormat ? 0 : server.version});
   }
-  for (const auto& [name, node] : agreed.nodes()) {
-    if (!members.server(name)) out.add_nodes_gone(name);
+  for (const auto& [name, node] : committed.nodes()) {
+    if (!servers.server(name)) out.add_nodes_gone(name);
   }
 }
 
-// Both are in order, and walked through once.
-void propose_proxies(const ReplicatedState& agreed, const std::set<std::string>& here, Decision& out) {
-  auto known = agreed.proxies().begin();
-  const auto end = agreed.proxies().end();
-  auto pass = [&] {
+// Merges the two sorted lists in one pass.
+void propose_proxies(const ReplicatedState& committed, const std::set<std::string>& connected,
+                     Decision& out) {
+  auto known = committed.proxies().begin();
+  const auto end = committed.proxies().end();
+  auto advance = [&] {
     if (known->second == kProxyConnected) out.add_proxies_gone(known->first);
     ++known;
   };
-  for (const std::string& id : here) {
-    while (known != end && known->first < id) pass();
+  for (const std::string& id : connected) {
+    while (known != end && known->first < id) advance();
     bool same = known != end && known->first == id;
     if (!same || known->second != kProxyConnected) out.add_proxies_here(id);
     if (same) ++known;
   }
-  while (known != end) pass();
+  while (known != end) advance();
 }
 
-bool say_the_same(const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& one,
-                  const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& other) {
+bool have_same_statuses(const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& one,
+                        const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& other) {
   return std::equal(one.begin(), one.end(), other.begin(), other.end(),
                     [](const consensus::ProxyStatus& left, const consensus::ProxyStatus& right) {
                       return left.id() == right.id() && left.applied() == right.applied() &&
@@ -106,93 +108,96 @@
 void ProxyRegistry::update(consensus::ReplicaId by,
                            const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies,
                            Nanos now) {
-  auto before = by_instance_.find(by);
-  if (before != by_instance_.end() && say_the_same(before->second.words, proxies)) return refresh(by, now);
+  auto before = by_replica_.find(by);
+  if (before != by_replica_.end() && have_same_statuses(before->second.statuses, proxies))
+    return refresh(by, now);
   ++revision_;
-  ReceivedList next{.at = now, .words = proxies, .proxies = {}};
+  ReceivedList next{.received_at = now, .statuses = proxies, .proxies = {}};
   for (const consensus::ProxyStatus& proxy : proxies) next.proxies[proxy.id()] = proxy;
-  for (const auto& [id, was] : by_instance_[by].proxies) {
+  for (const auto& [id, previous] : by_replica_[by].proxies) {
     auto found = next.proxies.find(id);
-    if (was.here() && (found == next.proxies.end() || !found->second.here())) last_[id] = was.applied();
+    if (previous.here() && (found == next.proxies.end() || !found->second.here()))
+      last_applied_[id] = previous.applied();
   }
-  by_instance_[by] = std::move(next);
+  by_replica_[by] = std::move(next);
 }
 
-ProxyRegistry::Basis ProxyRegistry::basis(const ReplicatedState& agreed, Nanos now) const {
-  Basis out{.revision = revision_, .proxies_epoch = agreed.proxies_epoch(), .fresh = {}};
-  for (const auto& [instance, received] : by_instance_) {
-    if (now - received.at <= fresh_for_) out.fresh.push_back(instance);
+ProxyRegistry::Basis ProxyRegistry::basis(const ReplicatedState& committed, Nanos now) const {
+  Basis out{.revision = revision_, .proxies_epoch = committed.proxies_epoch(), .fresh = {}};
+  for (const auto& [replica, received] : by_replica_) {
+    if (now - received.received_at <= fresh_for_) out.fresh.push_back(replica);
   }
   return out;
 }
 
-std::uint64_t ProxyRegistry::applied_by_all(const ReplicatedState& agreed, Nanos now) {
-  Basis of = basis(agreed, now);
-  if (of != min_of_) {
-    min_ = min_applied(agreed, now);
-    min_of_ = std::move(of);
+std::uint64_t ProxyRegistry::applied_by_all(const ReplicatedState& committed, Nanos now) {
+  Basis current = basis(committed, now);
+  if (current != min_basis_) {
+    min_applied_ = min_applied(committed, now);
+    min_basis_ = std::move(current);
   }
-  return std::min(agreed.published(), min_);
+  return std::min(committed.published(), min_applied_);
 }
 
-std::uint64_t ProxyRegistry::min_applied(const ReplicatedState& agreed, Nanos now) const {
+std::uint64_t ProxyRegistry::min_applied(const ReplicatedState& committed, Nanos now) const {
   std::uint64_t out = std::numeric_limits<std::uint64_t>::max();
-  for (const auto& [id, gone_since] : agreed.proxies()) {
-    // The least that those say who have it; of fresh words, else of old ones.
+  for (const auto& [id, disconnected_since] : committed.proxies()) {
+    // The minimum over the replicas that list the proxy as connected; older lists count only without fresh
+    // ones.
     std::optional<std::uint64_t> fresh;
     std::optional<std::uint64_t> old;
-    for (const auto& [instance, received] : by_instance_) {
+    for (const auto& [replica, received] : by_replica_) {
       auto found = received.proxies.find(id);
       if (found == received.proxies.end() || !found->second.here()) continue;
-      std::optional<std::uint64_t>& min = now - received.at <= fresh_for_ ? fresh : old;
+      std::optional<std::uint64_t>& min = now - received.received_at <= fresh_for_ ? fresh : old;
       min = min ? std::min(*min, found->second.applied()) : found->second.applied();
     }
-    auto last = last_.find(id);
-    std::uint64_t left = last == last_.end() ? 0 : last->second;
-    out = std::min(out, fresh ? *fresh : old ? *old : left);
+    auto last = last_applied_.find(id);
+    std::uint64_t last_known = last == last_applied_.end() ? 0 : last->second;
+    out = std::min(out, fresh ? *fresh : old ? *old : last_known);
   }
   return out;
 }
 
-const std::set<std::string>& ProxyRegistry::here() {
-  if (here_of_ == revision_) return here_;
-  here_of_ = revision_;
-  here_.clear();
-  for (const auto& [instance, received] : by_instance_) {
+const std::set<std::string>& ProxyRegistry::connected() {
+  if (connected_revision_ == revision_) return connected_;
+  connected_revision_ = revision_;
+  connected_.clear();
+  for (const auto& [replica, received] : by_replica_) {
     for (const auto& [id, proxy] : received.proxies) {
-      if (proxy.here()) here_.insert(id);
+      if (proxy.here()) connected_.insert(id);
     }
   }
-  return here_;
+  return connected_;
 }
 
-Decision build_proposal(const ReplicatedState& agreed, const ProposalContext& leading) {
+Decision build_proposal(const ReplicatedState& committed, const ProposalContext& context) {
   Decision out;
-  out.set_format(leading.format);
-  const fleet::Fleet& fleet = leading.router->fleet();
-  Nanos window = leading.router->quarantine();
-  if (window != agreed.window()) out.set_window_ns(window);
-  if (fleet.bounds.disconnected_proxy_expiry != agreed.disconnected_proxy_expiry())
+  out.set_format(context.format);
+  const fleet::Fleet& fleet = context.router->fleet();
+  Nanos window = context.router->quarantine();
+  if (window != committed.window()) out.set_window_ns(window);
+  if (fleet.bounds.disconnected_proxy_expiry != committed.disconnected_proxy_expiry())
     out.set_forget_proxies_ns(fleet.bounds.disconnected_proxy_expiry);
-  propose_servers(agreed, leading, out);
-  propose_shards(agreed, leading, out);
-  out.set_applied(leading.applied);
-  bool begins_anew = out.begin_shards() > 0 && !out.first_start();
-  if (leading.next && !begins_anew) {
-    *out.mutable_picture() = routing_state::to_proto(leading.next->snapshot);
-    out.mutable_picture()->set_number(leading.next->number);
+  propose_servers(committed, context, out);
+  propose_shards(committed, context, out);
+  out.set_applied(context.applied);
+  bool owners_unknown = out.begin_shards() > 0 && !out.first_start();
+  if (context.next && !owners_unknown) {
+    *out.mutable_picture() = routing_state::to_proto(context.next->snapshot);
+    out.mutable_picture()->set_number(context.next->number);
   }
-  propose_proxies(agreed, leading.proxies->here(), out);
-  for (const auto& [id, reported] : leading.instances) {
-    auto known = agreed.instances().find(id);
-    if (known != agreed.instances().end() && known->second == reported) continue;
+  propose_proxies(committed, context.proxies->connected(), out);
+  for (const auto& [id, reported] : context.replicas) {
+    auto known = committed.instances().find(id);
+    if (known != committed.instances().end() && known->second == reported) continue;
     InstanceRecord& record = *out.add_instances();
     record.set_id(id);
     record.set_format(reported.format);
     record.set_settings(reported.settings);
   }
-  for (const auto& [id, known] : agreed.instances()) {
-    if (!leading.members.contains(id)) out.add_instances_gone(id);
+  for (const auto& [id, known] : committed.instances()) {
+    if (!context.members.contains(id)) out.add_instances_gone(id);
   }
   return out;
 }
--- a/src/agreement/proposal.h
+++ b/src/agreement/proposal.h
@@ -1,7 +1,6 @@
-// From what the leader concludes to what it proposes: the difference between its routing and the agreed
-// state, as one decision. What is measured (reports, pressure, weights before they are told) stays with
-// whoever measures; what others must know, or must go on with after the leader is gone, is in the decision.
-// No I/O.
+// Builds the leader's proposals: the difference between its router's conclusions and the committed state, as
+// one decision. Measurements (reports, pressure, unpublished weights) stay on the replica that made them; a
+// decision has what other replicas must know or need in order to go on after the leader fails. No I/O.
 #pragma once
 
 #include <map>
@@ -16,71 +15,73 @@
 
 namespace myrtlecroft::agreement {
 
-// Where the proxies are, as the instances said last.
+// The proxies of each replica, as its last heartbeat listed them. Not thread-safe.
 class ProxyRegistry {
  public:
-  // A word counts before older ones for so long. After that it counts only for proxies that nobody else has:
-  // one that has moved on is not held to what a dead instance said of it last.
+  // A replica's list is fresh for this long and takes precedence over older ones. An older list counts only
+  // for proxies that no fresh list has: a proxy that reconnected elsewhere is not judged by the last list of
+  // a replica that has failed.
   explicit ProxyRegistry(Nanos fresh_for) : fresh_for_(fresh_for) {}
 
-  // All that one instance says of its proxies.
+  // Replaces the list of one replica. `now`: this replica's clock.
   void update(consensus::ReplicaId by,
               const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies, Nanos now);
-  // It says the same as before.
-  void refresh(consensus::ReplicaId by, Nanos now) { by_instance_[by].at = now; }
+  // Renews the age of a replica's unchanged list.
+  void refresh(consensus::ReplicaId by, Nanos now) { by_replica_[by].received_at = now; }
   void remove(consensus::ReplicaId one) {
-    by_instance_.erase(one);
+    by_replica_.erase(one);
     ++revision_;
   }
 
-  // The publication that every proxy of the agreed list has applied, or a later one; of one that is not known
-  // to be anywhere, the last that it was known to have.
-  std::uint64_t applied_by_all(const ReplicatedState& agreed, Nanos now);
-  const std::set<std::string>& here();
+  // The latest publication that every proxy of the committed list has applied. A proxy that no replica lists
+  // counts with the last publication it was known to have.
+  std::uint64_t applied_by_all(const ReplicatedState& committed, Nanos now);
+  // Ids of the proxies that any replica lists as connected.
+  const std::set<std::string>& connected();
 
  private:
   using ProxyStatuses = google::protobuf::RepeatedPtrField<consensus::ProxyStatus>;
   struct ReceivedList {
-    Nanos at = 0;
-    ProxyStatuses words;  // as they came
+    Nanos received_at = 0;
+    ProxyStatuses statuses;  // in the order received
     std::map<std::string, consensus::ProxyStatus> proxies;
   };
-  // What the least of all proxies was found from: it is the same for as long as this is.
+  // The inputs of `min_applied_`, which is computed again only where one of them has changed.
   struct Basis {
     std::uint64_t revision = 0;
     Epoch proxies_epoch;
-    std::vector<consensus::ReplicaId> fresh;  // those whose words count before older ones
+    std::vector<consensus::ReplicaId> fresh;  // replicas whose list is fresh
 
     bool operator==(const Basis&) const = default;
   };
-  Basis basis(const ReplicatedState& agreed, Nanos now) const;
-  std::uint64_t min_applied(const ReplicatedState& agreed, Nanos now) const;
+  Basis basis(const ReplicatedState& committed, Nanos now) const;
+  std::uint64_t min_applied(const ReplicatedState& committed, Nanos now) const;
 
   Nanos fresh_for_;
-  std::map<consensus::ReplicaId, ReceivedList> by_instance_;
-  std::map<std::string, std::uint64_t> last_;  // applied, of those who left
-  std::uint64_t revision_ = 1;                 // grows with each word that says something else than before
-  Basis min_of_;
-  std::uint64_t min_ = 0;
-  std::uint64_t here_of_ = 0;  // the revision that `here_` is of
-  std::set<std::string> here_;
+  std::map<consensus::ReplicaId, ReceivedList> by_replica_;
+  std::map<std::string, std::uint64_t> last_applied_;  // by proxies that disconnected
+  std::uint64_t revision_ = 1;  // incremented by each list that differs from the one before
+  Basis min_basis_;
+  std::uint64_t min_applied_ = 0;
+  std::uint64_t connected_revision_ = 0;  // the revision that `connected_` was built from
+  std::set<std::string> connected_;
 };
 
+// The leader's conclusions that a proposal is built from.
 struct ProposalContext {
   const routing::Router* router = nullptr;
-  const routing::PublishedSnapshot* next = nullptr;  // where the snapshot changed
+  const routing::PublishedSnapshot* next = nullptr;  // nullptr: the snapshot has not changed
   ProxyRegistry* proxies = nullptr;
-  std::map<std::uint64_t, AgreedInstance> instances;  // as they say
-  std::set<std::uint64_t> members;                    // who belongs
-  std::uint64_t applied = 0;                          // by all proxies, as the router was told
+  std::map<std::uint64_t, ReplicaInfo> replicas;  // as reported in their heartbeats, by id
+  std::set<std::uint64_t> members;                // ids of the cluster's members
+  std::uint64_t applied = 0;  // the publication that all proxies have, as given to the router
   bool first_start = false;
-  std::uint32_t format = 1;  // that all instances know
+  std::uint32_t format = 1;  // newest entry format that all replicas know
 };
 
-// The parts of a decision that differ from the agreed state; basis, term and time are the proposer's to fill
-// in.
-Decision build_proposal(const ReplicatedState& agreed, const ProposalContext& leading);
-// Whether there is anything in it but time.
+// Returns a decision with all that differs from the committed state. The caller sets basis, term and time.
+Decision build_proposal(const ReplicatedState& committed, const ProposalContext& context);
+// Whether the decision changes more than the replicated time.
 bool has_changes(const Decision& decision);
 
 }  // namespace myrtlecroft::agreement
--- a/src/agreement/release_steps.cpp
+++ b/src/agreement/release_steps.cpp
@@ -1,4 +1,4 @@
-// The phases of a release as the agreed state knows them: which step each phase takes, and what it changes.
+// The phases of a release in the replicated state: the steps that each phase accepts, and their effects.
 #include "agreement/maintenance_state.h"
 
 namespace myrtlecroft::agreement {
@@ -20,7 +20,7 @@
     {PHASE_ROLLING, RELEASE_HALT, PHASE_HALTED},
     {PHASE_SOAKING, RELEASE_HALT, PHASE_HALTED},
     {PHASE_HALTED, RELEASE_RESUME, PHASE_ROLLING},
-    {PHASE_HALTED, RELEASE_FINISH, PHASE_DONE},  // left as it is
+    {PHASE_HALTED, RELEASE_FINISH, PHASE_DONE},  // servers keep the versions they have
     {PHASE_ROLLING, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
     {PHASE_SOAKING, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
     {PHASE_HALTED, RELEASE_ROLL_BACK, PHASE_ROLLING_BACK},
@@ -60,15 +60,15 @@
   return nullptr;
 }
 
-// At once, also those that have their order: a later one says that they may stay.
+// Cancels also the leases of servers that have received a restart order: the next assignment revokes it.
 void MaintenanceState::cancel_leases(MaintenanceReason reason, const Context& context) {
   for (auto& [node, lease] : leases_) {
     if (lease.reason == reason && lease.is_out_of_rotation())
-      enter(lease, MaintenancePhase::kCancelling, context);
+      enter_phase(lease, MaintenancePhase::kCancelling, context);
   }
 }
 
-bool MaintenanceState::step(const ReleaseStep& step, const Context& context) {
+bool MaintenanceState::apply_step(const ReleaseStep& step, const Context& context) {
   for (const ReleaseRule& rule : kReleaseRules) {
     if (rule.phase != release_.phase() || rule.input != step.input()) continue;
     switch (step.input()) {
--- a/src/agreement/replicated_state.cpp
+++ b/src/agreement/replicated_state.cpp
@@ -30,31 +30,31 @@
 
 }  // namespace
 
-const char* name_of(ApplyResult verdict) {
-  constexpr const char* kNames[] = {"taken",   "old basis", "old term", "time",       "shards",
-                                    "picture", "outings",   "proxies",  "unreadable", "newer"};
-  return kNames[static_cast<std::size_t>(verdict)];
+const char* name_of(ApplyResult result) {
+  constexpr const char* kNames[] = {"taken",   "stale basis", "stale term", "time",       "shards",
+                                    "picture", "outings",     "proxies",    "unreadable", "newer"};
+  return kNames[static_cast<std::size_t>(result)];
 }
 
 ApplyResult ReplicatedState::apply(std::string_view entry) {
   Decision decision;
   if (!decision.ParseFromArray(entry.data(), static_cast<int>(entry.size()))) {
-    ++refused_;
+    ++rejected_entries_;
     return ApplyResult::kMalformed;
   }
   return apply(decision);
 }
 
 ApplyResult ReplicatedState::apply(const Decision& decision) {
-  if (decision.format() > knows_) return ApplyResult::kUnknownFormat;
+  if (decision.format() > max_format_) return ApplyResult::kUnknownFormat;
   ReplicatedState next = *this;
-  ApplyResult verdict = next.check_and_apply(decision);
-  if (verdict == ApplyResult::kApplied) {
+  ApplyResult result = next.check_and_apply(decision);
+  if (result == ApplyResult::kApplied) {
     *this = std::move(next);
   } else {
-    ++refused_;
+    ++rejected_entries_;
   }
-  return verdict;
+  return result;
 }
 
 ApplyResult ReplicatedState::check_and_apply(const Decision& decision) {
@@ -62,19 +62,18 @@
   if (decision.basis() != epoch_.number) return ApplyResult::kStaleBasis;
   if (decision.elapsed_ns() < 0 || decision.elapsed_ns() > kMaxElapsed) return ApplyResult::kInvalidTime;
   epoch_ = {decision.term(), epoch_.number + 1};
-  form_ = std::max(form_, decision.format());
+  format_ = std::max(format_, decision.format());
   time_ += decision.elapsed_ns();
-  // A longer window holds for shards in quarantine too; so does a shorter one, as its reason is over.
+  // A new window also applies to shards in quarantine: the reason for the former one is gone.
   if (decision.window_ns() > 0) window_ = decision.window_ns();
-  if (decision.forget_proxies_ns() > 0) forget_proxies_ = decision.forget_proxies_ns();
+  if (decision.forget_proxies_ns() > 0) disconnected_proxy_expiry_ = decision.forget_proxies_ns();
   apply_servers(decision);
   if (!apply_shards(decision)) return ApplyResult::kInvalidShards;
   if (!apply_snapshot(decision)) return ApplyResult::kInvalidSnapshot;
   if (!apply_proxies(decision)) return ApplyResult::kInvalidProxies;
   if (!apply_maintenance(decision)) return ApplyResult::kInvalidMaintenance;
-  for (const InstanceRecord& one : decision.instances())
-    instances_[one.id()] = {one.format(), one.settings()};
-  for (std::uint64_t id : decision.instances_gone()) instances_.erase(id);
+  for (const InstanceRecord& one : decision.instances()) replicas_[one.id()] = {one.format(), one.settings()};
+  for (std::uint64_t id : decision.instances_gone()) replicas_.erase(id);
   return ApplyResult::kApplied;
 }
 
@@ -84,7 +83,8 @@
                                         auto known = nodes_.find(node.name());
                                         return known == nodes_.end() || known->second.life() != node.life();
                                       });
-  if (new_incarnations || decision.begin_shards() > 0 || decision.shards_size() > 0) owners_epoch_ = epoch_;
+  if (new_incarnations || decision.begin_shards() > 0 || decision.shards_size() > 0)
+    assignments_epoch_ = epoch_;
   for (const routing_state::PersistedNode& node : decision.nodes()) nodes_[node.name()] = node;
   for (const std::string& name : decision.nodes_gone()) nodes_.erase(name);
 }
@@ -92,7 +92,7 @@
 bool ReplicatedState::apply_shards(const Decision& decision) {
   if (decision.begin_shards() > kMaxShards) return false;
   if (decision.begin_shards() > 0) {
-    // Where keys ran is not known, unless nothing ever ran.
+    // The former owners are unknown, except at the first start, where no key was ever run.
     if (decision.first_start() && epoch_.number != 1) return false;
     Shard unknown;
     unknown.state = decision.first_start() ? ShardState::kQuarantined : ShardState::kClosing;
@@ -106,15 +106,15 @@
 bool ReplicatedState::apply_snapshot(const Decision& decision) {
   if (decision.has_picture()) {
     if (decision.picture().number() != snapshot_->number() + 1) return false;
-    if (!matches_agreed_owners(decision.picture())) return false;
+    if (!matches_committed_owners(decision.picture())) return false;
     snapshot_ = std::make_shared<const routing_state::Snapshot>(decision.picture());
   }
-  // A shard that is closed in the published snapshot from now on is closed in this publication.
-  for (std::size_t at = 0; at < shards_.size(); ++at) {
-    Shard& shard = shards_[at];
-    bool published = at < static_cast<std::size_t>(snapshot_->shards_size());
+  // Closing shards that are closed in the snapshot for the first time in this publication.
+  for (std::size_t index = 0; index < shards_.size(); ++index) {
+    Shard& shard = shards_[index];
+    bool published = index < static_cast<std::size_t>(snapshot_->shards_size());
     if (shard.state == ShardState::kClosing && shard.closed_in == 0 && published &&
-        snapshot_->shards(static_cast<int>(at)) == routing::kClosed) {
+        snapshot_->shards(static_cast<int>(index)) == routing::kClosed) {
       shard.closed_in = snapshot_->number();
     }
   }
@@ -128,9 +128,10 @@
     if (found == proxies_.end()) return false;
     if (found->second == kProxyConnected) found->second = time_;
   }
-  // Forgotten by agreed time, the same on every replica.
+  // Forgets expired proxies by replicated time, so that every replica forgets them with the same decision.
   std::size_t forgotten = std::erase_if(proxies_, [&](const auto& one) {
-    return one.second != kProxyConnected && forget_proxies_ > 0 && time_ - one.second >= forget_proxies_;
+    return one.second != kProxyConnected && disconnected_proxy_expiry_ > 0 &&
+           time_ - one.second >= disconnected_proxy_expiry_;
   });
   if (decision.proxies_here_size() > 0 || decision.proxies_gone_size() > 0 || forgotten > 0)
     proxies_epoch_ = epoch_;
@@ -141,7 +142,7 @@
   if (MaintenanceState::has_changes(decision) && decision.format() < kMaintenanceFormat) return false;
   if (!maintenance_.apply(decision, {nodes_, *snapshot_, decision.applied(), time_, epoch_.number}))
     return false;
-  if (maintenance_.orders_changed()) owners_epoch_ = epoch_;
+  if (maintenance_.orders_changed()) assignments_epoch_ = epoch_;
   return true;
 }
 
@@ -150,8 +151,8 @@
   Shard& shard = shards_[step.shard()];
   for (const ShardRule& rule : kShardRules) {
     if (rule.state != shard.state || rule.step != step.step()) continue;
-    if (!take_shard_step(step, decision, shard)) return false;
-    if (rule.step == STEP_SET_INCARNATION) return true;  // the time since when it is owned stays
+    if (!update_shard(step, decision, shard)) return false;
+    if (rule.step == STEP_SET_INCARNATION) return true;  // `since` keeps the time when the owner was assigned
     shard.state = rule.next;
     shard.since = time_;
     return true;
@@ -159,7 +160,7 @@
   return false;
 }
 
-bool ReplicatedState::take_shard_step(const ShardStep& step, const Decision& decision, Shard& shard) const {
+bool ReplicatedState::update_shard(const ShardStep& step, const Decision& decision, Shard& shard) const {
   switch (step.step()) {
     case STEP_SET_INCARNATION:
       if (shard.incarnation != 0 || step.life() == 0) return false;
@@ -170,7 +171,7 @@
       shard.migrating = step.moves();
       return true;
     case STEP_REOPEN:
-      // Its owner goes on with its keys: no other server ran them meanwhile.
+      // The owner may run its keys again: no other server ran them meanwhile.
       if (shard.owner.empty() || shard.migrating) return false;
       if (step.owner() != shard.owner || step.life() != shard.incarnation) return false;
       shard.closed_in = 0;
@@ -191,13 +192,13 @@
   }
 }
 
-bool ReplicatedState::matches_agreed_owners(const routing_state::Snapshot& snapshot) const {
+bool ReplicatedState::matches_committed_owners(const routing_state::Snapshot& snapshot) const {
   if (static_cast<std::size_t>(snapshot.shards_size()) != shards_.size()) return false;
-  for (std::size_t at = 0; at < shards_.size(); ++at) {
-    int owner = snapshot.shards(static_cast<int>(at));
+  for (std::size_t index = 0; index < shards_.size(); ++index) {
+    int owner = snapshot.shards(static_cast<int>(index));
     if (owner == routing::kClosed) continue;
     if (owner < 0 || owner >= snapshot.nodes_size()) return false;
-    if (shards_[at].state != ShardState::kOwned || shards_[at].owner != snapshot.nodes(owner).name())
+    if (shards_[index].state != ShardState::kOwned || shards_[index].owner != snapshot.nodes(owner).name())
       return false;
   }
   return true;
@@ -205,14 +206,14 @@
 
 std::string ReplicatedState::image() const {
   StateImage out;
-  out.set_format(form_);
+  out.set_format(format_);
   out.set_term(epoch_.term);
   out.set_number(epoch_.number);
-  out.set_owners_term(owners_epoch_.term);
-  out.set_owners_number(owners_epoch_.number);
+  out.set_owners_term(assignments_epoch_.term);
+  out.set_owners_number(assignments_epoch_.number);
   out.set_time_ns(time_);
   out.set_window_ns(window_);
-  out.set_forget_proxies_ns(forget_proxies_);
+  out.set_forget_proxies_ns(disconnected_proxy_expiry_);
   for (const auto& [name, node] : nodes_) *out.add_nodes() = node;
   for (const Shard& shard : shards_) {
     ShardRecord& to = *out.add_shards();
@@ -224,31 +225,32 @@
     to.set_moves(shard.migrating);
   }
   *out.mutable_picture() = *snapshot_;
-  for (const auto& [id, gone_since] : proxies_) {
+  for (const auto& [id, disconnected_since] : proxies_) {
     out.add_proxies()->set_id(id);
-    out.mutable_proxies()->rbegin()->set_gone_since_ns(gone_since);
+    out.mutable_proxies()->rbegin()->set_gone_since_ns(disconnected_since);
   }
-  if (form_ >= kMaintenanceFormat) maintenance_.fill(*out.mutable_outings());
-  for (const auto& [id, instance] : instances_) {
+  if (format_ >= kMaintenanceFormat) maintenance_.write_image(*out.mutable_outings());
+  for (const auto& [id, replica] : replicas_) {
     InstanceRecord& to = *out.add_instances();
     to.set_id(id);
-    to.set_format(instance.format);
-    to.set_settings(instance.settings);
+    to.set_format(replica.format);
+    to.set_settings(replica.settings);
   }
   return out.SerializeAsString();
 }
 
 bool ReplicatedState::restore(std::string_view bytes) {
   StateImage in;
-  if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || in.format() > knows_) return false;
-  ReplicatedState out(knows_);
-  out.form_ = std::max(1u, in.format());
+  if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || in.format() > max_format_)
+    return false;
+  ReplicatedState out(max_format_);
+  out.format_ = std::max(1u, in.format());
   out.epoch_ = {in.term(), in.number()};
   out.proxies_epoch_ = out.epoch_;
-  out.owners_epoch_ = {in.owners_term(), in.owners_number()};
+  out.assignments_epoch_ = {in.owners_term(), in.owners_number()};
   out.time_ = in.time_ns();
   out.window_ = in.window_ns();
-  out.forget_proxies_ = in.forget_proxies_ns();
+  out.disconnected_proxy_expiry_ = in.forget_proxies_ns();
   for (const routing_state::PersistedNode& node : in.nodes()) out.nodes_[node.name()] = node;
   for (const ShardRecord& shard : in.shards()) {
     if (shard.state() > static_cast<std::uint32_t>(ShardState::kQuarantined)) return false;
@@ -262,8 +264,8 @@
   out.snapshot_ = std::make_shared<const routing_state::Snapshot>(in.picture());
   for (const ProxyState& proxy : in.proxies()) out.proxies_[proxy.id()] = proxy.gone_since_ns();
   if (!out.maintenance_.restore(in.outings())) return false;
-  for (const InstanceRecord& one : in.instances()) out.instances_[one.id()] = {one.format(), one.settings()};
-  out.refused_ = refused_;
+  for (const InstanceRecord& one : in.instances()) out.replicas_[one.id()] = {one.format(), one.settings()};
+  out.rejected_entries_ = rejected_entries_;
   *this = std::move(out);
   return true;
 }
--- a/src/consensus/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kMaxServers = 64;
 
-void* allocated(std::size_t size) {
+void* allocate(std::size_t size) {
   void* out = raft_malloc(size ? size : 1);
   if (!out) throw std::bad_alloc();
   return out;
@@ -18,7 +18,7 @@
 }  // namespace
 
 raft_buffer buffer_for_library(const std::string& bytes) {
-  raft_buffer out{allocated(bytes.size()), bytes.size()};
+  raft_buffer out{allocate(bytes.size()), bytes.size()};
   std::memcpy(out.base, bytes.data(), bytes.size());
   return out;
 }
@@ -27,17 +27,17 @@
   if (in.empty()) return nullptr;
   std::size_t size = 0;
   for (const LogEntry& entry : in) size += (entry.data().size() + 7) / 8 * 8;
-  auto* batch = static_cast<char*>(allocated(size));
-  auto* out = static_cast<raft_entry*>(allocated(sizeof(raft_entry) * static_cast<std::size_t>(in.size())));
-  char* place = batch;
+  auto* batch = static_cast<char*>(allocate(size));
+  auto* out = static_cast<raft_entry*>(allocate(sizeof(raft_entry) * static_cast<std::size_t>(in.size())));
+  char* position = batch;
   for (int i = 0; i < in.size(); ++i) {
     const std::string& data = in[i].data();
-    std::copy(data.begin(), data.end(), place);
+    std::copy(data.begin(), data.end(), position);
     out[i] = {.term = in[i].term(),
               .type = static_cast<unsigned short>(in[i].type()),
-              .buf = {.base = place, .len = data.size()},
+              .buf = {.base = position, .len = data.size()},
               .batch = batch};
-    place += (data.size() + 7) / 8 * 8;
+    position += (data.size() + 7) / 8 * 8;
   }
   return out;
 }
@@ -68,7 +68,7 @@
   return true;
 }
 
-// One case for each kind of message.
+// One case for each message type.
 // NOLINTNEXTLINE(readability-function-size)
 void to_proto(const raft_message& in, PeerMessage& out) {
   switch (in.type) {
@@ -130,7 +130,7 @@
   }
 }
 
-// One case for each kind of message.
+// One case for each message type.
 // NOLINTNEXTLINE(readability-function-size)
 bool from_proto(const PeerMessage& in, raft_message& out) {
   out.server_id = in.from();
--- a/src/consensus/raft_bootstrap.cpp
+++ b/src/consensus/raft_bootstrap.cpp
@@ -17,7 +17,7 @@
   for (const Server& server : servers) *as_proto.add_servers() = server;
   raft_configuration configuration;
   if (servers.empty() || !from_proto(as_proto, configuration))
-    throw std::runtime_error("instances with equal ids, or none");
+    throw std::runtime_error("the list of replicas is empty or invalid: each needs its own id");
   raft_buffer buffer;
   int code = raft_configuration_encode(&configuration, &buffer);
   raft_configuration_close(&configuration);
@@ -40,7 +40,7 @@
 void RaftNode::bootstrap(RaftStorage& storage, const std::vector<Server>& servers) {
   PersistentState persisted = storage.load();
   if (persisted.term != 0 || persisted.snapshot || !persisted.entries.empty())
-    throw std::runtime_error("there is a log already");
+    throw std::runtime_error("the storage already contains a log");
   persisted.term = 1;
   persisted.entries = {configuration_entry(servers, 1)};
   storage.replace(persisted);
@@ -48,7 +48,7 @@
 
 void RaftNode::force_new_cluster(RaftStorage& storage, const std::vector<Server>& servers) {
   PersistentState persisted = storage.load();
-  if (persisted.term == 0) throw std::runtime_error("there is no log to go on with");
+  if (persisted.term == 0) throw std::runtime_error("the storage contains no log to recover");
   persisted.term += kForcedTermIncrease;
   persisted.voted_for = 0;
   persisted.entries.push_back(configuration_entry(servers, persisted.term));
--- a/src/consensus/raft_io.cpp
+++ b/src/consensus/raft_io.cpp
@@ -149,7 +149,7 @@
 }
 
 template <class Request>
-RaftStorage::WriteCallback RaftNode::Io::completion_of(Request& request) {
+RaftStorage::WriteCallback RaftNode::Io::make_completion(Request& request) {
   std::uint64_t number = ++last_write;
   pending_writes.emplace(number, [&request](int code) { request.cb(&request, code); });
   return [this, number, guard = std::weak_ptr<int>(alive)](bool durable) {
@@ -169,7 +169,7 @@
   for (unsigned i = 0; i < count; ++i) to_proto(entries[i], out[i]);
   std::uint64_t first = next;
   next += count;
-  node.storage_.append(first, std::move(out), completion_of(request));
+  node.storage_.append(first, std::move(out), make_completion(request));
 }
 
 void RaftNode::Io::truncate(raft_index from) {
@@ -184,7 +184,7 @@
   std::uint64_t first_retained = snapshot.index + 1;
   if (trailing > 0) first_retained = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
   if (trailing == 0) next = snapshot.index + 1;
-  node.storage_.save_snapshot(*last_snapshot, first_retained, completion_of(request));
+  node.storage_.save_snapshot(*last_snapshot, first_retained, make_completion(request));
   if (trailing == 0) node.storage_.truncate(snapshot.index + 1);
 }
 
--- a/src/consensus/raft_io.h
+++ b/src/consensus/raft_io.h
@@ -25,7 +25,7 @@
   void defer(DeferredCall call) { deferred.push_back(std::move(call)); }
   void run_deferred();
 
-  // The functions of raft_io; results are libraft's error codes.
+  // The functions of raft_io; int results are libraft's error codes.
   int load(raft_term& loaded_term, raft_id& vote, raft_snapshot*& snapshot, raft_index& first,
            raft_entry*& entries, std::size_t& count);
   int save_vote(ReplicaId vote);
@@ -39,7 +39,7 @@
   // Wraps `request`, whose callback runs when storage reports that the write is durable. The request is found
   // by a number, because it may be cancelled before storage answers.
   template <class Request>
-  RaftStorage::WriteCallback completion_of(Request& request);
+  RaftStorage::WriteCallback make_completion(Request& request);
 
   void set_log_functions();
   void set_snapshot_functions();
@@ -55,8 +55,8 @@
   std::deque<DeferredCall> deferred;
   std::map<std::uint64_t, std::function<void(int code)>> pending_writes;  // by number
   std::uint64_t last_write = 0;                                           // number
-  bool failed = false;                                                    // a write did not become durable
-  std::shared_ptr<int> alive = std::make_shared<int>(0);                  // reset on close
+  bool failed = false;                                    // a write failed; the node is unusable
+  std::shared_ptr<int> alive = std::make_shared<int>(0);  // reset on close
 };
 
 }  // namespace myrtlecroft::consensus
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -74,7 +74,7 @@
     *result = nullptr;
     std::string_view bytes(static_cast<const char*>(entry->base), entry->len);
     if (self.machine_.apply(self.raft_.last_applied + 1, bytes)) return 0;
-    self.fault_ = "an agreed entry is of a newer form than this version knows";
+    self.fault_ = "a committed entry has a newer format than this version supports";
     return RAFT_MALFORMED;
   };
   fsm_.snapshot = [](raft_fsm* fsm, raft_buffer* buffers[], unsigned* count) {
@@ -86,7 +86,7 @@
   fsm_.restore = [](raft_fsm* fsm, raft_buffer* buffer) {
     auto& self = *static_cast<RaftNode*>(fsm->data);
     if (!self.machine_.restore({static_cast<const char*>(buffer->base), buffer->len})) {
-      self.fault_ = "an agreed state is of a newer form than this version knows";
+      self.fault_ = "a committed snapshot has a newer format than this version supports";
       return RAFT_MALFORMED;
     }
     raft_free(buffer->base);
@@ -123,7 +123,7 @@
   request_barrier();
 }
 
-// A new leader does not know how far earlier leaders got: a barrier is committed after all their entries.
+// A new leader does not know which earlier entries are committed; a barrier is committed after all of them.
 void RaftNode::request_barrier() {
   if (!is_leader() || barrier_term_ == term()) return;
   barrier_term_ = term();
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -32,6 +32,7 @@
 };
 
 enum class Role { kUnavailable, kFollower, kCandidate, kLeader };
+// In lower case, for logs and the admin interface.
 const char* name_of(Role role);
 
 // One member of a Raft cluster. Not thread-safe. Callbacks may run within tick(), received() or a storage
@@ -54,8 +55,9 @@
 
   // Throws std::runtime_error.
   void start();
-  // To be called several times in heartbeat_ms.
+  // To be called several times per heartbeat_ms.
   void tick();
+  // Handles a message from another member; malformed ones are dropped.
   void received(const PeerMessage& message);
 
   Role role() const;
@@ -73,22 +75,22 @@
   // A member's role as libraft numbers it; nullopt: not a member.
   std::optional<int> role_of(ReplicaId id) const;
   bool is_voter(ReplicaId id) const { return role_of(id) == RAFT_VOTER; }
-  // A write failed. The node neither votes nor acknowledges entries any more; it is to be replaced by a new
-  // RaftNode on the same storage once that is writable.
+  // Whether a write has failed. The node then neither votes nor acknowledges entries; the owner must replace
+  // it by a new RaftNode on the same storage once that is writable.
   bool disk_failed() const;
-  // Why the node stopped for good: an entry or snapshot of an unknown format. Empty: it has not.
+  // Why the node stopped for good: an entry or snapshot has an unsupported format. Empty: it has not stopped.
   const std::string& fault() const { return fault_; }
 
   // Whether it leads and has applied every entry committed in earlier terms.
   bool ready() const { return is_leader() && ready_term_ == term(); }
-  // The calls below fail where this node is not the leader.
+  // The calls below report failure to their callback where this node is not the leader.
   void propose(const std::string& entry, CommitCallback committed);
   // Membership changes; one at a time. A new member is a learner, which receives entries without a vote,
   // until promoted.
   void add(ReplicaId id, const std::string& address, CommitCallback committed);
   void promote(ReplicaId id, CommitCallback committed);
   void remove(ReplicaId id, CommitCallback committed);
-  // To whichever voter has caught up.
+  // Transfers leadership to any voter that has caught up.
   void transfer_leadership(CommitCallback committed);
 
  private:
--- a/src/consensus/raft_ports.h
+++ b/src/consensus/raft_ports.h
@@ -14,10 +14,10 @@
 
 namespace myrtlecroft::consensus {
 
-// Id of a cluster member, above 0; never used again for another storage folder.
+// Id of a cluster member, above 0; must never be reused with another storage folder.
 using ReplicaId = std::uint64_t;
 
-// All that a member must find again after a restart.
+// The state that a member must recover after a restart.
 struct PersistentState {
   std::uint64_t term = 0;
   ReplicaId voted_for = 0;  // 0: no vote in this term
@@ -26,14 +26,14 @@
   std::vector<LogEntry> entries;
 };
 
-// Durable storage of one member's vote, log and snapshot. A `WriteCallback` callback never runs within the
-// call that it was given to; its argument says whether the write is durable. After a failed write all later
-// writes fail as well, until load() has read again what is stored: otherwise the log would have a gap.
+// Durable storage of one member's vote, log and snapshot. A WriteCallback never runs within the call that it
+// was given to; its argument says whether the write is durable. After a failed write all later writes fail as
+// well, until load() has read the stored state again: otherwise the log would have a gap.
 class RaftStorage {
  public:
   using WriteCallback = std::function<void(bool durable)>;
   virtual ~RaftStorage() = default;
-  // Reads what is stored and clears the failed state.
+  // Reads the stored state and clears an earlier write failure.
   virtual PersistentState load() = 0;
   // Whether the disk accepts writes, as far as is known.
   virtual bool is_writable() const = 0;
@@ -46,7 +46,7 @@
   // Stores `snapshot`, then erases the entries before index `first_retained`.
   virtual void save_snapshot(const LogSnapshot& snapshot, std::uint64_t first_retained,
                              WriteCallback done) = 0;
-  // Replaces all that is stored; durable on return. Only before a node is started. Throws std::runtime_error.
+  // Replaces the stored state; durable on return. Only before a node is started. Throws std::runtime_error.
   virtual void replace(const PersistentState& state) = 0;
 };
 
@@ -65,9 +65,9 @@
   // Returns false where the entry's format is unknown to this version: the node then stops, because skipping
   // the entry would make its state differ from the other members'.
   virtual bool apply(std::uint64_t index, std::string_view entry) = 0;
-  // The whole state, serialized.
+  // Returns the complete state, serialized.
   virtual std::string snapshot() const = 0;
-  // Returns false where the snapshot's format is unknown to this version.
+  // Replaces the state. Returns false where the snapshot's format is unknown to this version.
   virtual bool restore(std::string_view snapshot) = 0;
 };
 
--- a/src/consensus/store_raft_storage.h
+++ b/src/consensus/store_raft_storage.h
@@ -21,10 +21,11 @@
   StoreRaftStorage(const std::string& folder, std::function<Nanos()> clock, std::function<void()> wake);
   ~StoreRaftStorage() override;
 
-  // Runs the `WriteCallback` callbacks of completed writes.
+  // Runs the WriteCallbacks of completed writes, in the order of the writes.
   void run_completions();
-  // The instance that the folder belongs to; another must not use it. 0: none yet.
+  // The replica that the folder belongs to; another one must not use it. 0: none yet.
   ReplicaId owner() const { return owner_; }
+  // Durable on return. Throws std::runtime_error where the write fails.
   void set_owner(ReplicaId id);
 
   PersistentState load() override;
@@ -36,27 +37,27 @@
   void replace(const PersistentState& state) override;
 
  private:
-  struct Finished {
+  struct Completion {
     WriteCallback done;
     bool durable = false;
   };
   void recover();
   void read_record(const store::Record& record, std::map<std::uint64_t, LogEntry>& entries);
   void put(const std::string& key, const std::string& value, std::function<void(bool)> done);
-  void drop_entry(std::uint64_t index);
+  void erase_entry(std::uint64_t index);
   bool put_and_wait(const std::string& key, const std::string& value);  // false: not known to be durable
-  WriteCallback in_order(WriteCallback done, std::function<void()> on_durable);
+  WriteCallback ordered_completion(WriteCallback done, std::function<void()> on_durable);
 
   store::FileDisk disk_;
   store::Store store_;
   ReplicaId owner_ = 0;
-  // What is known to be durable.
+  // The state that is known to be durable.
   PersistentState persisted_;
-  std::uint64_t highest_ = 0;  // index of any entry that was ever written
-  bool failed_ = false;        // a write failed since the last load()
-  std::uint64_t generation_ = 0;
-  std::deque<Finished> finished_;
-  std::unique_ptr<store::GroupCommitter> committer_;  // last: its thread ends first
+  std::uint64_t highest_written_ = 0;  // highest index of an entry that may be in the store
+  bool write_failed_ = false;          // since the last load()
+  std::uint64_t generation_ = 0;       // incremented by load(): completions from before it are ignored
+  std::deque<Completion> completions_;
+  std::unique_ptr<store::GroupCommitter> committer_;  // declared last, so that its thread ends first
 };
 
 }  // namespace myrtlecroft::consensus
--- a/src/control/admin_commands.cpp
+++ b/src/control/admin_commands.cpp
@@ -48,7 +48,7 @@
                         "this instance is out of touch with a majority, and nothing is permitted");
     return;
   }
-  for (const auto& [other, agreed] : replica.agreed().instances()) {
+  for (const auto& [other, agreed] : replica.committed_state().instances()) {
     if (agreed.format >= agreement::kMaintenanceFormat) continue;
     finish(pending,
            releases::kCommandRejectedPrefix + "instance " + std::to_string(other) + " knows no releases yet");
@@ -69,7 +69,7 @@
   agreement::ControlReplica& replica = control_.replica();
   for (auto next = pending_.begin(); next != pending_.end();) {
     PendingCommand& pending = next->second;
-    const agreement::CommandResult* result = replica.agreed().maintenance().result(pending.command);
+    const agreement::CommandResult* result = replica.committed_state().maintenance().result(pending.command);
     if (!result && loop_.now() < pending.deadline) {
       ++next;
       continue;
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -187,7 +187,7 @@
 
 void AdminQueries::set_replica_fields(AdminAnswer& answer) const {
   const agreement::ControlReplica& replica = replicated_->replica();
-  const agreement::ReplicatedState& state = replica.agreed();
+  const agreement::ReplicatedState& state = replica.committed_state();
   const consensus::RaftNode& raft = replica.raft_node();
   answer.set_instance(raft.id());
   answer.set_role(consensus::name_of(raft.role()));
@@ -217,8 +217,8 @@
   agreement::ControlReplica::PeerStatus reported = replica.peer_status(server.id());
   row.set_applied(row.here() ? answer.epoch() : reported.applied);
   row.set_heard_s_ago(row.here() ? 0 : seconds_since(reported.received_at, loop_.now()));
-  auto agreed = replica.agreed().instances().find(server.id());
-  if (agreed == replica.agreed().instances().end()) return;
+  auto agreed = replica.committed_state().instances().find(server.id());
+  if (agreed == replica.committed_state().instances().end()) return;
   row.set_format(agreed->second.format);
   row.set_settings(xds::hex(agreed->second.settings));
 }
--- a/src/control/maintenance_rows.cpp
+++ b/src/control/maintenance_rows.cpp
@@ -28,7 +28,7 @@
 
 void add_budget_rows(const agreement::ControlReplica& replica, AdminAnswer& answer) {
   std::set<std::string> leased;
-  for (const auto& [server, lease] : replica.agreed().maintenance().leases()) leased.insert(server);
+  for (const auto& [server, lease] : replica.committed_state().maintenance().leases()) leased.insert(server);
   const routing::Router& router = replica.router();
   const releases::DisruptionBudget budget(router.fleet(), router.registry().all(), leased);
   for (const releases::DisruptionBudget::Usage& part : budget.usage()) {
@@ -68,7 +68,7 @@
 }
 
 void set_release_row(const ReplicatedControl& control, AdminAnswer& answer) {
-  const agreement::ReplicatedState& state = control.replica().agreed();
+  const agreement::ReplicatedState& state = control.replica().committed_state();
   const agreement::Release& release = state.maintenance().release();
   if (release.id() == 0) return;
   ReleaseRow& row = *answer.mutable_release();
@@ -94,7 +94,7 @@
 }  // namespace
 
 void add_maintenance_rows(const ReplicatedControl& control, AdminAnswer& answer) {
-  const agreement::ReplicatedState& state = control.replica().agreed();
+  const agreement::ReplicatedState& state = control.replica().committed_state();
   add_lease_rows(state, answer);
   for (const std::string& server : state.maintenance().drains()) answer.add_drains(server);
   add_budget_rows(control.replica(), answer);
--- a/src/control/publisher.cpp
+++ b/src/control/publisher.cpp
@@ -23,7 +23,7 @@
   if (published && (!served_ || served_->number != published->number)) publish(*published);
   Nanos fresh = replica.lease_remaining();
   if (fresh == 0 && published) make_closed_set(*published);
-  update_gate(replica.agreed(), fresh > 0 ? loop_.now() + fresh : 0);
+  update_gate(replica.committed_state(), fresh > 0 ? loop_.now() + fresh : 0);
 }
 
 // Only when it is needed: until then a new stream is sent nothing.
--- a/src/releases/release_monitor.cpp
+++ b/src/releases/release_monitor.cpp
@@ -19,7 +19,7 @@
 }
 
 void ReleaseMonitor::measure_interruption(const RolloutContext& context) {
-  std::uint64_t epoch = context.view.agreed.epoch().number;
+  std::uint64_t epoch = context.view.committed_state.epoch().number;
   if (epoch == epoch_) return;
   if (epoch_seen_at_ > 0)
     longest_interruption_ = std::max(longest_interruption_, context.view.now - epoch_seen_at_);
--- a/src/releases/rollout_context.cpp
+++ b/src/releases/rollout_context.cpp
@@ -11,7 +11,7 @@
 
 RolloutContext::RolloutContext(const View& from)
     : view(from),
-      maintenance(from.agreed.maintenance()),
+      maintenance(from.committed_state.maintenance()),
       release(maintenance.release()),
       plan(release.plan()) {
   for (const routing::ServerStatus& server : all_servers()) servers[server.node.name] = &server;
--- a/src/releases/rollout_controller.cpp
+++ b/src/releases/rollout_controller.cpp
@@ -32,7 +32,7 @@
   RolloutContext context(view);
   agreement::Budgets budgets = budgets_of(view.router.fleet());
   bool budgets_agreed =
-      budgets.SerializeAsString() == view.agreed.maintenance().budgets().SerializeAsString();
+      budgets.SerializeAsString() == view.committed_state.maintenance().budgets().SerializeAsString();
   if (!budgets_agreed) *out.mutable_budgets() = budgets;
   propose_command_result(context, out);
   bool commanded = out.has_release() || out.drains_size() > 0;
--- a/tests/leader_lease_test.cpp
+++ b/tests/leader_lease_test.cpp
@@ -1,4 +1,4 @@
-// When a replica may count on its lease.
+// LeaderLease: when a replica holds its lease, and when it expires.
 #include "agreement/leader_lease.h"
 
 #include <gtest/gtest.h>
@@ -7,8 +7,8 @@
 namespace {
 
 struct LeaderLeaseTest : testing::Test {
-  consensus::Heartbeat word_of(const LeaderLease& from, consensus::ReplicaId to, consensus::ReplicaId leader,
-                               Nanos now, bool confirmed = false) {
+  consensus::Heartbeat heartbeat_of(const LeaderLease& from, consensus::ReplicaId to,
+                                    consensus::ReplicaId leader, Nanos now, bool confirmed = false) {
     consensus::Heartbeat out;
     from.fill_heartbeat(to, 3, leader, now, out);
     out.set_confirmed(confirmed);
@@ -19,20 +19,20 @@
 };
 
 TEST_F(LeaderLeaseTest, LeaseHoldsWhileAMajorityAnswers) {
-  follower.receive(1, word_of(leader, 2, 1, 100 * kMs), 3, 1);
-  leader.receive(2, word_of(follower, 1, 1, 7 * kMs), 3, 1);
+  follower.receive(1, heartbeat_of(leader, 2, 1, 100 * kMs), 3, 1);
+  leader.receive(2, heartbeat_of(follower, 1, 1, 7 * kMs), 3, 1);
   EXPECT_TRUE(leader.has_quorum(3, 1, 3, 200 * kMs));
-  EXPECT_FALSE(leader.has_quorum(3, 1, 5, 200 * kMs)) << "one other of five is no majority";
-  EXPECT_FALSE(leader.has_quorum(4, 1, 3, 200 * kMs)) << "a word of another term proves nothing";
+  EXPECT_FALSE(leader.has_quorum(3, 1, 5, 200 * kMs)) << "two of five replicas are no majority";
+  EXPECT_FALSE(leader.has_quorum(4, 1, 3, 200 * kMs)) << "a heartbeat of another term does not count";
   EXPECT_FALSE(leader.has_quorum(3, 1, 3, 1200 * kMs));
 }
 
 TEST_F(LeaderLeaseTest, HeartbeatsReadAfterAPauseDoNotRenewTheLease) {
-  leader.receive(2, word_of(follower, 1, 1, 5 * kMs), 3, 1);
-  follower.receive(1, word_of(leader, 2, 1, 10 * kMs, true), 3, 1);
-  leader.receive(2, word_of(follower, 1, 1, 50 * kMs), 3, 1);
-  consensus::Heartbeat waiting = word_of(leader, 2, 1, 60 * kMs, true);
-  // The follower stands still for a minute, and only then reads what was written to it at once.
+  leader.receive(2, heartbeat_of(follower, 1, 1, 5 * kMs), 3, 1);
+  follower.receive(1, heartbeat_of(leader, 2, 1, 10 * kMs, true), 3, 1);
+  leader.receive(2, heartbeat_of(follower, 1, 1, 50 * kMs), 3, 1);
+  consensus::Heartbeat waiting = heartbeat_of(leader, 2, 1, 60 * kMs, true);
+  // The follower is paused for a minute and only then reads the heartbeat, which was sent before the pause.
   follower.receive(1, waiting, 3, 1);
   EXPECT_TRUE(follower.has_quorum(3, 1, 3, 100 * kMs));
   EXPECT_FALSE(follower.has_quorum(3, 1, 3, 60 * kSecond));
--- a/tests/maintenance_rules_test.cpp
+++ b/tests/maintenance_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules by which the replicated state accepts or rejects steps of maintenance and releases.
+// The rules by which the replicated state accepts or rejects steps of maintenance leases and releases.
 #include <gtest/gtest.h>
 
 #include "agreement/replicated_state.h"
@@ -70,7 +70,7 @@
     decision.mutable_picture()->add_nodes()->set_name(node);
     ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
   }
-  void grant_drain_and_order(const std::string& node) {
+  void grant_drain_and_order_restart(const std::string& node) {
     ASSERT_EQ(grant(node), ApplyResult::kApplied);
     publish_without(node);
     ASSERT_EQ(apply_step(node, agreement::MAINTENANCE_DRAINED, state.published()), ApplyResult::kApplied);
@@ -78,11 +78,11 @@
   }
   void restart(const std::string& node, std::uint32_t version, const char* in_state = "ramping") {
     Decision decision = next();
-    routing_state::PersistedNode& memory = *decision.add_nodes();
-    memory.set_name(node);
-    memory.set_state(in_state);
-    memory.set_life(8);
-    memory.set_version(version);
+    routing_state::PersistedNode& restarted = *decision.add_nodes();
+    restarted.set_name(node);
+    restarted.set_state(in_state);
+    restarted.set_life(8);
+    restarted.set_version(version);
     ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
   }
   const agreement::MaintenanceLease* lease(const std::string& node) const {
@@ -93,7 +93,7 @@
 
 TEST_F(MaintenanceRulesTest, GrantBeyondTheBudgetIsRejected) {
   EXPECT_EQ(grant("n1"), ApplyResult::kApplied);
-  EXPECT_EQ(grant("n1"), ApplyResult::kInvalidMaintenance) << "not twice";
+  EXPECT_EQ(grant("n1"), ApplyResult::kInvalidMaintenance) << "it has a lease already";
   EXPECT_EQ(grant("n2"), ApplyResult::kApplied);
   EXPECT_EQ(grant("n3"), ApplyResult::kInvalidMaintenance);
   EXPECT_EQ(state.maintenance().leases().size(), 2u);
@@ -130,7 +130,7 @@
 }
 
 TEST_F(MaintenanceRulesTest, ServerIsBackOnlyAsNewIncarnationInTheTargetVersion) {
-  grant_drain_and_order("n1");
+  grant_drain_and_order_restart("n1");
   EXPECT_EQ(apply_step("n1", agreement::MAINTENANCE_RESTARTED), ApplyResult::kInvalidMaintenance)
       << "the same incarnation";
   restart("n1", 1);
@@ -155,7 +155,7 @@
 }
 
 TEST_F(MaintenanceRulesTest, HaltCancelsOrderedAndDrainingServersAtOnce) {
-  grant_drain_and_order("n1");
+  grant_drain_and_order_restart("n1");
   ASSERT_EQ(grant("n2"), ApplyResult::kApplied);
   fencing::Epoch before = state.assignments_epoch();
   ASSERT_EQ(apply_release(agreement::RELEASE_HALT), ApplyResult::kApplied);
@@ -170,7 +170,7 @@
 }
 
 TEST_F(MaintenanceRulesTest, RollbackIsGrantedOnlyToUpdatedServersAndTheirFormerVersion) {
-  grant_drain_and_order("n1");
+  grant_drain_and_order_restart("n1");
   restart("n1", 2, "serving");
   ASSERT_EQ(apply_step("n1", agreement::MAINTENANCE_RESTARTED), ApplyResult::kApplied);
   ASSERT_EQ(apply_step("n1", agreement::MAINTENANCE_COMPLETE), ApplyResult::kApplied);
@@ -191,7 +191,7 @@
 }
 
 TEST_F(MaintenanceRulesTest, ImageRestoresLeasesDrainsAndResults) {
-  grant_drain_and_order("n1");
+  grant_drain_and_order_restart("n1");
   Decision decision = next();
   decision.add_drains()->set_node("n3");
   decision.mutable_drains(0)->set_wanted(true);
--- a/tests/simulated_replicas_test.cpp
+++ b/tests/simulated_replicas_test.cpp
@@ -6,8 +6,8 @@
 namespace myrtlecroft::agreement {
 namespace {
 
-// A few seeds of what `make measure-agreement_sim` plays by the thousand.
-TEST(SimulatedReplicasTest, NothingIsDecidedTwiceUnderAnyFault) {
+// A few seeds of the simulation that `make measure-agreement_sim` runs with thousands.
+TEST(SimulatedReplicasTest, InvariantsHoldUnderFaults) {
   for (std::uint32_t seed = 1; seed <= 16; ++seed) {
     rehearsal::SimulationOptions options;
     options.seed = seed;
@@ -19,9 +19,9 @@
   }
 }
 
-// Seeds in which a folder is put back from an older copy while the others run.
+// Seeds in which a storage folder is restored from an older copy while the other replicas run.
 TEST(SimulatedReplicasTest, FolderRestoredFromAnOlderCopyIsDetected) {
-  int refused = 0;
+  int rejected_folders = 0;
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
     rehearsal::SimulationOptions options;
     options.seed = seed;
@@ -29,12 +29,12 @@
     options.faults_per_s = 1;
     rehearsal::SimulationResult result = rehearsal::Simulation(options).play();
     EXPECT_EQ(result.violations(), 0) << result.first;
-    refused += result.rejected_old_folders;
+    rejected_folders += result.rejected_old_folders;
   }
-  EXPECT_GT(refused, 0);
+  EXPECT_GT(rejected_folders, 0);
 }
 
-TEST(SimulatedReplicasTest, SameSeedGivesTheSameRun) {
+TEST(SimulatedReplicasTest, SimulationIsDeterministicForASeed) {
   rehearsal::SimulationOptions options;
   options.seed = 11;
   rehearsal::SimulationResult first = rehearsal::Simulation(options).play();
--- a/tests/store_raft_storage_test.cpp
+++ b/tests/store_raft_storage_test.cpp
@@ -1,4 +1,4 @@
-// The raft log on disk: what was saved is loaded again.
+// StoreRaftStorage: the vote, entries and snapshots that were saved are loaded again.
 #include "consensus/store_raft_storage.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
   std::atomic<Nanos> now = 0;
 };
 
-TEST_F(StoreRaftStorageTest, LoadsWhatWasSaved) {
+TEST_F(StoreRaftStorageTest, SavedStateIsLoadedAgain) {
   {
     auto storage = open();
     storage->set_owner(3);
