--- a/src/agreement/control_replica.h
+++ b/src/agreement/control_replica.h
@@ -121,8 +121,7 @@
   const consensus::RaftNode& raft_node() const { return *raft_node_; }
   // Why this replica stopped taking part for good; empty: it has not.
   const std::string& fault() const { return fault_; }
-  // Whether the storage is known to have all entries that this replica acknowledged. Until then it can't
-  // vote.
+  // Whether the storage is known to have all entries that this replica acknowledged; it must not vote before.
   bool storage_verified() const { return storage_verified_; }
   // Own proposals that the replicated state rejected although no other decision came between.
   std::uint64_t invalid_proposals() const { return invalid_proposals_; }
--- a/src/agreement/control_replica_messages.cpp
+++ b/src/agreement/control_replica_messages.cpp
@@ -106,8 +106,7 @@
   if (raft_node_->disk_failed() || state_.epoch().number < highest_applied_) return 0;
   Nanos remaining =
       lease_.remaining(raft_node_->term(), raft_node_->leader(), raft_node_->voter_count(), now());
-  // A leader that is new or was paused may not have applied all entries committed earlier; nor may a
-  // follower.
+  // A leader that is new or was paused, or a follower, may not have applied all committed entries yet.
   if (raft_node_->is_leader()) return raft_node_->ready() ? remaining : 0;
   return caught_up_at_ == 0
              ? 0
--- a/src/agreement/maintenance_image.cpp
+++ b/src/agreement/maintenance_image.cpp
@@ -20,12 +20,12 @@
   }
   for (const std::string& node : drains_) out.add_drains(node);
   *out.mutable_release() = release_;
-  for (const CommandResult& one : results_) *out.add_results() = one;
+  for (const CommandResult& result : results_) *out.add_results() = result;
 }
 
 bool MaintenanceState::restore(const MaintenanceImage& in) {
   budgets_ = in.budgets();
-  for (const Capacity& one : budgets_.capacities()) capacities_[one.node()] = one.capacity();
+  for (const Capacity& capacity : budgets_.capacities()) capacities_[capacity.node()] = capacity.capacity();
   for (const MaintenanceLeaseRecord& lease : in.trips()) {
     if (lease.place() >= kMaintenancePhases) return false;
     leases_[lease.node()] = {.phase = static_cast<MaintenancePhase>(lease.place()),
--- a/src/agreement/maintenance_state.cpp
+++ b/src/agreement/maintenance_state.cpp
@@ -50,19 +50,19 @@
   if (decision.has_budgets()) {
     budgets_ = decision.budgets();
     capacities_.clear();
-    for (const Capacity& one : budgets_.capacities()) capacities_[one.node()] = one.capacity();
+    for (const Capacity& capacity : budgets_.capacities()) capacities_[capacity.node()] = capacity.capacity();
   }
-  for (const DrainStep& one : decision.drains()) {
-    if (one.wanted() == drains_.contains(one.node())) return false;
-    one.wanted() ? void(drains_.insert(one.node())) : void(drains_.erase(one.node()));
-    auto lease = leases_.find(one.node());
-    bool drain_ends = !one.wanted() && lease != leases_.end() && lease->second.reason == REASON_DRAIN;
+  for (const DrainStep& drain : decision.drains()) {
+    if (drain.wanted() == drains_.contains(drain.node())) return false;
+    drain.wanted() ? void(drains_.insert(drain.node())) : void(drains_.erase(drain.node()));
+    auto lease = leases_.find(drain.node());
+    bool drain_ends = !drain.wanted() && lease != leases_.end() && lease->second.reason == REASON_DRAIN;
     if (drain_ends && lease->second.is_out_of_rotation())
       enter_phase(lease->second, MaintenancePhase::kCancelling, context);
   }
   if (decision.has_release() && !apply_step(decision.release(), context)) return false;
-  for (const MaintenanceStep& one : decision.trips()) {
-    if (!apply_step(one, context)) return false;
+  for (const MaintenanceStep& step : decision.trips()) {
+    if (!apply_step(step, context)) return false;
   }
   // Leases whose server has weight 0 for the first time in this publication.
   for (const routing_state::NodeRoute& node : context.snapshot.nodes()) {
@@ -78,9 +78,9 @@
   }
   // This text is part of the replicated state: changing it would make replicas of different versions diverge.
   for (const std::string& node : expired) end_lease(node, "its permit ran out");
-  for (const CommandResult& one : decision.results()) {
-    if (result(one.id())) return false;
-    results_.push_back(one);
+  for (const CommandResult& command_result : decision.results()) {
+    if (result(command_result.id())) return false;
+    results_.push_back(command_result);
     if (results_.size() > kMaxResults) results_.pop_front();
   }
   return true;
@@ -98,8 +98,8 @@
 }
 
 void MaintenanceState::mark_failed(const std::string& node, const std::string& failure) {
-  for (UpdatedServer& one : *release_.mutable_taken()) {
-    if (one.node() == node) one.set_failed(failure);
+  for (UpdatedServer& server : *release_.mutable_taken()) {
+    if (server.node() == node) server.set_failed(failure);
   }
 }
 
@@ -256,8 +256,8 @@
 }
 
 const CommandResult* MaintenanceState::result(std::uint64_t id) const {
-  for (const CommandResult& one : results_) {
-    if (one.id() == id) return &one;
+  for (const CommandResult& result : results_) {
+    if (result.id() == id) return &result;
   }
   return nullptr;
 }
--- a/src/agreement/maintenance_state.h
+++ b/src/agreement/maintenance_state.h
@@ -34,11 +34,11 @@
   std::uint64_t incarnation = 0;              // that the lease was granted to
   std::uint64_t zero_weight_publication = 0;  // the first publication with weight 0 for it; 0: none yet
   // Number of the decision that cancelled the lease after the restart was ordered. Until the server reports
-  // that it acts on that decision or a later one, it may still restart as ordered. 0: no restart was ordered.
+  // that it acts on that decision or a later one, it may still restart as ordered. 0: no such decision.
   std::uint64_t cancelled_in_decision = 0;
   // Replicated times. After `until` the lease has expired, and the server counts by its own state.
   Nanos granted_at = 0;
-  Nanos since = 0;
+  Nanos since = 0;  // when the lease entered its phase
   Nanos until = 0;
 
   bool is_out_of_rotation() const {
--- a/src/agreement/proposal.cpp
+++ b/src/agreement/proposal.cpp
@@ -94,9 +94,9 @@
   while (known != end) advance();
 }
 
-bool have_same_statuses(const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& one,
-                        const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& other) {
-  return std::equal(one.begin(), one.end(), other.begin(), other.end(),
+bool have_same_statuses(const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& first,
+                        const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& second) {
+  return std::equal(first.begin(), first.end(), second.begin(), second.end(),
                     [](const consensus::ProxyStatus& left, const consensus::ProxyStatus& right) {
                       return left.id() == right.id() && left.applied() == right.applied() &&
                              left.here() == right.here();
@@ -142,8 +142,7 @@
 std::uint64_t ProxyRegistry::min_applied(const ReplicatedState& committed, Nanos now) const {
   std::uint64_t out = std::numeric_limits<std::uint64_t>::max();
   for (const auto& [id, disconnected_since] : committed.proxies()) {
-    // The minimum over the replicas that list the proxy as connected; older lists count only without fresh
-    // ones.
+    // The minimum over the replicas that list the proxy; older lists count only where no fresh one does.
     std::optional<std::uint64_t> fresh;
     std::optional<std::uint64_t> old;
     for (const auto& [replica, received] : by_replica_) {
--- a/src/agreement/proposal.h
+++ b/src/agreement/proposal.h
@@ -28,8 +28,8 @@
               const google::protobuf::RepeatedPtrField<consensus::ProxyStatus>& proxies, Nanos now);
   // Renews the age of a replica's unchanged list.
   void refresh(consensus::ReplicaId by, Nanos now) { by_replica_[by].received_at = now; }
-  void remove(consensus::ReplicaId one) {
-    by_replica_.erase(one);
+  void remove(consensus::ReplicaId id) {
+    by_replica_.erase(id);
     ++revision_;
   }
 
--- a/src/agreement/release_steps.cpp
+++ b/src/agreement/release_steps.cpp
@@ -54,8 +54,8 @@
 }
 
 const UpdatedServer* MaintenanceState::updated_server(const std::string& node) const {
-  for (const UpdatedServer& one : release_.taken()) {
-    if (one.node() == node) return &one;
+  for (const UpdatedServer& server : release_.taken()) {
+    if (server.node() == node) return &server;
   }
   return nullptr;
 }
@@ -91,7 +91,7 @@
         cancel_leases(REASON_RELEASE, context);
         [[fallthrough]];
       case RELEASE_RESUME:
-        for (UpdatedServer& one : *release_.mutable_taken()) one.clear_failed();
+        for (UpdatedServer& server : *release_.mutable_taken()) server.clear_failed();
         break;
       default:
         break;
--- a/src/agreement/replicated_state.cpp
+++ b/src/agreement/replicated_state.cpp
@@ -72,7 +72,8 @@
   if (!apply_snapshot(decision)) return ApplyResult::kInvalidSnapshot;
   if (!apply_proxies(decision)) return ApplyResult::kInvalidProxies;
   if (!apply_maintenance(decision)) return ApplyResult::kInvalidMaintenance;
-  for (const InstanceRecord& one : decision.instances()) replicas_[one.id()] = {one.format(), one.settings()};
+  for (const InstanceRecord& record : decision.instances())
+    replicas_[record.id()] = {record.format(), record.settings()};
   for (std::uint64_t id : decision.instances_gone()) replicas_.erase(id);
   return ApplyResult::kApplied;
 }
@@ -129,9 +130,9 @@
     if (found->second == kProxyConnected) found->second = time_;
   }
   // Forgets expired proxies by replicated time, so that every replica forgets them with the same decision.
-  std::size_t forgotten = std::erase_if(proxies_, [&](const auto& one) {
-    return one.second != kProxyConnected && disconnected_proxy_expiry_ > 0 &&
-           time_ - one.second >= disconnected_proxy_expiry_;
+  std::size_t forgotten = std::erase_if(proxies_, [&](const auto& proxy) {
+    return proxy.second != kProxyConnected && disconnected_proxy_expiry_ > 0 &&
+           time_ - proxy.second >= disconnected_proxy_expiry_;
   });
   if (decision.proxies_here_size() > 0 || decision.proxies_gone_size() > 0 || forgotten > 0)
     proxies_epoch_ = epoch_;
@@ -264,7 +265,8 @@
   out.snapshot_ = std::make_shared<const routing_state::Snapshot>(in.picture());
   for (const ProxyState& proxy : in.proxies()) out.proxies_[proxy.id()] = proxy.gone_since_ns();
   if (!out.maintenance_.restore(in.outings())) return false;
-  for (const InstanceRecord& one : in.instances()) out.replicas_[one.id()] = {one.format(), one.settings()};
+  for (const InstanceRecord& record : in.instances())
+    out.replicas_[record.id()] = {record.format(), record.settings()};
   out.rejected_entries_ = rejected_entries_;
   *this = std::move(out);
   return true;
--- a/src/agreement/replicated_state.h
+++ b/src/agreement/replicated_state.h
@@ -92,8 +92,7 @@
 
  private:
   ApplyResult check_and_apply(const Decision& decision);
-  // The parts of check_and_apply(), in this order. They return false where that part of the decision is
-  // invalid.
+  // The parts of check_and_apply(), in this order; false where that part of the decision is invalid.
   void apply_servers(const Decision& decision);
   bool apply_shards(const Decision& decision);
   bool apply_snapshot(const Decision& decision);
--- a/src/consensus/raft_io.h
+++ b/src/consensus/raft_io.h
@@ -53,8 +53,8 @@
   std::uint64_t next = 1;  // index of the next entry that is appended
   std::optional<LogSnapshot> last_snapshot;
   std::deque<DeferredCall> deferred;
-  std::map<std::uint64_t, std::function<void(int code)>> pending_writes;  // by number
-  std::uint64_t last_write = 0;                                           // number
+  std::map<std::uint64_t, std::function<void(int code)>> pending_writes;  // by number of the write
+  std::uint64_t last_write = 0;                                           // number of the latest write
   bool failed = false;                                    // a write failed; the node is unusable
   std::shared_ptr<int> alive = std::make_shared<int>(0);  // reset on close
 };
--- a/src/consensus/store_raft_storage.cpp
+++ b/src/consensus/store_raft_storage.cpp
@@ -153,9 +153,9 @@
 void StoreRaftStorage::run_completions() {
   committer_->deliver_completions();
   while (!completions_.empty()) {
-    Completion one = std::move(completions_.front());
+    Completion completion = std::move(completions_.front());
     completions_.pop_front();
-    one.done(one.durable);
+    completion.done(completion.durable);
   }
 }
 
--- a/tests/maintenance_rules_test.cpp
+++ b/tests/maintenance_rules_test.cpp
@@ -47,10 +47,10 @@
   }
   ApplyResult grant(const std::string& node, Nanos duration = 10 * kSecond) {
     Decision decision = next();
-    agreement::MaintenanceStep& one = add_step(decision, node, agreement::MAINTENANCE_GRANT);
-    one.set_why(agreement::REASON_RELEASE);
-    one.set_version(2);
-    one.set_for_ns(duration);
+    agreement::MaintenanceStep& step = add_step(decision, node, agreement::MAINTENANCE_GRANT);
+    step.set_why(agreement::REASON_RELEASE);
+    step.set_version(2);
+    step.set_for_ns(duration);
     return state.apply(decision);
   }
   ApplyResult apply_step(const std::string& node, MaintenanceInput input, std::uint64_t applied = 0) {
@@ -177,10 +177,10 @@
   ASSERT_EQ(apply_release(agreement::RELEASE_ROLL_BACK), ApplyResult::kApplied);
   for (auto [node, version, accepted] : {std::tuple("n2", 1u, false), {"n1", 3u, false}, {"n1", 1u, true}}) {
     Decision decision = next();
-    agreement::MaintenanceStep& one = add_step(decision, node, agreement::MAINTENANCE_GRANT);
-    one.set_why(agreement::REASON_ROLLBACK);
-    one.set_version(version);
-    one.set_for_ns(kSecond);
+    agreement::MaintenanceStep& step = add_step(decision, node, agreement::MAINTENANCE_GRANT);
+    step.set_why(agreement::REASON_ROLLBACK);
+    step.set_version(version);
+    step.set_for_ns(kSecond);
     EXPECT_EQ(state.apply(decision) == ApplyResult::kApplied, accepted) << node << " to " << version;
   }
 }
