--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -1,5 +1,6 @@
-// The file operations the store needs: one folder of append-only files. FileDisk implements them on a file
-// system, FakeDisk (tests) on memory with losses and faults. Called by the store's one thread.
+// The file operations that the store needs: one folder of append-only files. FileDisk implements them on a
+// file system; FakeDisk, for tests, in memory with simulated crashes and faults. Not thread-safe: called on
+// the thread that owns the store.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +12,14 @@
 
 namespace myrtlecroft::store {
 
-// A failed file operation; `code` is its errno.
+// Thrown when a file operation fails; `code` is the errno of the failed call.
 struct DiskError : std::runtime_error {
   DiskError(const std::string& what, int error_code) : std::runtime_error(what), code(error_code) {}
   int code;
 };
 
-// A file open for appending. Appended bytes are durable once sync() has returned; after either call has
-// thrown DiskError it is unknown which of the bytes since the last sync are on the disk.
+// A file open for appending. Appended bytes are durable once sync() has returned. Both calls may throw
+// DiskError; it is then unknown which of the bytes appended since the last sync are on the disk.
 class File {
  public:
   virtual ~File() = default;
@@ -26,25 +27,26 @@
   virtual void sync() = 0;
 };
 
-// One folder. Every call may throw DiskError.
+// One folder of files. Every call may throw DiskError.
 class Disk {
  public:
   virtual ~Disk() = default;
-  // Takes the folder's exclusive lock for the life of this object; false while another process has it.
+  // Takes the folder's exclusive lock and holds it until this object is destroyed. Returns false while
+  // another process holds the lock.
   virtual bool try_lock() = 0;
-  // The names of all files, sorted.
+  // Returns the names of all files, sorted.
   virtual std::vector<std::string> list() = 0;
-  // Opens a new, empty file, which replaces one of the same name.
+  // Creates an empty file and opens it for appending; replaces an existing file of that name.
   virtual std::unique_ptr<File> create(const std::string& name) = 0;
-  // In bytes.
+  // Returns the size of the file in bytes.
   virtual std::uint64_t size(const std::string& name) = 0;
-  // Up to `max` bytes from `offset`; fewer at the end of the file.
+  // Returns up to `max` bytes from `offset`; fewer only if the file ends first.
   virtual std::string read(const std::string& name, std::uint64_t offset, std::size_t max) = 0;
-  // Replaces a file named `to`.
+  // Renames a file; replaces an existing file named `to`.
   virtual void rename(const std::string& from, const std::string& to) = 0;
-  // Does nothing where there is no such file.
+  // Removes a file; does nothing if it does not exist.
   virtual void remove(const std::string& name) = 0;
-  // Makes creations, renames and removals so far durable.
+  // Makes all earlier creations, renames and removals in the folder durable.
   virtual void sync_folder() = 0;
 };
 
--- a/src/store/file_disk.cpp
+++ b/src/store/file_disk.cpp
@@ -19,25 +19,26 @@
   throw DiskError(what + ": " + std::strerror(code), code);
 }
 
+// A file opened with O_APPEND; owns its descriptor.
 class AppendFile final : public File {
  public:
-  AppendFile(std::string path, int file) : path_(std::move(path)), file_(file) {}
-  ~AppendFile() override { ::close(file_); }
+  AppendFile(std::string path, int descriptor) : path_(std::move(path)), descriptor_(descriptor) {}
+  ~AppendFile() override { ::close(descriptor_); }
   void append(std::string_view bytes) override {
     while (!bytes.empty()) {
-      ssize_t written = ::write(file_, bytes.data(), bytes.size());
+      ssize_t written = ::write(descriptor_, bytes.data(), bytes.size());
       if (written < 0 && errno == EINTR) continue;
       if (written < 0) throw_disk_error(path_);
       bytes.remove_prefix(static_cast<std::size_t>(written));
     }
   }
   void sync() override {
-    if (::fdatasync(file_) != 0) throw_disk_error(path_);
+    if (::fdatasync(descriptor_) != 0) throw_disk_error(path_);
   }
 
  private:
   std::string path_;
-  int file_;
+  int descriptor_;
 };
 
 }  // namespace
@@ -50,16 +51,16 @@
 }
 
 FileDisk::~FileDisk() {
-  if (lock_ >= 0) ::close(lock_);
-  if (reader_ >= 0) ::close(reader_);
+  if (lock_descriptor_ >= 0) ::close(lock_descriptor_);
+  if (read_descriptor_ >= 0) ::close(read_descriptor_);
 }
 
 bool FileDisk::try_lock() {
-  lock_ = ::open(path("LOCK").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) throw_disk_error(path("LOCK"));
-  if (::flock(lock_, LOCK_EX | LOCK_NB) == 0) return true;
+  lock_descriptor_ = ::open(path("LOCK").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  if (lock_descriptor_ < 0) throw_disk_error(path("LOCK"));
+  if (::flock(lock_descriptor_, LOCK_EX | LOCK_NB) == 0) return true;
   if (errno != EWOULDBLOCK) throw_disk_error(path("LOCK"));
-  ::close(std::exchange(lock_, -1));
+  ::close(std::exchange(lock_descriptor_, -1));
   return false;
 }
 
@@ -77,9 +78,9 @@
 }
 
 std::unique_ptr<File> FileDisk::create(const std::string& name) {
-  int file = ::open(path(name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
-  if (file < 0) throw_disk_error(path(name));
-  return std::make_unique<AppendFile>(path(name), file);
+  int descriptor = ::open(path(name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
+  if (descriptor < 0) throw_disk_error(path(name));
+  return std::make_unique<AppendFile>(path(name), descriptor);
 }
 
 std::uint64_t FileDisk::size(const std::string& name) {
@@ -89,18 +90,18 @@
 }
 
 std::string FileDisk::read(const std::string& name, std::uint64_t offset, std::size_t max) {
-  if (reading_ != name) {
-    if (reader_ >= 0) ::close(std::exchange(reader_, -1));
-    reading_.clear();
-    reader_ = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
-    if (reader_ < 0) throw_disk_error(path(name));
-    reading_ = name;
+  if (open_file_name_ != name) {
+    if (read_descriptor_ >= 0) ::close(std::exchange(read_descriptor_, -1));
+    open_file_name_.clear();
+    read_descriptor_ = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
+    if (read_descriptor_ < 0) throw_disk_error(path(name));
+    open_file_name_ = name;
   }
   std::string out(max, '\0');
   std::size_t received = 0;
   while (received < max) {
-    ssize_t count =
-        ::pread(reader_, out.data() + received, max - received, static_cast<off_t>(offset + received));
+    ssize_t count = ::pread(read_descriptor_, out.data() + received, max - received,
+                            static_cast<off_t>(offset + received));
     if (count < 0 && errno == EINTR) continue;
     if (count < 0) throw_disk_error(path(name));
     if (count == 0) break;
@@ -112,12 +113,12 @@
 
 void FileDisk::rename(const std::string& from, const std::string& to) {
   if (::rename(path(from).c_str(), path(to).c_str()) != 0) throw_disk_error(path(to));
-  if (reading_ == to || reading_ == from) reading_.clear();
+  if (open_file_name_ == to || open_file_name_ == from) open_file_name_.clear();
 }
 
 void FileDisk::remove(const std::string& name) {
   if (::unlink(path(name).c_str()) != 0 && errno != ENOENT) throw_disk_error(path(name));
-  if (reading_ == name) reading_.clear();
+  if (open_file_name_ == name) open_file_name_.clear();
 }
 
 void FileDisk::sync_folder() {
--- a/src/store/file_disk.h
+++ b/src/store/file_disk.h
@@ -1,4 +1,4 @@
-// A folder of a file system as a Disk. Used by the store's thread, and by the store's tool.
+// Implements Disk on a folder of the file system. Not thread-safe.
 #pragma once
 
 #include "store/disk.h"
@@ -7,7 +7,7 @@
 
 class FileDisk final : public Disk {
  public:
-  // Creates the folder where it is missing. Throws DiskError.
+  // Creates the folder if it does not exist. Throws DiskError if that fails or the path is not a folder.
   explicit FileDisk(std::string folder);
   ~FileDisk() override;
   FileDisk(const FileDisk&) = delete;
@@ -26,10 +26,11 @@
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
 
   std::string folder_;
-  int lock_ = -1;
-  // The file read last stays open: recovery and compaction read one from end to end.
-  std::string reading_;
-  int reader_ = -1;
+  int lock_descriptor_ = -1;  // of the locked file LOCK; -1: not locked
+  // The file that was read last stays open, because recovery and compaction read a file from end to end in
+  // several calls. -1: no file is open.
+  std::string open_file_name_;
+  int read_descriptor_ = -1;
 };
 
 }  // namespace myrtlecroft::store
--- a/src/store/group_committer.cpp
+++ b/src/store/group_committer.cpp
@@ -7,9 +7,9 @@
 namespace myrtlecroft::store {
 namespace {
 
-constexpr auto kIdleWait = std::chrono::milliseconds(50);  // between looks for what compaction could do
-constexpr auto kSliceWait = std::chrono::milliseconds(1);  // between its slices: the disk is free meanwhile
-constexpr const char* kProbeKey = "\x01trial";             // stored
+constexpr auto kCompactionCheckInterval = std::chrono::milliseconds(50);  // while no segment needs it
+constexpr auto kPauseBetweenSlices = std::chrono::milliseconds(1);        // leaves the disk free for commits
+constexpr const char* kProbeKey = "\x01trial";  // the key in stored data; must not change
 constexpr Nanos kProbeWindow = kSecond;
 
 }  // namespace
@@ -30,42 +30,42 @@
     std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  changed_.notify_one();
+  queue_changed_.notify_one();
   thread_.join();
 }
 
 DiskHealth GroupCommitter::health() const {
   if (failed_) return DiskHealth::kFailed;
-  Nanos began = commit_began_;
-  return began && clock_() - began > options_.slow_commit_threshold ? DiskHealth::kSlow
-                                                                    : DiskHealth::kHealthy;
+  Nanos started_at = commit_started_at_;
+  return started_at && clock_() - started_at > options_.slow_commit_threshold ? DiskHealth::kSlow
+                                                                              : DiskHealth::kHealthy;
 }
 
 void GroupCommitter::put(std::string key, std::string value, Nanos window, Completion completion) {
   bool accepted = key.size() <= kMaxKeyBytes && value.size() <= kMaxValueBytes;
   {
     std::lock_guard lock(mutex_);
-    accepted = accepted && !failed_ && requests_.size() < options_.max_queued_records;
+    accepted = accepted && !failed_ && queued_writes_.size() < options_.max_queued_records;
     if (accepted) {
-      requests_.push_back({.key = std::move(key),
-                           .value = std::move(value),
-                           .window = window,
-                           .completion = std::move(completion)});
+      queued_writes_.push_back({.key = std::move(key),
+                                .value = std::move(value),
+                                .window = window,
+                                .completion = std::move(completion)});
     } else {
       results_.push_back({.completion = std::move(completion), .durable = false});
     }
   }
   if (!accepted) return wake_();
-  changed_.notify_one();
+  queue_changed_.notify_one();
 }
 
 void GroupCommitter::erase(std::string key) {
   {
     std::lock_guard lock(mutex_);
-    if (failed_ || requests_.size() >= options_.max_queued_records) return;
-    requests_.push_back({.key = std::move(key), .value = {}, .erases = true, .completion = {}});
+    if (failed_ || queued_writes_.size() >= options_.max_queued_records) return;
+    queued_writes_.push_back({.key = std::move(key), .value = {}, .is_erasure = true, .completion = {}});
   }
-  changed_.notify_one();
+  queue_changed_.notify_one();
 }
 
 void GroupCommitter::deliver_completions() {
@@ -86,13 +86,13 @@
   return stats;
 }
 
-// ---- On the committer's thread
+// ---- Runs on the committer thread
 
 void GroupCommitter::run() {
   bool compacting = false;
-  std::vector<Request> requests;
-  while (wait_for_requests(requests, compacting)) {
-    if (!requests.empty()) commit_requests(requests);
+  std::vector<QueuedWrite> writes;
+  while (wait_for_writes(writes, compacting)) {
+    if (!writes.empty()) commit_writes(writes);
     if (failed_) {
       compacting = false;
       probe_disk();
@@ -102,55 +102,56 @@
   }
 }
 
-// Waits for requests, or for the time of the next slice of compaction. False: it is time to stop.
-bool GroupCommitter::wait_for_requests(std::vector<Request>& requests, bool compacting) {
-  requests.clear();
+// Waits for queued writes, at most until the next compaction slice is due, and moves them to `writes`.
+// Returns false once the committer is being destroyed and the queue is empty.
+bool GroupCommitter::wait_for_writes(std::vector<QueuedWrite>& writes, bool compacting) {
+  writes.clear();
   std::unique_lock lock(mutex_);
-  changed_.wait_for(lock, compacting ? kSliceWait : kIdleWait,
-                    [&] { return stopping_ || !requests_.empty(); });
-  requests.swap(requests_);
-  return !stopping_ || !requests.empty();
+  queue_changed_.wait_for(lock, compacting ? kPauseBetweenSlices : kCompactionCheckInterval,
+                          [&] { return stopping_ || !queued_writes_.empty(); });
+  writes.swap(queued_writes_);
+  return !stopping_ || !writes.empty();
 }
 
-void GroupCommitter::commit_requests(std::vector<Request>& requests) {
-  bool durable = !failed_ && commit(requests);
+void GroupCommitter::commit_writes(std::vector<QueuedWrite>& writes) {
+  bool durable = !failed_ && commit(writes);
   {
     std::lock_guard lock(mutex_);
-    for (Request& request : requests) {
-      results_.push_back({.completion = std::move(request.completion), .durable = durable});
+    for (QueuedWrite& write : writes) {
+      results_.push_back({.completion = std::move(write.completion), .durable = durable});
     }
   }
   wake_();
 }
 
-bool GroupCommitter::commit(std::vector<Request>& requests) {
-  const Nanos began = clock_();
-  commit_began_ = began;
+bool GroupCommitter::commit(std::vector<QueuedWrite>& writes) {
+  const Nanos started_at = clock_();
+  commit_started_at_ = started_at;
   bool durable = true;
   try {
-    for (Request& request : requests) {
-      if (request.erases) {
-        store_.erase(request.key);
+    for (QueuedWrite& write : writes) {
+      if (write.is_erasure) {
+        store_.erase(write.key);
       } else {
-        store_.put(std::move(request.key), std::move(request.value), request.window);
+        store_.put(std::move(write.key), std::move(write.value), write.window);
       }
     }
     store_.commit();
   } catch (const DiskError&) {
     durable = false;
   }
-  const Nanos took = clock_() - began;
-  commit_began_ = 0;
+  const Nanos duration = clock_() - started_at;
+  commit_started_at_ = 0;
   if (!durable) failed_ = true;
   std::lock_guard lock(mutex_);
   ++stats_.commits;
   if (!durable) ++stats_.failed;
-  stats_.records += requests.size();
-  stats_.longest_commit = std::max(stats_.longest_commit, took);
+  stats_.records += writes.size();
+  stats_.longest_commit = std::max(stats_.longest_commit, duration);
   return durable;
 }
 
-// Does one slice of compaction; true: there is more to do.
+// Runs and commits one compaction slice. Returns whether there is more to compact.
 bool GroupCommitter::compact() {
   try {
     if (!store_.compact_slice()) return false;
@@ -162,13 +163,13 @@
   }
 }
 
-// Waits for the backoff, then commits a record of its own. It goes to a new segment: one that failed is never
-// synced again.
+// Waits for the backoff, then commits a probe record. The store writes it to a new segment, because a segment
+// whose write or sync failed is never synced again.
 void GroupCommitter::probe_disk() {
   backoff_ = std::clamp(2 * backoff_, options_.initial_backoff, options_.max_backoff);
   {
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, std::chrono::nanoseconds(backoff_), [&] { return stopping_; });
+    queue_changed_.wait_for(lock, std::chrono::nanoseconds(backoff_), [&] { return stopping_; });
     if (stopping_) return;
   }
   try {
--- a/src/store/hdf5_export.cpp
+++ b/src/store/hdf5_export.cpp
@@ -10,14 +10,14 @@
 namespace myrtlecroft::store {
 namespace {
 
-// The HDF5 file being written. It remembers whether any call failed.
+// An HDF5 file that is being written. Failures of single columns are reported by close(), which throws.
 class ColumnFile {
  public:
   ColumnFile(std::string path, hsize_t rows)
       : path_(std::move(path)),
         rows_(rows),
         file_(H5Fcreate(path_.c_str(), H5F_ACC_TRUNC, H5P_DEFAULT, H5P_DEFAULT)) {
-    if (file_ < 0) throw DiskError(path_ + ": can't be written", EIO);
+    if (file_ < 0) throw DiskError(path_ + ": can't create the HDF5 file", EIO);
   }
   ~ColumnFile() {
     if (file_ >= 0) H5Fclose(file_);
@@ -25,33 +25,37 @@
   ColumnFile(const ColumnFile&) = delete;
   ColumnFile& operator=(const ColumnFile&) = delete;
 
+  // The element types of one column.
   struct Types {
     hid_t on_disk;
     hid_t in_memory;
   };
   void write_column(const char* name, const Types& types, const void* data) {
-    hid_t space = H5Screate_simple(1, &rows_, nullptr);
-    hid_t set = H5Dcreate2(file_, name, types.on_disk, space, H5P_DEFAULT, H5P_DEFAULT, H5P_DEFAULT);
-    if (set < 0) {
+    hid_t data_space = H5Screate_simple(1, &rows_, nullptr);
+    hid_t data_set =
+        H5Dcreate2(file_, name, types.on_disk, data_space, H5P_DEFAULT, H5P_DEFAULT, H5P_DEFAULT);
+    if (data_set < 0) {
       failed_ = true;
     } else {
-      if (rows_ > 0 && H5Dwrite(set, types.in_memory, H5S_ALL, H5S_ALL, H5P_DEFAULT, data) < 0)
+      if (rows_ > 0 && H5Dwrite(data_set, types.in_memory, H5S_ALL, H5S_ALL, H5P_DEFAULT, data) < 0)
         failed_ = true;
-      H5Dclose(set);
+      H5Dclose(data_set);
     }
-    H5Sclose(space);
+    H5Sclose(data_space);
   }
+  // Writes each text as a variable-length sequence of bytes.
   void write_bytes(const char* name, const std::vector<std::string>& texts) {
-    std::vector<hvl_t> cells;
-    cells.reserve(texts.size());
-    for (const std::string& text : texts) cells.push_back({text.size(), const_cast<char*>(text.data())});
+    std::vector<hvl_t> sequences;
+    sequences.reserve(texts.size());
+    for (const std::string& text : texts) sequences.push_back({text.size(), const_cast<char*>(text.data())});
     hid_t bytes = H5Tvlen_create(H5T_NATIVE_UCHAR);
-    write_column(name, {.on_disk = bytes, .in_memory = bytes}, cells.data());
+    write_column(name, {.on_disk = bytes, .in_memory = bytes}, sequences.data());
     H5Tclose(bytes);
   }
+  // Throws DiskError if any write failed.
   void close() {
     if (H5Fclose(std::exchange(file_, -1)) < 0) failed_ = true;
-    if (failed_) throw DiskError(path_ + ": not all of it was written", EIO);
+    if (failed_) throw DiskError(path_ + ": writing the HDF5 file failed, it is incomplete", EIO);
   }
 
  private:
--- a/src/store/hdf5_export.h
+++ b/src/store/hdf5_export.h
@@ -1,4 +1,4 @@
-// Writes records as columns of an HDF5 file, for analysis. Called by the tool's main.
+// Exports records to an HDF5 file with one column per field, for analysis. Used by myrtlecroft-store.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,14 @@
 
 namespace myrtlecroft::store {
 
-// Collects records, then writes one data set per field, in the order they were added.
+// Collects records in memory, then writes one data set per field with the records in the order they were
+// added.
 class Hdf5Export {
  public:
   void add(const Record& record, std::uint64_t segment);
-  // Replaces the file. Throws DiskError.
+  // Writes the HDF5 file and replaces an existing one. Throws DiskError.
   void write(const std::string& path) const;
+  // Returns the number of records added.
   std::size_t records() const { return sequences_.size(); }
 
  private:
--- a/src/store/hint_file.cpp
+++ b/src/store/hint_file.cpp
@@ -5,10 +5,11 @@
 
 constexpr std::string_view kMagic = "MYRTLHNT";
 constexpr std::size_t kHeaderBytes = 8 + 4 + 8 + 8 + 8 + 8;     // magic, version, number, salt, bytes, count
-constexpr std::size_t kEntryBytes = 1 + 8 + 4 + 8 + 8 + 8 + 2;  // and the key
+constexpr std::size_t kEntryBytes = 1 + 8 + 4 + 8 + 8 + 8 + 2;  // location, length of the key; then the key
 constexpr std::size_t kChecksumBytes = 8;
 
-bool describes(std::string_view body, const HintedSegment& segment) {
+// Whether the format version, segment number and segment size match. The salt is covered by the checksum.
+bool matches_segment(std::string_view body, const HintedSegment& segment) {
   return get_number<std::uint32_t>(body.substr(8)) == kFormatVersion &&
          get_number<std::uint64_t>(body.substr(12)) == segment.number &&
          get_number<std::uint64_t>(body.substr(28)) == segment.bytes;
@@ -26,7 +27,7 @@
 
 }  // namespace
 
-std::string write_hints(const HintedSegment& segment, const std::vector<Hint>& hints) {
+std::string serialize_hints(const HintedSegment& segment, const std::vector<Hint>& hints) {
   std::string bytes(kMagic);
   put_number(bytes, kFormatVersion);
   put_number(bytes, segment.number);
@@ -47,12 +48,12 @@
   return bytes;
 }
 
-std::optional<std::vector<Hint>> read_hints(std::string_view file, const HintedSegment& segment) {
+std::optional<std::vector<Hint>> parse_hints(std::string_view file, const HintedSegment& segment) {
   if (file.size() < kHeaderBytes + kChecksumBytes || !file.starts_with(kMagic)) return std::nullopt;
   std::string_view body = file.substr(0, file.size() - kChecksumBytes);
   if (get_number<std::uint64_t>(file.substr(body.size())) != checksum(body, segment.salt))
     return std::nullopt;
-  if (!describes(body, segment)) return std::nullopt;
+  if (!matches_segment(body, segment)) return std::nullopt;
   auto count = get_number<std::uint64_t>(body.substr(36));
   std::vector<Hint> hints;
   std::string_view rest = body.substr(kHeaderBytes);
--- a/src/store/hint_file.h
+++ b/src/store/hint_file.h
@@ -1,5 +1,6 @@
-// Hint files: a sealed segment's keys and where their records lie, so that a start need not read the segment.
-// They are not synced: a lost or torn one costs a scan. No I/O; called by the store's thread.
+// The format of hint files. A hint file lists the keys of a sealed segment and the locations of their
+// records, so that recovery need not scan the segment. Hint files are not synced: if one is lost or torn, the
+// segment is scanned. These functions do no I/O and may be called on any thread.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +13,22 @@
 
 namespace myrtlecroft::store {
 
-// One record of the segment.
+// The key and location of one record of the segment.
 struct Hint {
   std::string key;
   RecordLocation location;
 };
 
-// The segment that a hint file describes, as it was when it was sealed.
+// Identifies the segment that a hint file describes. A hint file is valid only if all three values match.
 struct HintedSegment {
   std::uint64_t number = 0;
   std::uint64_t salt = 0;
-  std::uint64_t bytes = 0;
+  std::uint64_t bytes = 0;  // size when the segment was sealed
 };
 
-std::string write_hints(const HintedSegment& segment, const std::vector<Hint>& hints);
-// None: damaged, of another version, or not of this segment as it is now.
-std::optional<std::vector<Hint>> read_hints(std::string_view file, const HintedSegment& segment);
+// Returns the content of the segment's hint file.
+std::string serialize_hints(const HintedSegment& segment, const std::vector<Hint>& hints);
+// Returns nothing if the file is damaged, has another format version, or doesn't match the segment.
+std::optional<std::vector<Hint>> parse_hints(std::string_view file, const HintedSegment& segment);
 
 }  // namespace myrtlecroft::store
--- a/src/store/inspection_output.cpp
+++ b/src/store/inspection_output.cpp
@@ -6,11 +6,11 @@
 namespace myrtlecroft::store {
 namespace {
 
-using UnsignedLong = unsigned long long;  // as printf takes it
+using UnsignedLong = unsigned long long;  // matches printf's %llu; SignedLong matches %lld
 using SignedLong = long long;
 
-// These words are read by scripts.
-const char* remark_on(const SegmentInspection& segment) {
+// Returns the text of the `remark` column. Scripts match these texts, so they must not change.
+const char* segment_remark(const SegmentInspection& segment) {
   if (!segment.listed) return "left by compaction";
   if (!segment.header_valid) return "head damaged";
   if (!segment.skipped_only_at_end) return "damaged amid records";
@@ -21,7 +21,7 @@
   std::printf("%-16s %7u %12llu %10llu %10llu %8llu %8llu %5s  %s\n", segment_name(segment.number).c_str(),
               segment.version, UnsignedLong{segment.bytes}, UnsignedLong{segment.records},
               UnsignedLong{segment.current_records}, UnsignedLong{segment.erasures},
-              UnsignedLong{segment.skipped_bytes}, segment.has_hints ? "yes" : "no", remark_on(segment));
+              UnsignedLong{segment.skipped_bytes}, segment.has_hints ? "yes" : "no", segment_remark(segment));
 }
 
 void print_segment_as_json(const SegmentInspection& segment) {
@@ -31,12 +31,12 @@
       UnsignedLong{segment.number}, segment.version, UnsignedLong{segment.bytes},
       UnsignedLong{segment.records}, UnsignedLong{segment.current_records}, UnsignedLong{segment.erasures},
       UnsignedLong{segment.skipped_bytes}, segment.has_hints ? "true" : "false",
-      json_text(remark_on(segment)).c_str());
+      quote_json(segment_remark(segment)).c_str());
 }
 
 }  // namespace
 
-std::string json_text(std::string_view text) {
+std::string quote_json(std::string_view text) {
   std::string out = "\"";
   for (char character : text) {
     auto byte = static_cast<unsigned char>(character);
@@ -83,7 +83,7 @@
 void print_record_as_json(const Record& record) {
   std::printf("{\"sequence\":%llu,\"at_ns\":%lld,\"window_ns\":%lld,\"key\":%s,\"value\":%s}\n",
               UnsignedLong{record.sequence}, SignedLong{record.written_at}, SignedLong{record.window},
-              json_text(record.key).c_str(), json_text(record.value).c_str());
+              quote_json(record.key).c_str(), quote_json(record.value).c_str());
 }
 
 }  // namespace myrtlecroft::store
--- a/src/store/inspection_output.h
+++ b/src/store/inspection_output.h
@@ -1,4 +1,4 @@
-// The text and JSON that myrtlecroft-store prints. Called by the tool's main; owns nothing.
+// The text and JSON output of myrtlecroft-store.
 #pragma once
 
 #include <string>
@@ -8,13 +8,14 @@
 
 namespace myrtlecroft::store {
 
-// As a JSON string; a byte that is not printable ASCII becomes \u00XX.
-std::string json_text(std::string_view text);
+// Returns `text` as a quoted JSON string; bytes other than printable ASCII are escaped as \u00XX.
+std::string quote_json(std::string_view text);
 
-// Print to standard output: a table for people, or one JSON object.
+// Prints a table to standard output.
 void print_inspection_as_text(const StoreInspection& inspection);
+// Prints one JSON object to standard output.
 void print_inspection_as_json(const StoreInspection& inspection);
-// One JSON object on a line.
+// Prints one JSON object on one line to standard output.
 void print_record_as_json(const Record& record);
 
 }  // namespace myrtlecroft::store
--- a/src/store/main.cpp
+++ b/src/store/main.cpp
@@ -1,4 +1,5 @@
-// myrtlecroft-store, the operators' tool for a store's folder: inspects, verifies, compacts and dumps it.
+// myrtlecroft-store, a command-line tool for operators: inspects, verifies, compacts and dumps a store's
+// folder.
 #include <CLI/CLI.hpp>
 #include <chrono>
 #include <cstdio>
@@ -16,15 +17,15 @@
 using namespace myrtlecroft::store;
 
 // Exit codes.
-constexpr int kDamaged = 1;  // also where the folder can't be used
-constexpr int kUsage = 2;
+constexpr int kExitDamaged = 1;  // the store is damaged, or the folder can't be used
+constexpr int kExitUsageError = 2;
 
-// `compact` rewrites and merges more than a running store does.
-constexpr StoreOptions kCompactAll{.dead_share = 0.1, .max_small_segments = 1};
+// The `compact` command rewrites and merges more segments than a running store does.
+constexpr StoreOptions kCompactionOptions{.dead_share = 0.1, .max_small_segments = 1};
 
 struct Arguments {
   std::string folder;
-  std::string hdf5;  // the file to write; empty: JSON to standard output
+  std::string hdf5;  // path of the HDF5 file to write; empty: print JSON to standard output
   bool as_json = false;
 };
 
@@ -33,28 +34,30 @@
 const char* const kCompactText = "segments %zu -> %zu, %zu keys\n";
 const char* const kCompactJson = "{\"segments_before\":%zu,\"segments\":%zu,\"keys\":%zu}\n";
 
+// Compacts the store until no segment is left to compact, then prints a summary.
 void compact(FileDisk& disk, bool as_json) {
-  Store store(disk, kCompactAll, steady_now, static_cast<std::uint32_t>(steady_now()));
+  Store store(disk, kCompactionOptions, steady_now, static_cast<std::uint32_t>(steady_now()));
   RecoveryStats before = store.open();
   while (store.compact_slice()) store.commit();
   store.commit();
   std::printf(as_json ? kCompactJson : kCompactText, before.segments, store.segments(), store.size());
 }
 
+// Prints the live records as JSON, or exports them if an HDF5 path is given.
 void dump(FileDisk& disk, const std::string& hdf5) {
   StoreInspector inspector(disk);
   if (hdf5.empty()) {
     inspector.for_each_live_record([](const Record& record, std::uint64_t) { print_record_as_json(record); });
     return;
   }
-  Hdf5Export columns;
+  Hdf5Export hdf5_export;
   inspector.for_each_live_record(
-      [&](const Record& record, std::uint64_t segment) { columns.add(record, segment); });
-  columns.write(hdf5);
-  std::printf("%zu records to %s\n", columns.records(), hdf5.c_str());
+      [&](const Record& record, std::uint64_t segment) { hdf5_export.add(record, segment); });
+  hdf5_export.write(hdf5);
+  std::printf("%zu records to %s\n", hdf5_export.records(), hdf5.c_str());
 }
 
-// Whether the folder is damaged.
+// Prints an inspection of the store. Returns whether the store is damaged.
 bool inspect(FileDisk& disk, bool as_json) {
   const StoreInspector inspector(disk);
   if (as_json) {
@@ -77,32 +80,33 @@
   CLI::App app("Inspects and compacts a store's folder");
   app.require_subcommand(1);
   Arguments arguments;
-  add_command(app, arguments, "inspect", "List the segments and what is in them")
+  add_command(app, arguments, "inspect", "List the segments and count their records")
       ->add_flag("--json", arguments.as_json, "Print JSON");
-  CLI::App* verify =
-      add_command(app, arguments, "verify", "Read everything; exits with 1 where it is damaged");
-  verify->add_flag("--json", arguments.as_json, "Print JSON");
-  CLI::App* compacting =
+  CLI::App* verify_command =
+      add_command(app, arguments, "verify", "Check every record; exits with 1 if the store is damaged");
+  verify_command->add_flag("--json", arguments.as_json, "Print JSON");
+  CLI::App* compact_command =
       add_command(app, arguments, "compact", "Merge segments; no other process may have the store open");
-  compacting->add_flag("--json", arguments.as_json, "Print JSON");
-  CLI::App* dumping = add_command(app, arguments, "dump", "Print every live record, a JSON object a line");
-  dumping->add_option("--hdf5", arguments.hdf5, "Write columns to this HDF5 file instead");
+  compact_command->add_flag("--json", arguments.as_json, "Print JSON");
+  CLI::App* dump_command =
+      add_command(app, arguments, "dump", "Print every live record, one JSON object per line");
+  dump_command->add_option("--hdf5", arguments.hdf5, "Write columns to this HDF5 file instead");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kUsage;
+    return app.exit(error) == 0 ? 0 : kExitUsageError;
   }
   FileDisk disk(arguments.folder);
-  if (compacting->parsed()) {
+  if (compact_command->parsed()) {
     compact(disk, arguments.as_json);
     return 0;
   }
-  if (dumping->parsed()) {
+  if (dump_command->parsed()) {
     dump(disk, arguments.hdf5);
     return 0;
   }
   bool damaged = inspect(disk, arguments.as_json);
-  return verify->parsed() && damaged ? kDamaged : 0;
+  return verify_command->parsed() && damaged ? kExitDamaged : 0;
 }
 
 }  // namespace
@@ -112,6 +116,6 @@
     return run(argc, argv);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "myrtlecroft-store: %s\n", error.what());
-    return kDamaged;
+    return kExitDamaged;
   }
 }
--- a/src/store/numbers.h
+++ b/src/store/numbers.h
@@ -1,4 +1,5 @@
-// Little-endian numbers in files: for the formats of the store and of the packages that keep records in it.
+// Little-endian encoding of integers, for the store's file formats and for the values that other packages
+// keep in a store.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +8,7 @@
 
 namespace myrtlecroft::store {
 
-// Appends `number` in sizeof(Number) bytes.
+// Appends `number` to `out` as sizeof(Number) bytes.
 template <class Number>
 void put_number(std::string& out, Number number) {
   for (std::size_t i = 0; i < sizeof number; ++i) {
@@ -15,7 +16,8 @@
   }
 }
 
-// The number at the front of `bytes`, which must hold at least sizeof(Number) bytes.
+// Returns the number at the start of `bytes`. `bytes` must have at least sizeof(Number) bytes; the size is
+// not checked.
 template <class Number>
 Number get_number(std::string_view bytes) {
   std::uint64_t number = 0;
--- a/src/store/record_index.cpp
+++ b/src/store/record_index.cpp
@@ -6,8 +6,8 @@
 namespace myrtlecroft::store {
 
 void RecordIndex::apply(const std::string& key, const RecordLocation& location) {
-  auto [place, inserted] = entries_.try_emplace(key);
-  Entry& entry = place->second;
+  auto [position, inserted] = entries_.try_emplace(key);
+  Entry& entry = position->second;
   if (!inserted) {
     if (entry.location.sequence > location.sequence) return;
     detach(entry);
@@ -16,7 +16,7 @@
   segments_.at(location.segment).live_bytes += location.bytes;
   if (location.window > 0) {
     entry.expiry =
-        expiries_.emplace_hint(expiries_.end(), location.written_at + location.window, &place->first);
+        expiries_.emplace_hint(expiries_.end(), location.written_at + location.window, &position->first);
   }
 }
 
@@ -27,15 +27,15 @@
 
 void RecordIndex::remove_expired(Nanos now) {
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
-    auto place = entries_.find(*expiries_.begin()->second);
-    detach(place->second);
-    entries_.erase(place);
+    auto position = entries_.find(*expiries_.begin()->second);
+    detach(position->second);
+    entries_.erase(position);
   }
 }
 
 const RecordLocation* RecordIndex::find(const std::string& key) const {
-  auto place = entries_.find(key);
-  return place == entries_.end() ? nullptr : &place->second.location;
+  auto position = entries_.find(key);
+  return position == entries_.end() ? nullptr : &position->second.location;
 }
 
 bool RecordIndex::contains(const std::string& key, Nanos now) const {
@@ -50,13 +50,13 @@
 }
 
 std::vector<const std::string*> RecordIndex::keys_in_disk_order(Nanos now) const {
-  std::map<std::pair<std::uint64_t, std::uint64_t>, const std::string*> by_place;
+  std::map<std::pair<std::uint64_t, std::uint64_t>, const std::string*> by_position;
   for (const auto& [key, entry] : entries_) {
-    if (contains(key, now)) by_place[{entry.location.segment, entry.location.offset}] = &key;
+    if (contains(key, now)) by_position[{entry.location.segment, entry.location.offset}] = &key;
   }
   std::vector<const std::string*> keys;
-  keys.reserve(by_place.size());
-  for (const auto& [place, key] : by_place) keys.push_back(key);
+  keys.reserve(by_position.size());
+  for (const auto& [position, key] : by_position) keys.push_back(key);
   return keys;
 }
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -6,8 +6,9 @@
 namespace myrtlecroft::store {
 namespace {
 
-// An erasure of an unknown key lasts only this long: there is no older record for it to hide.
-constexpr Nanos kUnknownKeyErasure = kSecond;
+// Window of a tombstone for a key that the index doesn't have. It can be short because there is no older
+// record that the tombstone must hide.
+constexpr Nanos kUnknownKeyErasureWindow = kSecond;
 
 RecordLocation location_of(const Record& record, std::uint64_t segment, std::uint64_t offset) {
   return {.kind = record.kind,
@@ -22,7 +23,7 @@
 }  // namespace
 
 Store::Store(Disk& disk, const StoreOptions& options, std::function<Nanos()> clock, std::uint32_t seed)
-    : disk_(disk), options_(options), clock_(std::move(clock)), random_(seed), opened_at_(clock_()) {}
+    : disk_(disk), options_(options), clock_(std::move(clock)), random_(seed), clock_at_open_(clock_()) {}
 
 std::optional<Record> Store::get(const std::string& key) {
   if (!contains(key)) return std::nullopt;
@@ -44,8 +45,8 @@
 void Store::put(std::string key, std::string value, Nanos window) {
   if (key.size() > kMaxKeyBytes || value.size() > kMaxValueBytes) {
     throw StoreError(StoreError::Problem::kRecordTooLarge, "",
-                     "record of " + std::to_string(key.size()) + " bytes of key and " +
-                         std::to_string(value.size()) + " of value is too large");
+                     "record too large: " + std::to_string(key.size()) + " bytes of key, " +
+                         std::to_string(value.size()) + " bytes of value");
   }
   batch_.push_back({.record = {.sequence = ++sequence_,
                                .written_at = now(),
@@ -55,13 +56,14 @@
                     .copied_from = {}});
 }
 
-// The erasure lasts as long as the record that it hides could be read from an older segment.
+// The tombstone gets the window of the record that it hides, so that it outlives that record in older
+// segments.
 void Store::erase(const std::string& key) {
   const RecordLocation* current = index_.find(key);
   batch_.push_back({.record = {.kind = RecordKind::kErased,
                                .sequence = ++sequence_,
                                .written_at = now(),
-                               .window = current ? current->window : kUnknownKeyErasure,
+                               .window = current ? current->window : kUnknownKeyErasureWindow,
                                .key = key,
                                .value = {}},
                     .copied_from = {}});
@@ -84,7 +86,7 @@
   try {
     finish_compaction();
   } catch (const DiskError&) {
-    // The commit is durable all the same. The old segment has no live records, and a later slice removes it.
+    // The commit is durable nevertheless. The old segment has no live records; a later slice removes it.
   }
 }
 
@@ -96,7 +98,7 @@
   SegmentState& segment = segments_[number];
   segment.salt = random_();
   active_hints_.clear();
-  std::string header = write_header({.number = number, .salt = segment.salt});
+  std::string header = serialize_header({.number = number, .salt = segment.salt});
   active_file_->append(header);
   segment.bytes = header.size();
   active_file_->sync();
@@ -118,7 +120,7 @@
     location.bytes = static_cast<std::uint32_t>(size);
     if (!pending.copied_from) stats_.appended_bytes += size;
   }
-  segment.bytes += bytes.size();  // also where the write fails: as many bytes may be on the disk
+  segment.bytes += bytes.size();  // counted before the write: if it fails, the bytes may still be on the disk
   active_file_->append(bytes);
   active_file_->sync();
   ++stats_.syncs;
@@ -131,7 +133,7 @@
     const PendingRecord& pending = batch_[i];
     const std::string& key = pending.record.key;
     active_hints_.push_back({.key = key, .location = locations[i]});
-    // A copy counts only if its original is still the key's current record.
+    // A copy is indexed only if its original is still the key's current record.
     if (pending.copied_from &&
         !index_.is_current(key, pending.copied_from->segment, pending.copied_from->offset)) {
       continue;
@@ -140,8 +142,9 @@
   }
 }
 
-// After a failed write or sync it is unknown what is on the disk, and a second sync that succeeds would not
-// change that: the segment is never written again. The next start finds what is in it.
+// After a failed write or sync it is unknown which bytes are on the disk, and a later successful sync would
+// not prove that they are. The segment is therefore sealed and never written again. The next recovery scans
+// it.
 void Store::abandon_batch() {
   batch_.clear();
   compaction_.segment = 0;
@@ -157,12 +160,12 @@
   segment.sealed = true;
   active_file_.reset();
   try {
-    std::string hints =
-        write_hints({.number = active_segment_, .salt = segment.salt, .bytes = segment.bytes}, active_hints_);
+    std::string hints = serialize_hints(
+        {.number = active_segment_, .salt = segment.salt, .bytes = segment.bytes}, active_hints_);
     disk_.create(hint_name(active_segment_))->append(hints);
     stats_.written_bytes += hints.size();
   } catch (const DiskError&) {
-    // Without hints the next start scans the segment.
+    // Without a hint file, the next recovery scans the segment.
   }
   active_segment_ = 0;
 }
--- a/src/store/store_error.h
+++ b/src/store/store_error.h
@@ -1,4 +1,4 @@
-// Why a store can't be opened or written, for callers that report it to the operators.
+// The error that a store throws if it can't be opened or written.
 #pragma once
 
 #include <stdexcept>
@@ -6,7 +6,8 @@
 
 namespace myrtlecroft::store {
 
-// Thrown by Store, and by the readers of its files. `file` names the file concerned, or is empty.
+// Thrown by Store and by the functions that read its files. `file` is the name of the affected file, or
+// empty. Callers report what() to operators.
 struct StoreError : std::runtime_error {
   enum class Problem { kLockedByAnotherProcess, kNewerFormat, kDamagedHeader, kRecordTooLarge };
 
--- a/src/store/store_inspector.cpp
+++ b/src/store/store_inspector.cpp
@@ -7,7 +7,7 @@
 bool StoreInspection::damaged() const {
   if (manifest.state == Manifest::State::kDamaged) return true;
   return std::any_of(segments.begin(), segments.end(), [](const SegmentInspection& segment) {
-    bool never_used = segment.bytes <= kSegmentHeaderBytes;  // a crash while it was created
+    bool never_used = segment.bytes <= kSegmentHeaderBytes;  // left by a crash while the file was created
     return segment.listed && !never_used && (!segment.header_valid || !segment.skipped_only_at_end);
   });
 }
@@ -26,11 +26,11 @@
 SegmentInspection StoreInspector::inspect_segment(std::uint64_t number,
                                                   const std::vector<std::string>& files) {
   const std::string name = segment_name(number);
-  SegmentInspection segment{.number = number, .listed = inspection_.manifest.lists(number)};
+  SegmentInspection segment{.number = number, .listed = inspection_.manifest.is_live(number)};
   segment.bytes = disk_.size(name);
   inspection_.bytes += segment.bytes;
   segment.has_hints = std::find(files.begin(), files.end(), hint_name(number)) != files.end();
-  std::optional<SegmentHeader> header = read_header(disk_.read(name, 0, kSegmentHeaderBytes));
+  std::optional<SegmentHeader> header = parse_header(disk_.read(name, 0, kSegmentHeaderBytes));
   segment.header_valid = header && header->number == number;
   if (header) segment.version = header->version;
   if (segment.header_valid && segment.version <= kFormatVersion) inspect_records(segment, header->salt);
@@ -47,14 +47,14 @@
     ++segment.records;
     if (scanned.record.kind == RecordKind::kErased) ++segment.erasures;
     inspection_.store_time = std::max(inspection_.store_time, scanned.record.written_at);
-    if (segment.listed) note_record(scanned, segment.number);
+    if (segment.listed) update_current_record(scanned, segment.number);
     return ScanStep::kContinue;
   };
   segment.skipped_bytes = scan_segment(disk_, {.segment = segment.number, .salt = salt}, inspect);
   segment.skipped_only_at_end = skipped_before_records == 0;
 }
 
-void StoreInspector::note_record(const ScannedRecord& scanned, std::uint64_t segment) {
+void StoreInspector::update_current_record(const ScannedRecord& scanned, std::uint64_t segment) {
   const Record& record = scanned.record;
   CurrentRecord& current = current_[record.key];
   if (record.sequence < current.sequence) return;
@@ -84,8 +84,8 @@
   for (const auto& [key, current] : current_) {
     if (!current.erased && !current.expired(inspection_.store_time)) live.push_back(&current);
   }
-  std::sort(live.begin(), live.end(), [](const CurrentRecord* one, const CurrentRecord* other) {
-    return one->sequence < other->sequence;
+  std::sort(live.begin(), live.end(), [](const CurrentRecord* left, const CurrentRecord* right) {
+    return left->sequence < right->sequence;
   });
   for (const CurrentRecord* current : live) {
     std::string bytes =
--- a/src/store/store_recovery.cpp
+++ b/src/store/store_recovery.cpp
@@ -1,4 +1,4 @@
-// The part of Store that opens a folder: which segments are live, and what is in them.
+// The recovery part of Store: finds the live segments of a folder and rebuilds the index from them.
 #include <algorithm>
 
 #include "store/store.h"
@@ -17,11 +17,11 @@
   find_live_segments(manifest, files);
   for (const auto& [number, segment] : segments_) recover_segment(number, stats);
   if (!segments_.empty()) next_segment_ = std::max(next_segment_, segments_.rbegin()->first + 1);
-  // Windows count from the latest time that any file names.
+  // Store time continues from the latest time found in any file.
   const RecordIndex::Latest latest = index_.latest();
-  time_at_open_ = std::max(manifest.store_time, latest.written_at);
+  store_time_at_open_ = std::max(manifest.store_time, latest.written_at);
   sequence_ = std::max(sequence_, latest.sequence);
-  opened_at_ = clock_();
+  clock_at_open_ = clock_();
   index_.remove_expired(now());
   stats.segments = segments_.size();
   stats.live_records = index_.size();
@@ -33,12 +33,13 @@
 void Store::find_live_segments(const Manifest& manifest, const std::vector<std::string>& files) {
   for (const std::string& name : files) {
     std::optional<std::uint64_t> number = segment_number(name);
-    if (number && manifest.lists(*number)) segments_[*number] = {};
+    if (number && manifest.is_live(*number)) segments_[*number] = {};
   }
-  // A segment's header is synced before any record: a segment without one was never used.
+  // A segment's header is synced before its first record is written, so a file without a complete header has
+  // no records.
   std::erase_if(segments_, [this](const auto& entry) {
     std::string header = disk_.read(segment_name(entry.first), 0, kSegmentHeaderBytes + 1);
-    return header.size() <= kSegmentHeaderBytes && !read_header(header);
+    return header.size() <= kSegmentHeaderBytes && !parse_header(header);
   });
 }
 
@@ -48,7 +49,7 @@
   segment.sealed = true;
   segment.bytes = disk_.size(name);
   stats.bytes += segment.bytes;
-  std::optional<SegmentHeader> header = read_header(disk_.read(name, 0, kSegmentHeaderBytes));
+  std::optional<SegmentHeader> header = parse_header(disk_.read(name, 0, kSegmentHeaderBytes));
   if (header && header->version > kFormatVersion) throw_newer_format(name, header->version);
   if (!header || header->number != number)
     throw StoreError(StoreError::Problem::kDamagedHeader, name, "its header is damaged");
@@ -72,7 +73,7 @@
       });
 }
 
-// False: there is no hint file that describes the segment as it is now.
+// Returns false if there is no valid hint file for the segment.
 bool Store::recover_from_hints(std::uint64_t number, RecoveryStats& stats) {
   const SegmentState& segment = segments_.at(number);
   std::string file;
@@ -83,7 +84,7 @@
     return false;
   }
   std::optional<std::vector<Hint>> hints =
-      read_hints(file, {.number = number, .salt = segment.salt, .bytes = segment.bytes});
+      parse_hints(file, {.number = number, .salt = segment.salt, .bytes = segment.bytes});
   if (!hints) return false;
   for (const Hint& hint : *hints) index_.apply(hint.key, hint.location);
   stats.records_read += hints->size();
@@ -98,8 +99,9 @@
   }
 }
 
-// It holds the store time because what had expired when a segment was removed must count as expired at the
-// next start too: otherwise an older record of the same key would be read from another segment.
+// The manifest includes the store time, because records that had expired when a segment was removed must also
+// be expired after the next start. Otherwise an older record of the same key would be read from another
+// segment.
 void Store::replace_manifest() {
   next_segment_ = std::max<std::uint64_t>(next_segment_, 1);
   Manifest manifest{.state = Manifest::State::kValid, .next_segment = next_segment_, .store_time = now()};
