--- a/tests/file_disk_test.cpp
+++ b/tests/file_disk_test.cpp
@@ -1,4 +1,4 @@
-// A store on real files.
+// FileDisk, and a store on the files of a real file system.
 #include "store/file_disk.h"
 
 #include <gtest/gtest.h>
@@ -9,28 +9,28 @@
 namespace {
 
 TEST(FileDiskTest, RecordsAreReadBackAndASecondProcessIsRefused) {
-  Folder folder;
+  TemporaryFolder folder;
   {
     FileDisk disk(folder.path);
     Store store(disk, {}, steady_now, 1);
     store.open();
     store.put("a", std::string("\0\xff\n", 3), 0);
     store.commit();
-    FileDisk other(folder.path);
-    Store second(other, {}, steady_now, 2);
-    EXPECT_THROW(second.open(), StoreError);
+    FileDisk second_disk(folder.path);
+    Store second_store(second_disk, {}, steady_now, 2);
+    EXPECT_THROW(second_store.open(), StoreError);
   }
   FileDisk disk(folder.path);
   Store store(disk, {}, steady_now, 3);
-  RecoveryStats found = store.open();
-  EXPECT_EQ(found.live_records, 1u);
+  RecoveryStats recovery_stats = store.open();
+  EXPECT_EQ(recovery_stats.live_records, 1u);
   EXPECT_EQ(store.get("a")->value, std::string("\0\xff\n", 3));
 }
 
 TEST(FileDiskTest, UnusableFolderThrowsDiskError) {
-  Folder folder;
+  TemporaryFolder folder;
   std::string file = folder.path + "/file";
-  { std::unique_ptr<File> made = FileDisk(folder.path).create("file"); }
+  { std::unique_ptr<File> created = FileDisk(folder.path).create("file"); }
   EXPECT_THROW(FileDisk(file + "/below"), DiskError);
   EXPECT_THROW(FileDisk{file}, DiskError);
 }
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// What an earlier version stored is read by this one, and the wire's messages and frames are as they were
-// (tests/data/README.md).
+// Compatibility with earlier versions: stored data written by an earlier version is read correctly, and the
+// messages and frames on the wire are unchanged. tests/data/README.md describes the files.
 #include <google/protobuf/descriptor.h>
 #include <gtest/gtest.h>
 
@@ -25,7 +25,8 @@
 
 namespace fs = std::filesystem;
 
-// What a State's digest was when its snapshot was written, and after the entries behind it.
+// Digests of the ReplicatedState, as computed by the version that wrote tests/data/raft_log: when its
+// snapshot was written, and after the log entries that follow the snapshot.
 constexpr std::uint64_t kSnapshotDigest = 15827825439571547406u;
 constexpr std::uint64_t kLastDigest = 14849624970349031045u;
 
@@ -46,7 +47,7 @@
   return out;
 }
 
-// A copy of a stored folder that the test may write to.
+// Copies folders of tests/data to a temporary folder, where opening a store may change the files.
 struct StoredFormatsTest : testing::Test {
   StoredFormatsTest() {
     char pattern[] = "/tmp/myrtlecroft-formats-XXXXXX";
@@ -67,33 +68,34 @@
   store::FileDisk disk(copy_of("server_store"));
   store::Store store(
       disk, {}, [this] { return clock(); }, 1);
-  store::RecoveryStats found = store.open();
-  EXPECT_EQ(found.segments, 2u);
-  EXPECT_EQ(found.segments_from_hints, 1u);
-  EXPECT_EQ(found.skipped_bytes, 0u);
-  EXPECT_EQ(store.size(), 5u);  // with the mark of the dropped one
+  store::RecoveryStats recovery_stats = store.open();
+  EXPECT_EQ(recovery_stats.segments, 2u);
+  EXPECT_EQ(recovery_stats.segments_from_hints, 1u);
+  EXPECT_EQ(recovery_stats.skipped_bytes, 0u);
+  EXPECT_EQ(store.size(), 5u);  // includes the tombstone of key-dropped
   EXPECT_FALSE(store.contains("book\nkey-dropped"));
 
-  recovery::IdempotencyRecords runs;
+  recovery::IdempotencyRecords records;
   for (const char* key : {"book\nkey-intended", "book\nkey-done", "book\nkey-failed"}) {
     std::optional<store::Record> record = store.get(key);
     ASSERT_TRUE(record) << key;
     EXPECT_EQ(record->window, 60 * kSecond);
-    EXPECT_EQ(runs.restore(key, record->value, record->window),
+    EXPECT_EQ(records.restore(key, record->value, record->window),
               recovery::IdempotencyRecords::RestoreResult::kRestored)
         << key;
   }
-  EXPECT_EQ(runs.state("book\nkey-intended"), recovery::State::kOutcomeUnknown);
-  EXPECT_EQ(runs.state("book\nkey-failed"), recovery::State::kFailed);
-  ASSERT_EQ(runs.state("book\nkey-done"), recovery::State::kCompleted);
-  EXPECT_EQ(runs.find("book\nkey-done")->result, "the result");
-
-  std::optional<store::Record> order = store.get("order");
-  ASSERT_TRUE(order);
-  EXPECT_EQ(hexadecimal(order->value) + "\n", read_file("frames.txt").substr(0, 2 * order->value.size() + 1));
+  EXPECT_EQ(records.state("book\nkey-intended"), recovery::State::kOutcomeUnknown);
+  EXPECT_EQ(records.state("book\nkey-failed"), recovery::State::kFailed);
+  ASSERT_EQ(records.state("book\nkey-done"), recovery::State::kCompleted);
+  EXPECT_EQ(records.find("book\nkey-done")->result, "the result");
+
+  std::optional<store::Record> assignment = store.get("order");
+  ASSERT_TRUE(assignment);
+  EXPECT_EQ(hexadecimal(assignment->value) + "\n",
+            read_file("frames.txt").substr(0, 2 * assignment->value.size() + 1));
 }
 
-TEST_F(StoredFormatsTest, SavedStateIsReadAndWrittenAgainToTheByte) {
+TEST_F(StoredFormatsTest, SavedStateIsReadAndReserializedByteForByte) {
   store::FileDisk disk(copy_of("saved_state"));
   store::Store store(
       disk, {}, [this] { return clock(); }, 1);
@@ -154,17 +156,18 @@
   EXPECT_EQ(state.digest(), kLastDigest);
 }
 
-// ---- Messages
+// ---- Message descriptors
 
-// A message or an enum by its place in its file: names of types do not travel.
-std::string place_of(const google::protobuf::Descriptor& message) {
-  std::string outer = message.containing_type() ? place_of(*message.containing_type()) + "."
+// Identifies a message by its file and its index there, because type names are not sent on the wire.
+std::string type_path(const google::protobuf::Descriptor& message) {
+  std::string outer = message.containing_type() ? type_path(*message.containing_type()) + "."
                                                 : message.file()->name() + " message ";
   return outer + std::to_string(message.index() + 1);
 }
 
+// Describes the type of a field: a message by its path, an enum by its numbers.
 std::string type_of(const google::protobuf::FieldDescriptor& field) {
-  if (field.message_type()) return place_of(*field.message_type());
+  if (field.message_type()) return type_path(*field.message_type());
   if (!field.enum_type()) return field.type_name();
   std::string out = "enum of";
   for (int i = 0; i < field.enum_type()->value_count(); ++i)
@@ -172,8 +175,9 @@
   return out;
 }
 
+// Appends the number, name and type of each field of the message and its nested messages.
 void describe(const google::protobuf::Descriptor& message, std::string& out) {
-  out += place_of(message) + "\n";
+  out += type_path(message) + "\n";
   for (int i = 0; i < message.field_count(); ++i) {
     const google::protobuf::FieldDescriptor& field = *message.field(i);
     out += "  " + std::to_string(field.number()) + " " + field.name() + ": " +
@@ -183,6 +187,7 @@
   for (int i = 0; i < message.nested_type_count(); ++i) describe(*message.nested_type(i), out);
 }
 
+// Appends the package, messages and service methods of a proto file.
 void describe(const google::protobuf::FileDescriptor& file, std::string& out) {
   out += "package " + file.package() + "\n";
   for (int i = 0; i < file.message_type_count(); ++i) describe(*file.message_type(i), out);
@@ -190,13 +195,13 @@
     for (int k = 0; k < file.service(i)->method_count(); ++k) {
       const google::protobuf::MethodDescriptor& method = *file.service(i)->method(k);
       out += "/" + file.service(i)->full_name() + "/" + method.name() + ": " +
-             (method.client_streaming() ? "stream " : "") + place_of(*method.input_type()) + " -> " +
-             (method.server_streaming() ? "stream " : "") + place_of(*method.output_type()) + "\n";
+             (method.client_streaming() ? "stream " : "") + type_path(*method.input_type()) + " -> " +
+             (method.server_streaming() ? "stream " : "") + type_path(*method.output_type()) + "\n";
     }
   }
 }
 
-TEST(MessageFormatsTest, FieldsOfEveryMessageAreAsBefore) {
+TEST(MessageFormatsTest, MessageFieldsAreUnchanged) {
   std::string out;
   for (const google::protobuf::FileDescriptor* file :
        {agreement::Decision::descriptor()->file(), consensus::PeerMessage::descriptor()->file(),
@@ -207,13 +212,13 @@
   EXPECT_EQ(out, read_file("messages.txt"));
 }
 
-TEST(FrameFormatsTest, FramesAreAsBefore) {
-  fencing::ShardAssignment order{.epoch = {3, 9},
-                                 .incarnation = 77,
-                                 .shard_digits = 1,
-                                 .shards = {1, 4, 15},
-                                 .report_sequence = 5,
-                                 .restart_version = 2};
+TEST(FrameFormatsTest, EncodedFramesAreUnchanged) {
+  fencing::ShardAssignment assignment{.epoch = {3, 9},
+                                      .incarnation = 77,
+                                      .shard_digits = 1,
+                                      .shards = {1, 4, 15},
+                                      .report_sequence = 5,
+                                      .restart_version = 2};
   report::LoadReport report{.node = "n3",
                             .address = "127.0.0.3:4103",
                             .incarnation = 0x1122334455667788,
@@ -232,7 +237,7 @@
                             .running = 5,
                             .core_time = 987'654'321,
                             .request_classes = {{"read", 10, 2, 7, 6, 1}, {"book", 5, 4, 3, 2, 0}}};
-  EXPECT_EQ(hexadecimal(report::encode(order)) + "\n" + hexadecimal(report::encode(report)) + "\n",
+  EXPECT_EQ(hexadecimal(report::encode(assignment)) + "\n" + hexadecimal(report::encode(report)) + "\n",
             read_file("frames.txt"));
 }
 
--- a/tests/group_committer_test.cpp
+++ b/tests/group_committer_test.cpp
@@ -1,4 +1,4 @@
-// The committer beside a loop, on a disk that is slow or fails.
+// GroupCommitter driven by a simulated event loop, on a disk that is slow or fails.
 #include "store/group_committer.h"
 
 #include <gtest/gtest.h>
@@ -15,17 +15,19 @@
 
 struct GroupCommitterTest : testing::Test {
   GroupCommitterTest() : store(disk, {}, steady_now, 1) { store.open(); }
-  void begin(CommitterOptions options = {
-                 .slow_commit_threshold = 30 * kMs, .initial_backoff = 5 * kMs, .max_backoff = 20 * kMs}) {
+  void start_committer(CommitterOptions options = {.slow_commit_threshold = 30 * kMs,
+                                                   .initial_backoff = 5 * kMs,
+                                                   .max_backoff = 20 * kMs}) {
     committer = std::make_unique<GroupCommitter>(store, options, steady_now, [this] { ++wakes; });
   }
-  // Turns the loop until it holds, for five seconds at most.
-  bool until(const std::function<bool()>& holds) {
-    for (int i = 0; i < 5'000 && !holds(); ++i) {
+  // Runs the event loop until the condition is true, for at most five seconds. Returns whether it became
+  // true.
+  bool run_until(const std::function<bool()>& condition) {
+    for (int i = 0; i < 5'000 && !condition(); ++i) {
       if (wakes.exchange(0)) committer->deliver_completions();
       usleep(1'000);
     }
-    return holds();
+    return condition();
   }
   void put(const std::string& key) {
     committer->put(key, "v", kWindow,
@@ -42,41 +44,41 @@
 
 TEST_F(GroupCommitterTest, ManyRecordsShareOneSyncAndNoneCompletesBeforeIt) {
   std::atomic<bool> sync_blocked = true;
-  disk.in_sync = [&] {
+  disk.on_sync = [&] {
     while (sync_blocked) usleep(500);
   };
-  begin();
+  start_committer();
   for (int i = 0; i < 500; ++i) put("key" + std::to_string(i));
   usleep(50'000);
   committer->deliver_completions();
   EXPECT_EQ(durable_records, 0);
   EXPECT_EQ(committer->health(), DiskHealth::kSlow);
-  put("another");  // which waits for nothing
+  put("another");  // put() returns although the sync is blocked
   sync_blocked = false;
-  EXPECT_TRUE(until([&] { return durable_records == 501; }));
+  EXPECT_TRUE(run_until([&] { return durable_records == 501; }));
   EXPECT_EQ(committer->health(), DiskHealth::kHealthy);
   EXPECT_LT(committer->take_stats().commits, 20u);
 }
 
 TEST_F(GroupCommitterTest, FailedDiskRejectsAtOnceAndRecovers) {
-  begin();
+  start_committer();
   put("a");
-  ASSERT_TRUE(until([&] { return durable_records == 1; }));
-  disk.failing = true;
+  ASSERT_TRUE(run_until([&] { return durable_records == 1; }));
+  disk.every_operation_fails = true;
   put("b");
-  ASSERT_TRUE(until([&] { return failed_records == 1; }));
+  ASSERT_TRUE(run_until([&] { return failed_records == 1; }));
   EXPECT_EQ(committer->health(), DiskHealth::kFailed);
   put("c");
   committer->deliver_completions();
   EXPECT_EQ(failed_records, 2);
-  disk.failing = false;
-  EXPECT_TRUE(until([&] { return committer->health() == DiskHealth::kHealthy; }));
+  disk.every_operation_fails = false;
+  EXPECT_TRUE(run_until([&] { return committer->health() == DiskHealth::kHealthy; }));
   put("d");
-  EXPECT_TRUE(until([&] { return durable_records == 2; }));
+  EXPECT_TRUE(run_until([&] { return durable_records == 2; }));
 }
 
 TEST_F(GroupCommitterTest, QueuedRecordsAreCommittedOnDestruction) {
-  begin();
+  start_committer();
   for (int i = 0; i < 50; ++i) put("key" + std::to_string(i));
   committer.reset();
   EXPECT_TRUE(store.contains("key49"));
@@ -84,15 +86,15 @@
 
 TEST_F(GroupCommitterTest, QueueIsBounded) {
   std::atomic<bool> sync_blocked = true;
-  disk.in_sync = [&] {
+  disk.on_sync = [&] {
     while (sync_blocked) usleep(500);
   };
-  begin({.max_queued_records = 20});
+  start_committer({.max_queued_records = 20});
   for (int i = 0; i < 100; ++i) put("key" + std::to_string(i));
   committer->deliver_completions();
   EXPECT_GE(failed_records, 60);
   sync_blocked = false;
-  EXPECT_TRUE(until([&] { return durable_records + failed_records == 100; }));
+  EXPECT_TRUE(run_until([&] { return durable_records + failed_records == 100; }));
 }
 
 }  // namespace
--- a/tests/store_compaction_test.cpp
+++ b/tests/store_compaction_test.cpp
@@ -1,4 +1,4 @@
-// Compaction of a store's segments.
+// Compaction: expired and erased records are dropped, small segments are merged.
 #include <gtest/gtest.h>
 
 #include "store_fixtures.h"
@@ -17,8 +17,8 @@
   EXPECT_LT(process.store.segments(), 3u);
   EXPECT_GT(max, 5u);
   EXPECT_EQ(process.store.size(), 0u);
-  EXPECT_LT(process.store.stats().written_bytes - written_bytes, 2'000u);  // manifests
-  // What the disk still holds of them is over at the next start as well, whatever was written last.
+  EXPECT_LT(process.store.stats().written_bytes - written_bytes, 2'000u);  // only manifests were written
+  // Expired records that are still on the disk must also be expired after a restart.
   auto next = restart(process);
   EXPECT_EQ(next->store.size(), 0u);
 }
--- a/tests/store_fakes.h
+++ b/tests/store_fakes.h
@@ -1,5 +1,5 @@
-// A disk in memory for tests: a crash loses what was not synced, in any order and in part, and any operation
-// can be made to fail.
+// An in-memory Disk for tests. A simulated crash loses any subset of the unsynced data, and any operation can
+// be made to fail.
 #pragma once
 
 #include <cerrno>
@@ -15,38 +15,41 @@
 
 namespace myrtlecroft::store {
 
-// Thrown where the process is to end. Only tests catch it.
+// Thrown by FakeDisk to simulate the end of the process. Only tests catch it.
 struct Crashed {};
 
 class FakeDisk final : public Disk {
  public:
-  static constexpr std::size_t kBlock = 64;  // what is written or lost together
+  static constexpr std::size_t kBlockBytes = 64;  // unit in which a crash loses unsynced data
+  // The bytes of a file: those that survive every crash, and all that were written.
   struct Content {
     std::string synced;
     std::string now;
   };
   using Names = std::map<std::string, std::shared_ptr<Content>>;
 
-  // Of the operations that change the disk, the one with this number (from 1) fails, or ends the process.
+  // Operations that change the disk are numbered from 1. The one with the number `fail_at` throws DiskError,
+  // the one with the number `crash_at` throws Crashed. 0: none.
   int fail_at = 0;
   int crash_at = 0;
-  int fail_code = EIO;
-  bool failing = false;  // every operation fails
-  std::size_t space = SIZE_MAX;
-  int done = 0;
-  std::function<void()> in_sync = [] {};
+  int error_code = EIO;
+  bool every_operation_fails = false;  // every operation that changes the disk throws DiskError
+  std::size_t free_bytes = SIZE_MAX;   // SIZE_MAX: unlimited
+  int operation_count = 0;             // operations so far that change the disk
+  // Called at the start of every File::sync(), on the calling thread.
+  std::function<void()> on_sync = [] {};
 
-  bool try_lock() override { return !std::exchange(locked, true); }
+  bool try_lock() override { return !std::exchange(is_locked, true); }
   std::vector<std::string> list() override {
     std::vector<std::string> out;
     for (const auto& [name, content] : names) out.push_back(name);
     return out;
   }
   std::unique_ptr<File> create(const std::string& name) override {
-    step();
+    count_operation();
     auto content = std::make_shared<Content>();
-    change([name, content](Names& all) { all[name] = content; });
-    return std::make_unique<Growing>(*this, content);
+    apply_change([name, content](Names& all) { all[name] = content; });
+    return std::make_unique<FakeFile>(*this, content);
   }
   std::uint64_t size(const std::string& name) override { return at(name).now.size(); }
   std::string read(const std::string& name, std::uint64_t offset, std::size_t max) override {
@@ -54,41 +57,42 @@
     return offset >= all.size() ? "" : all.substr(static_cast<std::size_t>(offset), max);
   }
   void rename(const std::string& from, const std::string& to) override {
-    step();
+    count_operation();
     at(from);
-    change([from, to](Names& all) {
-      auto place = all.find(from);
-      if (place == all.end()) return;  // its creation was lost
-      all[to] = place->second;
+    apply_change([from, to](Names& all) {
+      auto entry = all.find(from);
+      if (entry == all.end()) return;  // the crash lost the file's creation
+      all[to] = entry->second;
       all.erase(from);
     });
   }
   void remove(const std::string& name) override {
-    step();
-    change([name](Names& all) { all.erase(name); });
+    count_operation();
+    apply_change([name](Names& all) { all.erase(name); });
   }
   void sync_folder() override {
-    step();
+    count_operation();
     synced_names = names;
-    changes.clear();
+    unsynced_changes.clear();
   }
 
-  // What a crash leaves: some of the changes of the folder in their order, of each file what was synced and
-  // any blocks of the rest. `survives` says of each in turn whether it is left.
+  // Returns the disk as a crash leaves it: the first of the unsynced folder changes, in order, and of each
+  // file the synced bytes and any of the unsynced blocks. `survives` is called for each change, until the
+  // first that is lost, and for each block, and returns whether it survives.
   std::unique_ptr<FakeDisk> after_crash(const std::function<bool()>& survives) const {
     auto out = std::make_unique<FakeDisk>();
-    Names names_left = synced_names;
-    for (const auto& each : changes) {
+    Names surviving_names = synced_names;
+    for (const auto& unsynced_change : unsynced_changes) {
       if (!survives()) break;
-      each(names_left);
+      unsynced_change(surviving_names);
     }
-    for (const auto& [name, content] : names_left) {
+    for (const auto& [name, content] : surviving_names) {
       auto copy = std::make_shared<Content>();
       std::string& bytes = copy->now = content->synced;
       for (std::size_t at = bytes.size(); at < content->now.size();) {
-        std::size_t size = std::min(kBlock - at % kBlock, content->now.size() - at);
+        std::size_t size = std::min(kBlockBytes - at % kBlockBytes, content->now.size() - at);
         if (survives()) {
-          bytes.resize(at, '\0');  // a lost block before a surviving one is a hole
+          bytes.resize(at, '\0');  // a lost block before a surviving one reads as zeros
           bytes += content->now.substr(at, size);
         }
         at += size;
@@ -99,8 +103,8 @@
     out->synced_names = out->names;
     return out;
   }
-  // What the next process finds where nothing is lost.
-  std::unique_ptr<FakeDisk> after_end() const {
+  // Returns the disk after the process ended without losing unsynced data.
+  std::unique_ptr<FakeDisk> after_clean_exit() const {
     return after_crash([] { return true; });
   }
   std::string& bytes(const std::string& name) { return at(name).now; }
@@ -108,60 +112,62 @@
   Names names;
 
  private:
-  class Growing final : public File {
+  class FakeFile final : public File {
    public:
-    Growing(FakeDisk& disk, std::shared_ptr<Content> content) : disk_(disk), content_(std::move(content)) {}
+    FakeFile(FakeDisk& disk, std::shared_ptr<Content> content) : disk_(disk), content_(std::move(content)) {}
     void append(std::string_view bytes) override {
-      std::size_t fits = std::min(bytes.size(), disk_.space);
+      std::size_t fitting_bytes = std::min(bytes.size(), disk_.free_bytes);
       try {
-        disk_.step();
+        disk_.count_operation();
       } catch (const DiskError&) {
-        content_->now += bytes.substr(0, fits / 2);
+        content_->now += bytes.substr(0, fitting_bytes / 2);
         throw;
       } catch (const Crashed&) {
-        content_->now += bytes.substr(0, fits / 2);
+        content_->now += bytes.substr(0, fitting_bytes / 2);
         throw;
       }
-      content_->now += bytes.substr(0, fits);
-      if (disk_.space != SIZE_MAX) disk_.space -= fits;
-      if (fits < bytes.size()) throw DiskError("no space", ENOSPC);
+      content_->now += bytes.substr(0, fitting_bytes);
+      if (disk_.free_bytes != SIZE_MAX) disk_.free_bytes -= fitting_bytes;
+      if (fitting_bytes < bytes.size()) throw DiskError("no space", ENOSPC);
     }
-    // After a failed sync the bytes count as written, as on real systems: another sync would succeed.
+    // After a failed sync, reads still return the unsynced bytes and a later sync succeeds, as on real
+    // systems, but no byte appended since the last successful sync becomes durable any more.
     void sync() override {
-      disk_.in_sync();
+      disk_.on_sync();
       try {
-        disk_.step();
+        disk_.count_operation();
       } catch (const DiskError&) {
-        lost_ = true;
+        sync_failed_ = true;
         throw;
       }
-      if (!lost_) content_->synced = content_->now;
+      if (!sync_failed_) content_->synced = content_->now;
     }
 
    private:
     FakeDisk& disk_;
     std::shared_ptr<Content> content_;
-    bool lost_ = false;
+    bool sync_failed_ = false;
   };
 
-  void step() {
-    ++done;
-    if (done == crash_at) throw Crashed();
-    if (failing || done == fail_at) throw DiskError("fault injected by the test", fail_code);
+  void count_operation() {
+    ++operation_count;
+    if (operation_count == crash_at) throw Crashed();
+    if (every_operation_fails || operation_count == fail_at)
+      throw DiskError("fault injected by the test", error_code);
   }
-  void change(std::function<void(Names&)> how) {
-    how(names);
-    changes.push_back(std::move(how));
+  void apply_change(std::function<void(Names&)> name_change) {
+    name_change(names);
+    unsynced_changes.push_back(std::move(name_change));
   }
   Content& at(const std::string& name) {
-    auto place = names.find(name);
-    if (place == names.end()) throw DiskError(name + ": no such file", ENOENT);
-    return *place->second;
+    auto entry = names.find(name);
+    if (entry == names.end()) throw DiskError(name + ": no such file", ENOENT);
+    return *entry->second;
   }
 
   Names synced_names;
-  std::vector<std::function<void(Names&)>> changes;
-  bool locked = false;
+  std::vector<std::function<void(Names&)>> unsynced_changes;
+  bool is_locked = false;
 };
 
 }  // namespace myrtlecroft::store
--- a/tests/store_fixtures.h
+++ b/tests/store_fixtures.h
@@ -1,5 +1,5 @@
-// What the store's tests share: a store on a fake disk that is restarted and crashed, a model of its
-// contents, and a temporary folder.
+// Shared fixtures of the store's tests: a store on a fake disk that can be restarted and crashed, a model of
+// its expected contents, and a temporary folder.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,15 +21,16 @@
 
 constexpr Nanos kWindow = 100 * kSecond;
 
-// One process with a store on a fake disk. Its clock stands still unless the test advances it.
+// A process with a store on a fake disk. Its clock advances only when the test changes `time`.
 struct StoreProcess {
-  explicit StoreProcess(std::unique_ptr<FakeDisk> on = std::make_unique<FakeDisk>(),
-                        StoreOptions options = small(), Nanos start = 0)
-      : time(start),
-        disk(std::move(on)),
+  explicit StoreProcess(std::unique_ptr<FakeDisk> existing_disk = std::make_unique<FakeDisk>(),
+                        StoreOptions options = small_segments(), Nanos clock_start = 0)
+      : time(clock_start),
+        disk(std::move(existing_disk)),
         store(
             *disk, options, [this] { return time; }, 7) {}
-  static StoreOptions small() {
+  // Options with segments that a few records fill, so that tests cover sealing and compaction.
+  static StoreOptions small_segments() {
     return {.segment_bytes = 1'000, .slice_bytes = 300, .max_small_segments = 4};
   }
   void put(const std::string& key, const std::string& value, Nanos window = kWindow) {
@@ -45,21 +46,23 @@
   Store store;
 };
 
+// Returns a new process with an open store on a copy of the disk; no data is lost.
 inline std::unique_ptr<StoreProcess> restart(const StoreProcess& process) {
-  auto next = std::make_unique<StoreProcess>(process.disk->after_end());
+  auto next = std::make_unique<StoreProcess>(process.disk->after_clean_exit());
   next->store.open();
   return next;
 }
 
-// What the store may hold of every key after a crash.
+// The values that a store may have for each key after a crash; "none" stands for an absent key.
 struct Model {
   std::map<std::string, std::string> acknowledged;
-  std::map<std::string, std::vector<std::string>> unacknowledged;  // in the order they were put
+  std::map<std::string, std::vector<std::string>> unacknowledged;  // in the order of their puts
 };
 
 inline std::string random_key(std::mt19937& random) { return "key" + std::to_string(random() % 12); }
 
-// Puts, erasures and compaction over several segments; the model learns of each commit that succeeds.
+// Runs random puts, erasures and compaction slices over several segments. The model is updated after each
+// successful commit.
 inline void write_randomly(StoreProcess& process, Model& model, unsigned seed, int steps) {
   std::mt19937 random(seed);
   for (int i = 0; i < steps; ++i) {
@@ -82,32 +85,35 @@
   }
 }
 
+// Removes the padding that write_randomly() appends to values.
 inline std::string without_dots(std::string value) {
   while (!value.empty() && value.back() == '.') value.pop_back();
   return value;
 }
 
-inline void expect_contents(StoreProcess& process, const Model& model, const std::string& where) {
+// Expects that each key has its acknowledged value or one of its unacknowledged values. `context` is printed
+// on failure.
+inline void expect_contents(StoreProcess& process, const Model& model, const std::string& context) {
   for (int i = 0; i < 12; ++i) {
     std::string key = "key" + std::to_string(i);
-    std::string got = without_dots(process.get(key));
+    std::string actual = without_dots(process.get(key));
     auto acknowledged = model.acknowledged.find(key);
     auto unacknowledged = model.unacknowledged.find(key);
-    bool matches = got == (acknowledged == model.acknowledged.end() ? "none" : acknowledged->second) ||
+    bool matches = actual == (acknowledged == model.acknowledged.end() ? "none" : acknowledged->second) ||
                    (unacknowledged != model.unacknowledged.end() &&
-                    std::count(unacknowledged->second.begin(), unacknowledged->second.end(), got) > 0);
-    EXPECT_TRUE(matches) << where << " " << key << ": " << got << ", not "
+                    std::count(unacknowledged->second.begin(), unacknowledged->second.end(), actual) > 0);
+    EXPECT_TRUE(matches) << context << " " << key << ": " << actual << ", not "
                          << (acknowledged == model.acknowledged.end() ? "none" : acknowledged->second);
   }
 }
 
-// A temporary folder.
-struct Folder {
-  Folder() {
+// A temporary folder, removed with the object.
+struct TemporaryFolder {
+  TemporaryFolder() {
     char name[] = "/tmp/myrtlecroft_store.XXXXXX";
     path = mkdtemp(name);
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
--- a/tests/store_recovery_test.cpp
+++ b/tests/store_recovery_test.cpp
@@ -1,4 +1,4 @@
-// Opening a folder whose files are damaged, missing, or of another format.
+// Recovery of a folder whose files are damaged, missing or have a newer format.
 #include <gtest/gtest.h>
 
 #include "store_fixtures.h"
@@ -15,7 +15,7 @@
     ends.push_back(process.disk->bytes(segment_name(1)).size());
   }
   for (std::size_t cut = kSegmentHeaderBytes; cut <= ends.back(); ++cut) {
-    StoreProcess next(process.disk->after_end());
+    StoreProcess next(process.disk->after_clean_exit());
     next.disk->bytes(segment_name(1)).resize(cut);
     next.store.open();
     for (std::size_t i = 0; i < ends.size(); ++i) {
@@ -35,20 +35,23 @@
   }
   for (std::size_t at = kSegmentHeaderBytes; at < ends.back(); ++at) {
     for (int bit : {0x01, 0x80}) {
-      StoreProcess next(process.disk->after_end());
+      StoreProcess next(process.disk->after_clean_exit());
       char& byte = next.disk->bytes(segment_name(1))[at];
       byte = static_cast<char>(byte ^ bit);
-      RecoveryStats found = next.store.open();
-      EXPECT_GT(found.skipped_bytes, 0u);
+      RecoveryStats recovery_stats = next.store.open();
+      EXPECT_GT(recovery_stats.skipped_bytes, 0u);
       for (std::size_t i = 0; i + 1 < ends.size(); ++i) {
-        bool hit = at >= ends[i] && at < ends[i + 1];
-        EXPECT_EQ(next.get("key" + std::to_string(i)), hit ? "none" : "value" + std::to_string(i)) << at;
+        bool is_damaged = at >= ends[i] && at < ends[i + 1];
+        EXPECT_EQ(next.get("key" + std::to_string(i)), is_damaged ? "none" : "value" + std::to_string(i))
+            << at;
       }
     }
   }
 }
 
-// A value may hold anything, such as a record of another store or of another place.
+// Guards against parsing bytes of a value as a record. A value may contain any bytes, such as a record of
+// another store or one encoded for another position. The scan reaches them when the enclosing record is
+// damaged and is skipped byte by byte.
 TEST(StoreRecoveryTest, RecordBytesWithinAValueAreNotReadAsARecord) {
   StoreProcess other;
   other.store.open();
@@ -61,7 +64,7 @@
   process.put("b", "after");
   auto bytes = &process.disk->bytes(segment_name(1));
   (*bytes)[kSegmentHeaderBytes + 3] ^=
-      1;  // its own record is damaged, and what it holds is passed over byte by byte
+      1;  // damages the record of "a", so that the scan skips it byte by byte
   auto next = restart(process);
   EXPECT_EQ(next->get("forged"), "none");
   EXPECT_EQ(next->get("b"), "after");
@@ -72,12 +75,12 @@
   process.store.open();
   Model model;
   write_randomly(process, model, 9, 60);
-  StoreProcess by_hint(process.disk->after_end());
+  StoreProcess by_hint(process.disk->after_clean_exit());
   RecoveryStats hinted = by_hint.store.open();
   EXPECT_GT(hinted.segments_from_hints, 0u);
   expect_contents(by_hint, model, "hints");
-  // Torn or of another segment, they are not heeded.
-  StoreProcess torn(process.disk->after_end());
+  // Hint files that are torn, or that belong to another segment, are ignored.
+  StoreProcess torn(process.disk->after_clean_exit());
   for (auto& [name, content] : torn.disk->names) {
     if (name.ends_with(".hint")) content->now.resize(content->now.size() / 2);
   }
@@ -91,7 +94,7 @@
   StoreProcess process;
   process.store.open();
   process.put("a", "1");
-  StoreProcess next(process.disk->after_end());
+  StoreProcess next(process.disk->after_clean_exit());
   next.disk->bytes(segment_name(1))[8] = 2;
   auto before = next.disk->bytes(segment_name(1));
   EXPECT_THROW(next.store.open(), StoreError);
@@ -103,9 +106,9 @@
   process.store.open();
   Model model;
   write_randomly(process, model, 11, 40);
-  for (int how = 0; how < 2; ++how) {
-    StoreProcess next(process.disk->after_end());
-    if (how) {
+  for (int variant = 0; variant < 2; ++variant) {
+    StoreProcess next(process.disk->after_clean_exit());
+    if (variant) {
       next.disk->names.erase("MANIFEST");
     } else {
       next.disk->bytes("MANIFEST")[20] ^= 4;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,4 @@
-// Commits to a store, over crashes and faults at every operation of its disk, and the expiry of records.
+// Durability of commits with crashes and faults at every disk operation, and expiry of records.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -31,7 +31,7 @@
     Model model;
     process.store.open();
     write_randomly(process, model, 3, 40);
-    operations = process.disk->done;
+    operations = process.disk->operation_count;
     EXPECT_GT(process.store.stats().removed_segments, 1u);
   }
   ASSERT_GT(operations, 80);
@@ -46,12 +46,12 @@
       } catch (const Crashed&) {
       }
       std::mt19937 random(losses);
-      auto keep = [&] { return losses == 0 ? false : losses == 1 ? true : random() % 2 == 0; };
-      StoreProcess next(process.disk->after_crash(keep));
+      auto survives = [&] { return losses == 0 ? false : losses == 1 ? true : random() % 2 == 0; };
+      StoreProcess next(process.disk->after_crash(survives));
       next.store.open();
-      std::string where = "step " + std::to_string(step) + " losses " + std::to_string(losses);
-      expect_contents(next, model, where);
-      // And it goes on, and once more.
+      std::string context = "step " + std::to_string(step) + " losses " + std::to_string(losses);
+      expect_contents(next, model, context);
+      // The recovered store accepts more writes and recovers a second time.
       model.acknowledged.clear();
       model.unacknowledged.clear();
       write_randomly(next, model, 4, 10);
@@ -59,7 +59,7 @@
         model.acknowledged.try_emplace("key" + std::to_string(i),
                                        without_dots(next.get("key" + std::to_string(i))));
       auto third = restart(next);
-      expect_contents(*third, model, where + " again");
+      expect_contents(*third, model, context + " again");
     }
   }
 }
@@ -68,7 +68,7 @@
   StoreProcess process;
   process.store.open();
   process.put("first", "1");
-  process.disk->crash_at = process.disk->done + 2;  // at the sync
+  process.disk->crash_at = process.disk->operation_count + 2;  // the sync of the commit below
   for (int i = 0; i < 4; ++i)
     process.store.put("next" + std::to_string(i), std::string(90, static_cast<char>('a' + i)), kWindow);
   EXPECT_THROW(process.store.commit(), Crashed);
@@ -84,12 +84,13 @@
   }
 }
 
-// A second sync that goes well says nothing of what the first one lost.
+// A sync that succeeds after a failed one does not prove that the bytes of the failed sync are on the disk.
+// The store must not report them as committed.
 TEST(StoreTest, FailedSyncIsNotRepairedByALaterSync) {
   StoreProcess process;
   process.store.open();
   process.put("a", "1");
-  process.disk->fail_at = process.disk->done + 2;
+  process.disk->fail_at = process.disk->operation_count + 2;
   process.store.put("b", "2", kWindow);
   EXPECT_THROW(process.store.commit(), DiskError);
   EXPECT_EQ(process.get("b"), "none");
@@ -104,12 +105,12 @@
   StoreProcess process;
   process.store.open();
   process.put("a", "1");
-  for (std::size_t space = 1; space < 200; space += 13) {
-    process.disk->space = space;
+  for (std::size_t free_bytes = 1; free_bytes < 200; free_bytes += 13) {
+    process.disk->free_bytes = free_bytes;
     process.store.put("big", std::string(300, 'x'), kWindow);
     EXPECT_THROW(process.store.commit(), DiskError);
-    process.disk->space = SIZE_MAX;
-    process.put("after" + std::to_string(space), "2");
+    process.disk->free_bytes = SIZE_MAX;
+    process.put("after" + std::to_string(free_bytes), "2");
   }
   auto next = restart(process);
   EXPECT_EQ(next->get("a"), "1");
@@ -140,28 +141,29 @@
         process.store.commit();
         model.acknowledged[key] = value;
       } catch (const DiskError&) {
-        if (!open) break;  // the start failed, and says so
+        if (!open) break;  // open() reported the fault
         continue;
       }
     }
     if (!open) continue;
-    expect_contents(process, model, "here " + std::to_string(step));
+    expect_contents(process, model, "before restart, step " + std::to_string(step));
     StoreProcess next(process.disk->after_crash([] { return false; }));
     next.store.open();
     expect_contents(next, model, "step " + std::to_string(step));
   }
 }
 
-// The store has a time of its own, which stands still while nobody has it open.
+// Store time doesn't advance while no process has the store open, whatever the clock's origin after the
+// restart.
 TEST(StoreTest, RestartOrClockStepDoesNotShortenAWindow) {
-  StoreProcess process(std::make_unique<FakeDisk>(), StoreProcess::small(), 1'000 * kSecond);
+  StoreProcess process(std::make_unique<FakeDisk>(), StoreProcess::small_segments(), 1'000 * kSecond);
   process.store.open();
   process.put("a", "1");
   process.time += 60 * kSecond;
   process.put("b", "2");
   EXPECT_EQ(process.get("a"), "1");
-  for (Nanos begins : {Nanos{0}, 5 * kSecond, 1'000'000 * kSecond}) {
-    StoreProcess next(process.disk->after_end(), StoreProcess::small(), begins);
+  for (Nanos clock_start : {Nanos{0}, 5 * kSecond, 1'000'000 * kSecond}) {
+    StoreProcess next(process.disk->after_clean_exit(), StoreProcess::small_segments(), clock_start);
     next.store.open();
     next.time += 39 * kSecond;
     EXPECT_EQ(next.get("a"), "1");
@@ -176,21 +178,21 @@
 RC_GTEST_PROP(StorePropertyTest, RandomHistoriesWithRestartsMatchAMap, ()) {
   auto process = std::make_unique<StoreProcess>();
   process->store.open();
-  std::map<std::string, std::string> plain;
+  std::map<std::string, std::string> expected;
   auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
       rc::gen::pair(rc::gen::inRange(0, 10), rc::gen::inRange(0, 8)));
   int n = 0;
-  for (auto [what, which] : steps) {
-    std::string key = "key" + std::to_string(which);
-    if (what < 6) {
-      std::string value = std::to_string(++n) + std::string(static_cast<std::size_t>(which) * 20, 'v');
+  for (auto [action, key_number] : steps) {
+    std::string key = "key" + std::to_string(key_number);
+    if (action < 6) {
+      std::string value = std::to_string(++n) + std::string(static_cast<std::size_t>(key_number) * 20, 'v');
       process->put(key, value);
-      plain[key] = value;
-    } else if (what == 6) {
+      expected[key] = value;
+    } else if (action == 6) {
       process->store.erase(key);
       process->store.commit();
-      plain.erase(key);
-    } else if (what < 9) {
+      expected.erase(key);
+    } else if (action < 9) {
       process->store.compact_slice();
       process->store.commit();
     } else {
@@ -198,7 +200,7 @@
     }
     for (int i = 0; i < 8; ++i) {
       std::string each = "key" + std::to_string(i);
-      RC_ASSERT(process->get(each) == (plain.contains(each) ? plain[each] : "none"));
+      RC_ASSERT(process->get(each) == (expected.contains(each) ? expected[each] : "none"));
     }
   }
 }
--- a/tests/temporary_file.h
+++ b/tests/temporary_file.h
@@ -1,4 +1,4 @@
-// A file with a given text, for tests of readers of configuration files; removed with the object.
+// A temporary file with a given text, for tests that read configuration files.
 #pragma once
 
 #include <unistd.h>
@@ -9,6 +9,8 @@
 
 namespace myrtlecroft {
 
+// Removed with the object. The path is the same for all objects of a process, so only one may exist at a
+// time.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text)
--- a/tests/temporary_folder_test.h
+++ b/tests/temporary_folder_test.h
@@ -1,4 +1,4 @@
-// A fixture with a folder that is removed with it.
+// A test fixture with a temporary folder, which is removed after the test.
 #pragma once
 
 #include <gtest/gtest.h>
