--- a/src/store/group_committer.h
+++ b/src/store/group_committer.h
@@ -16,6 +16,7 @@
 
 namespace myrtlecroft::store {
 
+// The state of the disk, from the commits so far and the one in progress.
 enum class DiskHealth {
   kHealthy,
   kSlow,   // the commit in progress has taken longer than CommitterOptions::slow_commit_threshold
@@ -24,6 +25,7 @@
 // Returns the state's name for logs and admin output.
 const char* name_of(DiskHealth health);
 
+// Limits of the committer; times in nanoseconds.
 struct CommitterOptions {
   Nanos slow_commit_threshold = 500 * kMs;  // a commit that takes longer makes the disk kSlow
   Nanos initial_backoff = 100 * kMs;        // before the first probe commit; doubled after each failed one
@@ -31,6 +33,7 @@
   std::size_t max_queued_records = 10'000;  // a record put while the queue is full fails at once
 };
 
+// Commits records of one store in groups, on a thread of its own.
 class GroupCommitter {
  public:
   // Receives true once the record is durable. Receives false if the record was not accepted, or if its commit
@@ -54,7 +57,7 @@
   void erase(std::string key);
   // Calls the completions of all finished commits and rejected records, on the calling thread.
   void deliver_completions();
-  // May be called on any thread.
+  // Returns the state of the disk at this moment.
   DiskHealth health() const;
 
   // Counters since the committer was created, except for `longest_commit`.
--- a/src/store/hdf5_export.cpp
+++ b/src/store/hdf5_export.cpp
@@ -26,11 +26,11 @@
   ColumnFile& operator=(const ColumnFile&) = delete;
 
   // The element types of one column.
-  struct Types {
+  struct ColumnTypes {
     hid_t on_disk;
     hid_t in_memory;
   };
-  void write_column(const char* name, const Types& types, const void* data) {
+  void write_column(const char* name, const ColumnTypes& types, const void* data) {
     hid_t data_space = H5Screate_simple(1, &rows_, nullptr);
     hid_t data_set =
         H5Dcreate2(file_, name, types.on_disk, data_space, H5P_DEFAULT, H5P_DEFAULT, H5P_DEFAULT);
@@ -79,8 +79,8 @@
 
 void Hdf5Export::write(const std::string& path) const {
   ColumnFile file(path, records());
-  const ColumnFile::Types numbers{.on_disk = H5T_STD_U64LE, .in_memory = H5T_NATIVE_UINT64};
-  const ColumnFile::Types times{.on_disk = H5T_STD_I64LE, .in_memory = H5T_NATIVE_INT64};
+  const ColumnFile::ColumnTypes numbers{.on_disk = H5T_STD_U64LE, .in_memory = H5T_NATIVE_UINT64};
+  const ColumnFile::ColumnTypes times{.on_disk = H5T_STD_I64LE, .in_memory = H5T_NATIVE_INT64};
   file.write_column("sequence", numbers, sequences_.data());
   file.write_column("segment", numbers, segments_.data());
   file.write_column("at_ns", times, written_at_.data());
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,7 +10,7 @@
 // record that the tombstone must hide.
 constexpr Nanos kUnknownKeyErasureWindow = kSecond;
 
-RecordLocation location_of(const Record& record, std::uint64_t segment, std::uint64_t offset) {
+RecordLocation make_location(const Record& record, std::uint64_t segment, std::uint64_t offset) {
   return {.kind = record.kind,
           .segment = segment,
           .offset = offset,
@@ -116,7 +116,7 @@
     std::uint64_t offset = segment.bytes + begin;
     append_record(bytes, pending.record, {.segment_salt = segment.salt, .offset = offset});
     std::size_t size = bytes.size() - begin;
-    RecordLocation& location = locations.emplace_back(location_of(pending.record, active_segment_, offset));
+    RecordLocation& location = locations.emplace_back(make_location(pending.record, active_segment_, offset));
     location.bytes = static_cast<std::uint32_t>(size);
     if (!pending.copied_from) stats_.appended_bytes += size;
   }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -22,6 +22,7 @@
 
 namespace myrtlecroft::store {
 
+// Settings of segment sizes and compaction.
 struct StoreOptions {
   std::size_t segment_bytes = std::size_t{64} << 20;  // a segment is sealed once it has this size
   double dead_share = 0.5;  // a sealed segment is compacted from this share of dead bytes on
--- a/src/store/store_inspector.cpp
+++ b/src/store/store_inspector.cpp
@@ -68,13 +68,13 @@
 }
 
 void StoreInspector::count_current_records() {
-  std::map<std::uint64_t, std::uint64_t> by_segment;
+  std::map<std::uint64_t, std::uint64_t> current_records_by_segment;
   for (const auto& [key, current] : current_) {
-    ++by_segment[current.segment];
+    ++current_records_by_segment[current.segment];
     if (!current.erased) ++inspection_.keys;
   }
   for (SegmentInspection& segment : inspection_.segments) {
-    segment.current_records = by_segment[segment.number];
+    segment.current_records = current_records_by_segment[segment.number];
   }
 }
 
--- a/tests/store_fakes.h
+++ b/tests/store_fakes.h
@@ -24,7 +24,7 @@
   // The bytes of a file: those that survive every crash, and all that were written.
   struct Content {
     std::string synced;
-    std::string now;
+    std::string written;
   };
   using Names = std::map<std::string, std::shared_ptr<Content>>;
 
@@ -51,9 +51,9 @@
     apply_change([name, content](Names& all) { all[name] = content; });
     return std::make_unique<FakeFile>(*this, content);
   }
-  std::uint64_t size(const std::string& name) override { return at(name).now.size(); }
+  std::uint64_t size(const std::string& name) override { return at(name).written.size(); }
   std::string read(const std::string& name, std::uint64_t offset, std::size_t max) override {
-    const std::string& all = at(name).now;
+    const std::string& all = at(name).written;
     return offset >= all.size() ? "" : all.substr(static_cast<std::size_t>(offset), max);
   }
   void rename(const std::string& from, const std::string& to) override {
@@ -88,12 +88,12 @@
     }
     for (const auto& [name, content] : surviving_names) {
       auto copy = std::make_shared<Content>();
-      std::string& bytes = copy->now = content->synced;
-      for (std::size_t at = bytes.size(); at < content->now.size();) {
-        std::size_t size = std::min(kBlockBytes - at % kBlockBytes, content->now.size() - at);
+      std::string& bytes = copy->written = content->synced;
+      for (std::size_t at = bytes.size(); at < content->written.size();) {
+        std::size_t size = std::min(kBlockBytes - at % kBlockBytes, content->written.size() - at);
         if (survives()) {
           bytes.resize(at, '\0');  // a lost block before a surviving one reads as zeros
-          bytes += content->now.substr(at, size);
+          bytes += content->written.substr(at, size);
         }
         at += size;
       }
@@ -107,7 +107,7 @@
   std::unique_ptr<FakeDisk> after_clean_exit() const {
     return after_crash([] { return true; });
   }
-  std::string& bytes(const std::string& name) { return at(name).now; }
+  std::string& bytes(const std::string& name) { return at(name).written; }
 
   Names names;
 
@@ -120,13 +120,13 @@
       try {
         disk_.count_operation();
       } catch (const DiskError&) {
-        content_->now += bytes.substr(0, fitting_bytes / 2);
+        content_->written += bytes.substr(0, fitting_bytes / 2);
         throw;
       } catch (const Crashed&) {
-        content_->now += bytes.substr(0, fitting_bytes / 2);
+        content_->written += bytes.substr(0, fitting_bytes / 2);
         throw;
       }
-      content_->now += bytes.substr(0, fitting_bytes);
+      content_->written += bytes.substr(0, fitting_bytes);
       if (disk_.free_bytes != SIZE_MAX) disk_.free_bytes -= fitting_bytes;
       if (fitting_bytes < bytes.size()) throw DiskError("no space", ENOSPC);
     }
@@ -140,7 +140,7 @@
         sync_failed_ = true;
         throw;
       }
-      if (!sync_failed_) content_->synced = content_->now;
+      if (!sync_failed_) content_->synced = content_->written;
     }
 
    private:
--- a/tests/store_recovery_test.cpp
+++ b/tests/store_recovery_test.cpp
@@ -82,7 +82,7 @@
   // Hint files that are torn, or that belong to another segment, are ignored.
   StoreProcess torn(process.disk->after_clean_exit());
   for (auto& [name, content] : torn.disk->names) {
-    if (name.ends_with(".hint")) content->now.resize(content->now.size() / 2);
+    if (name.ends_with(".hint")) content->written.resize(content->written.size() / 2);
   }
   RecoveryStats scanned = torn.store.open();
   EXPECT_EQ(scanned.segments_from_hints, 0u);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -36,7 +36,7 @@
   }
   ASSERT_GT(operations, 80);
   for (int step = 1; step <= operations; ++step) {
-    for (unsigned losses = 0; losses < 6; ++losses) {
+    for (unsigned loss_pattern = 0; loss_pattern < 6; ++loss_pattern) {
       StoreProcess process;
       Model model;
       process.disk->crash_at = step;
@@ -45,11 +45,13 @@
         write_randomly(process, model, 3, 40);
       } catch (const Crashed&) {
       }
-      std::mt19937 random(losses);
-      auto survives = [&] { return losses == 0 ? false : losses == 1 ? true : random() % 2 == 0; };
+      std::mt19937 random(loss_pattern);
+      auto survives = [&] {
+        return loss_pattern == 0 ? false : loss_pattern == 1 ? true : random() % 2 == 0;
+      };
       StoreProcess next(process.disk->after_crash(survives));
       next.store.open();
-      std::string context = "step " + std::to_string(step) + " losses " + std::to_string(losses);
+      std::string context = "step " + std::to_string(step) + " losses " + std::to_string(loss_pattern);
       expect_contents(next, model, context);
       // The recovered store accepts more writes and recovers a second time.
       model.acknowledged.clear();
