--- a/src/recovery/durable_idempotency_log.cpp
+++ b/src/recovery/durable_idempotency_log.cpp
@@ -11,10 +11,10 @@
 namespace myrtlecroft::recovery {
 namespace {
 
-constexpr Nanos kCheckInterval = 100 * kMs;  // of expired windows and of the disk's health
-// Keys in the store.
+constexpr Nanos kCheckInterval = 100 * kMs;  // for expired windows and the disk's health
+// Store key of the shard assignment.
 const std::string kAssignmentKey = "order";
-constexpr char kSeparator = '\n';  // between a request class and a key, neither of which has one
+constexpr char kSeparator = '\n';  // between request class and key; neither contains it
 
 std::string stored_key(const service::ServerRequest& request) {
   return request.request_class->name + kSeparator + request.key;
@@ -30,15 +30,15 @@
             disk_, {}, [this] { return loop_.now(); }, std::random_device()()),
         check_timer_(loop.base(), [this] { check(); }),
         wake_(loop.base(), [this] { committer_->deliver_completions(); }) {
-    Nanos began = loop.now();
+    Nanos open_started = loop.now();
     store::RecoveryStats stats = store_.open();
-    log_opened(stats, loop.now() - began);
+    log_opened(stats, loop.now() - open_started);
   }
 
   void attach(service::Service& service) override {
     service_ = &service;
     store_.for_each([this](const store::Record& record) { restore(record); });
-    // From here on the store belongs to the committer's thread.
+    // The committer's thread is the only one that uses the store from now on.
     committer_ = std::make_unique<store::GroupCommitter>(
         store_, store::CommitterOptions{}, [this] { return loop_.now(); }, [this] { wake_.notify(); });
     check_timer_.set(kCheckInterval);
@@ -55,7 +55,8 @@
 
   void record_intent(const service::ServerRequest& request, Nanos window) override {
     std::string key = stored_key(request);
-    // The service knows no run of this key: an entry here is left of a request that was rejected.
+    // The service asks for an intent only if it knows no run of this key, so that an existing entry is left
+    // over from a rejected request and is replaced.
     if (records_.handle(key, Event::kRequested, {.window = window}) != Action::kRecordIntent) {
       records_.handle(key, Event::kWindowExpired);
       records_.handle(key, Event::kRequested, {.window = window});
@@ -94,7 +95,7 @@
     if (records_.restore(record.key, record.value, record.window) !=
         IdempotencyRecords::RestoreResult::kRestored) {
       log_.line("store: record of key '" + record.key.substr(separator + 1) +
-                "' has an unknown format; its request counts as one that may have run");
+                "' has an unknown format; the outcome of its request is unknown");
     }
     const IdempotencyRecords::Entry& entry = *records_.find(record.key);
     service_->restore(record.key.substr(0, separator), record.key.substr(separator + 1),
@@ -105,7 +106,7 @@
 
   void intent_written(const std::string& key, const std::string& id, std::uint64_t attempt, bool durable) {
     auto pending = pending_intents_.find(key);
-    if (pending == pending_intents_.end() || pending->second != attempt) return;  // erased meanwhile
+    if (pending == pending_intents_.end() || pending->second != attempt) return;  // erased or superseded
     pending_intents_.erase(pending);
     Action action = records_.handle(key, durable ? Event::kWriteDurable : Event::kWriteLost);
     if (action == Action::kRun || action == Action::kReject) service_->intent_recorded(id, durable);
@@ -121,10 +122,10 @@
     if (health != health_) log_health(std::exchange(health_, health), health);
   }
 
-  void log_opened(const store::RecoveryStats& stats, Nanos took) {
-    log_.line("store opened in " + std::to_string(took / kMs) + " ms: " + std::to_string(stats.live_records) +
-              " live records in " + std::to_string(stats.segments) + " segments, " +
-              std::to_string(stats.segments_from_hints) + " of them by hints, " +
+  void log_opened(const store::RecoveryStats& stats, Nanos duration) {
+    log_.line("store opened in " + std::to_string(duration / kMs) + " ms: " +
+              std::to_string(stats.live_records) + " live records in " + std::to_string(stats.segments) +
+              " segments, " + std::to_string(stats.segments_from_hints) + " of them from hint files, " +
               std::to_string(stats.bytes) + " bytes, " + std::to_string(stats.skipped_bytes) + " skipped");
   }
 
@@ -142,14 +143,14 @@
   store::FileDisk disk_;
   store::Store store_;
   IdempotencyRecords records_;
-  std::multimap<Nanos, std::string> expiries_;            // the keys by the time their windows end
-  std::map<std::string, std::uint64_t> pending_intents_;  // by key, the attempt whose intent is being written
+  std::multimap<Nanos, std::string> expiries_;            // keys by the end of their windows
+  std::map<std::string, std::uint64_t> pending_intents_;  // by key: the attempt whose intent is being written
   std::uint64_t attempts_ = 0;
   std::string assignment_;
   net::Timer check_timer_;
   net::CrossThreadWakeup wake_;
-  store::DiskHealth health_ = store::DiskHealth::kHealthy;  // as it was logged last
-  std::unique_ptr<store::GroupCommitter> committer_;        // last: its thread uses the store
+  store::DiskHealth health_ = store::DiskHealth::kHealthy;  // as last logged
+  std::unique_ptr<store::GroupCommitter> committer_;        // destroyed first: its thread uses the store
 };
 
 }  // namespace
--- a/src/recovery/durable_idempotency_log.h
+++ b/src/recovery/durable_idempotency_log.h
@@ -1,5 +1,6 @@
-// The idempotency log on the durable store (docs/design/store.md): a server's keyed requests don't run twice
-// over its crash. Created by the server's main and called on the loop's thread; it owns the store.
+// The idempotency log on the durable store (docs/design/store.md): it prevents a keyed request from running
+// twice when the server crashes and restarts. Created by the server's main and called on the loop's thread;
+// it owns the store.
 #pragma once
 
 #include <memory>
@@ -11,19 +12,22 @@
 
 namespace myrtlecroft::recovery {
 
+// An idempotency log that survives a crash, and that also stores the server's shard assignment. All functions
+// run on the loop's thread.
 class DurableIdempotencyLog : public service::IdempotencyLog {
  public:
-  // Restores to the service what an earlier incarnation stored, and from then on notifies it of durable
-  // intents. Call once, before the service receives requests.
+  // Passes the keyed requests that an earlier incarnation stored to the service, which is notified of durable
+  // intents from then on. Call once, before the service receives requests.
   virtual void attach(service::Service& service) = 0;
-  // The encoded shard assignment that an earlier incarnation saved; empty: there is none. Valid after
-  // attach().
+  // Returns the encoded shard assignment that an earlier incarnation saved, or an empty string if there is
+  // none. Valid after attach().
   virtual std::string saved_assignment() = 0;
+  // Stores the encoded shard assignment without waiting for the disk. Call after attach().
   virtual void save_assignment(const std::string& assignment) = 0;
 };
 
-// Null where the settings name no folder. Throws store::StoreError or store::DiskError where the folder can't
-// be used.
+// Opens the store in the folder of the settings; returns nullptr if they name no folder. Throws
+// store::StoreError or store::DiskError if the folder can't be used.
 std::unique_ptr<DurableIdempotencyLog> open_durable_idempotency_log(const settings::StoreSettings& settings,
                                                                     net::Loop& loop, service::Logger& log);
 
--- a/src/recovery/durable_idempotency_log_none.cpp
+++ b/src/recovery/durable_idempotency_log_none.cpp
@@ -1,4 +1,4 @@
-// For builds without a store: no server has a durable idempotency log.
+// Replaces durable_idempotency_log.cpp in builds without a store: no server has a durable idempotency log.
 #include "recovery/durable_idempotency_log.h"
 
 namespace myrtlecroft::recovery {
--- a/src/recovery/idempotency_records.cpp
+++ b/src/recovery/idempotency_records.cpp
@@ -3,7 +3,7 @@
 namespace myrtlecroft::recovery {
 namespace {
 
-// The first byte of a stored record; a completed one's result follows it.
+// The first byte of a stored record. The result of a completed request follows it.
 constexpr char kIntentTag = 'I';
 constexpr char kCompletedTag = 'G';
 constexpr char kFailedTag = 'B';
@@ -15,16 +15,16 @@
   Action action;
 };
 
-// A pair that is not in the table changes nothing: a completion of a write that no longer matters, or a
-// second end of one run.
+// A pair of state and event that is not in the table changes nothing, for example the completion of an
+// outdated write or a second end of one run.
 constexpr Transition kTransitions[] = {
     {State::kUnknown, Event::kRequested, State::kRecordingIntent, Action::kRecordIntent},
     {State::kUnknown, Event::kRequestedDiskFailed, State::kUnknown, Action::kReject},
     {State::kRecordingIntent, Event::kRequested, State::kRecordingIntent, Action::kCoalesce},
     {State::kRecordingIntent, Event::kRequestedDiskFailed, State::kRecordingIntent, Action::kCoalesce},
     {State::kRecordingIntent, Event::kWriteDurable, State::kIntentDurable, Action::kRun},
-    // The intent may be on the disk after all. This incarnation knows that the request has not run; the next
-    // one will find its outcome unknown, and fail its retries.
+    // The intent may still have reached the disk. This incarnation knows that the request has not run; the
+    // next one would restore it as kOutcomeUnknown and fail its retries.
     {State::kRecordingIntent, Event::kWriteLost, State::kUnknown, Action::kReject},
     {State::kRecordingIntent, Event::kNeverRan, State::kUnknown, Action::kEraseIntent},
     {State::kRecordingIntent, Event::kWindowExpired, State::kUnknown, Action::kForget},
@@ -37,8 +37,8 @@
     {State::kOutcomeUnknown, Event::kRequested, State::kOutcomeUnknown, Action::kFail},
     {State::kOutcomeUnknown, Event::kRequestedDiskFailed, State::kOutcomeUnknown, Action::kFail},
     {State::kOutcomeUnknown, Event::kWindowExpired, State::kUnknown, Action::kForget},
-    // An outcome whose write is lost is known to this incarnation all the same; the next one finds the intent
-    // alone.
+    // If the write of an outcome is lost, this incarnation still knows the outcome; the next one finds only
+    // the intent.
     {State::kCompleted, Event::kRequested, State::kCompleted, Action::kAnswer},
     {State::kCompleted, Event::kRequestedDiskFailed, State::kCompleted, Action::kAnswer},
     {State::kCompleted, Event::kWindowExpired, State::kUnknown, Action::kForget},
@@ -71,8 +71,8 @@
 }
 
 void IdempotencyRecords::forget_result(const std::string& key) {
-  auto place = entries_.find(key);
-  if (place != entries_.end()) place->second.result = {};
+  auto found = entries_.find(key);
+  if (found != entries_.end()) found->second.result = {};
 }
 
 State IdempotencyRecords::state(const std::string& key) const {
@@ -81,8 +81,8 @@
 }
 
 const IdempotencyRecords::Entry* IdempotencyRecords::find(const std::string& key) const {
-  auto place = entries_.find(key);
-  return place == entries_.end() ? nullptr : &place->second;
+  auto found = entries_.find(key);
+  return found == entries_.end() ? nullptr : &found->second;
 }
 
 std::string IdempotencyRecords::encoded(const std::string& key) const {
--- a/src/releases/canary_sampler.cpp
+++ b/src/releases/canary_sampler.cpp
@@ -5,16 +5,16 @@
 namespace myrtlecroft::releases {
 namespace {
 
-constexpr Nanos kMinMeasured = 500 * kMs;  // in full service, before a server's figures count
+constexpr Nanos kMinMeasuredTime = 500 * kMs;  // minimum time in full service for a server to be compared
 
-// Adds the figures of one server to the samples.
+// Adds the metrics of one server to the samples.
 class ServerSample {
  public:
   ServerSample(const agreement::Plan& plan, const report::LoadReport& start, bool is_canary,
                CanarySamples& samples)
       : plan_(plan), start_(start), is_canary_(is_canary), samples_(samples) {}
 
-  // Returns how many requests of this class were completed.
+  // Adds the metrics of one request class. Returns how many of its requests were completed.
   double add(const report::RequestClassCounts& counts) {
     double received = increase(counts, &report::RequestClassCounts::read);
     double completed = increase(counts, &report::RequestClassCounts::completed);
@@ -57,10 +57,10 @@
   CanarySamples& samples_;
 };
 
-SampleGroups relative_to_baseline(const SampleGroups& samples, double usual) {
+SampleGroups relative_to_baseline(const SampleGroups& samples, double baseline_median) {
   SampleGroups out;
-  for (double value : samples.canary) out.canary.push_back(value / usual);
-  for (double value : samples.baseline) out.baseline.push_back(value / usual);
+  for (double value : samples.canary) out.canary.push_back(value / baseline_median);
+  for (double value : samples.baseline) out.baseline.push_back(value / baseline_median);
   return out;
 }
 
@@ -73,7 +73,7 @@
 }
 
 void CanarySampler::begin(const std::vector<routing::ServerStatus>& servers, Nanos now) {
-  begun_ = now;
+  started_at_ = now;
   starts_.clear();
   for (const routing::ServerStatus& server : servers) restart(starts_[server.node.name], server, now);
 }
@@ -90,7 +90,7 @@
 
 CanarySamples CanarySampler::sample(const AnalysisInput& input) const {
   CanarySamples out;
-  SampleGroups core_time;  // ns for each completed request
+  SampleGroups core_time;  // ns per completed request
   for (const routing::ServerStatus& server : input.servers) {
     bool is_canary = input.canary.contains(server.node.name);
     if (!is_canary && !input.baseline.contains(server.node.name)) continue;
@@ -98,18 +98,18 @@
     if (found == starts_.end()) continue;
     const MeasurementStart& start = found->second;
     (is_canary ? out.failed_canaries : out.failed_baselines) += start.failed;
-    if (!start.in_full_service || input.now - start.since < kMinMeasured) continue;
+    if (!start.in_full_service || input.now - start.since < kMinMeasuredTime) continue;
     out.measured_canaries += is_canary;
     ServerSample server_sample(input.plan, start.report, is_canary, out);
     double completed = 0;
     for (const report::RequestClassCounts& counts : server.report.request_classes)
       completed += server_sample.add(counts);
     if (completed < input.plan.least_exchanges()) continue;
-    double spent = static_cast<double>(server.report.core_time - start.report.core_time);
-    (is_canary ? core_time.canary : core_time.baseline).push_back(spent / completed);
+    double core_time_spent = static_cast<double>(server.report.core_time - start.report.core_time);
+    (is_canary ? core_time.canary : core_time.baseline).push_back(core_time_spent / completed);
   }
-  double usual = median(core_time.baseline);
-  if (usual > 0) out.metrics[kCoreTimeMetric] = relative_to_baseline(core_time, usual);
+  double baseline_median = median(core_time.baseline);
+  if (baseline_median > 0) out.metrics[kCoreTimeMetric] = relative_to_baseline(core_time, baseline_median);
   return out;
 }
 
--- a/src/releases/canary_sampler.h
+++ b/src/releases/canary_sampler.h
@@ -1,6 +1,7 @@
-// Collects the metrics by which canary servers are compared with baseline servers: for each server, what its
-// load reports counted since the measurement began. Called by CanaryAnalysis, on the control loop's thread.
-// Owns the report of each server from which its counters are subtracted. No I/O.
+// Collects the metrics by which canary servers are compared with baseline servers: for each server, the
+// increase of its load reports' counters since the measurement began. Called by CanaryAnalysis, on the
+// control loop's thread. Owns the first report of each server's measurement, whose counters are subtracted.
+// No I/O.
 #pragma once
 
 #include <map>
@@ -14,50 +15,54 @@
 
 namespace myrtlecroft::releases {
 
-// One analysis round: what is compared, and when.
+// Input of one analysis round.
 struct AnalysisInput {
   const agreement::Plan& plan;
   const std::vector<routing::ServerStatus>& servers;
   const std::set<std::string>& canary;    // servers that run the new version
   const std::set<std::string>& baseline;  // servers that still run another version
-  unsigned rounds = 1;  // analysis rounds of the whole release, over which the false alarm rate is divided
+  unsigned rounds = 1;  // analysis rounds of the whole release, by which the false halt rate is divided
   Nanos now = 0;
 };
 
-const std::string kNotServedMetric = " not served";  // suffix of a request class: share of its requests
-const std::string kLateMetric = " late";             // suffix of a request class: share of its answers
-const std::string kCoreTimeMetric = "core time";     // of a request, relative to the baseline's median
+const std::string kNotServedMetric = " not served";  // follows a request class: share of its requests
+const std::string kLateMetric = " late";             // follows a request class: share of its answers
+const std::string kCoreTimeMetric = "core time";  // per completed request, relative to the baseline's median
 
+// The samples of one analysis round.
 struct CanarySamples {
   std::map<std::string, SampleGroups> metrics;             // by name
-  std::map<std::string, unsigned> fewest_canary_requests;  // by request class: of the canary with the fewest
-  unsigned failed_canaries = 0;                            // failed since the measurement began
+  std::map<std::string, unsigned> fewest_canary_requests;  // by class: the fewest at any canary
+  unsigned failed_canaries = 0;                            // failed since begin()
   unsigned failed_baselines = 0;
   unsigned measured_canaries = 0;  // in service for long enough to be measured
 };
 
+// Not thread-safe.
 class CanarySampler {
  public:
   // Restarts the measurement of every server.
   void begin(const std::vector<routing::ServerStatus>& servers, Nanos now);
-  // Call at every tick: a server that leaves service or comes back as another incarnation is measured anew.
+  // Call at every tick. Restarts the measurement of each server that left service or that came back as
+  // another incarnation.
   void watch(const std::vector<routing::ServerStatus>& servers, Nanos now);
-  Nanos begun() const { return begun_; }
+  // Time of the last begin().
+  Nanos started_at() const { return started_at_; }
 
-  // The metrics of all servers of both groups since begin().
+  // Returns the metrics of all servers of both groups since begin().
   CanarySamples sample(const AnalysisInput& input) const;
 
  private:
   struct MeasurementStart {
-    bool in_full_service = false;  // without a break since `since`
-    bool failed = false;           // left service by a fault since begin()
+    bool in_full_service = false;  // without interruption since `since`
+    bool failed = false;           // left service because of a fault since begin()
     Nanos since = 0;
     report::LoadReport report;
   };
   static void restart(MeasurementStart& start, const routing::ServerStatus& server, Nanos now);
 
   std::map<std::string, MeasurementStart> starts_;
-  Nanos begun_ = 0;
+  Nanos started_at_ = 0;
 };
 
 }  // namespace myrtlecroft::releases
--- a/src/releases/disruption_budget.cpp
+++ b/src/releases/disruption_budget.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr double kThousandths = 1000;
-constexpr double kRounding = 1e-9;  // sums of capacities that differ by less are equal
+constexpr double kRounding = 1e-9;  // tolerance when sums of capacities are compared
 
-// Calls `visit` for each part of the fleet that has a limit of its own. The names are part of the agreed
-// state.
+// Calls `visit` with the name, limit and servers of each scope that has a limit of its own. The names are
+// part of the agreed state.
 template <class Visit>
-void for_each_part(const fleet::Fleet& fleet, Visit visit) {
+void for_each_scope(const fleet::Fleet& fleet, Visit visit) {
   std::set<std::string> all;
   std::map<std::string, std::set<std::string>> zones;
   for (const fleet::Node& node : fleet.nodes) {
@@ -41,8 +41,8 @@
          server.state == routing::ServerState::kUnresponsive;
 }
 
-// Rejected requests come again, at other servers too. Each counts once for the share that is rejected, not as
-// often as it is received.
+// Callers retry rejected requests, also at other servers. The load grows by the share that is rejected, so
+// that a request counts once and not each time that it is received.
 double load_of(const routing::ServerStatus& server) {
   if (server.last_report_at == 0) return 0;
   double received = server.reported.received.read(server.last_report_at);
@@ -66,8 +66,8 @@
     one.set_capacity(capacity_in_thousandths(node));
     capacities[node.name] = one.capacity();
   }
-  for_each_part(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
-                           const std::set<std::string>& nodes) {
+  for_each_scope(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
+                            const std::set<std::string>& nodes) {
     agreement::Budget& budget = *out.add_budgets();
     budget.set_name(name);
     budget.set_by_count(max.by_count);
@@ -103,11 +103,11 @@
                                    const std::vector<routing::ServerStatus>& servers,
                                    const std::set<std::string>& leased) {
   for (const routing::ServerStatus& server : servers) add_server(server, leased.contains(server.node.name));
-  for_each_part(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
-                           std::set<std::string> nodes) { add_part(name, max, std::move(nodes)); });
-  for (Part& part : parts_) {
-    for (const std::string& node : part.nodes) {
-      if (leased.contains(node)) part.usage.voluntarily_unavailable += weight_of(part, node);
+  for_each_scope(fleet, [&](const std::string& name, const fleet::MaxUnavailable& max,
+                            std::set<std::string> nodes) { add_scope(name, max, std::move(nodes)); });
+  for (Scope& scope : scopes_) {
+    for (const std::string& node : scope.nodes) {
+      if (leased.contains(node)) scope.usage.voluntarily_unavailable += weight_in_scope(scope, node);
     }
   }
 }
@@ -125,48 +125,49 @@
   if (is_faulty(server)) faulty_.insert(name);
 }
 
-void DisruptionBudget::add_part(const std::string& name, const fleet::MaxUnavailable& max,
-                                std::set<std::string> nodes) {
-  Part part{.usage = {.name = name}, .by_count = max.by_count, .nodes = std::move(nodes)};
-  for (const std::string& node : part.nodes) {
-    part.usage.all += weight_of(part, node);
-    if (unavailable_.contains(node)) part.usage.out += weight_of(part, node);
+void DisruptionBudget::add_scope(const std::string& name, const fleet::MaxUnavailable& max,
+                                 std::set<std::string> nodes) {
+  Scope scope{.usage = {.name = name}, .by_count = max.by_count, .nodes = std::move(nodes)};
+  for (const std::string& node : scope.nodes) {
+    scope.usage.all += weight_in_scope(scope, node);
+    if (unavailable_.contains(node)) scope.usage.out += weight_in_scope(scope, node);
   }
-  // Rounded to the same thousandth as the agreed budget.
-  part.usage.max =
-      max.by_count ? max.max : std::round(max.max * part.usage.all * kThousandths) / kThousandths;
-  parts_.push_back(std::move(part));
+  // Rounded to thousandths like the agreed budget.
+  scope.usage.max =
+      max.by_count ? max.max : std::round(max.max * scope.usage.all * kThousandths) / kThousandths;
+  scopes_.push_back(std::move(scope));
 }
 
-double DisruptionBudget::weight_of(const Part& part, const std::string& node) const {
+double DisruptionBudget::weight_in_scope(const Scope& scope, const std::string& node) const {
   auto found = capacities_.find(node);
   if (found == capacities_.end()) return 0;
-  return part.by_count ? 1 : found->second;
+  return scope.by_count ? 1 : found->second;
 }
 
 std::optional<BudgetError> DisruptionBudget::check(const std::string& node, double reserve) const {
-  if (auto error = check_parts(node)) return error;
+  if (auto error = check_scopes(node)) return error;
   return check_load(node, reserve);
 }
 
-std::optional<BudgetError> DisruptionBudget::check_parts(const std::string& node) const {
-  bool counted = unavailable_.contains(node);
-  for (const Part& part : parts_) {
-    if (!part.nodes.contains(node)) continue;
-    double more = counted ? 0 : weight_of(part, node);
-    // A faulty server carries nothing, and restarting it may mend it.
-    bool fits = faulty_.contains(node) || part.usage.out + more <= part.usage.max + kRounding;
-    if (part.usage.max > kRounding && fits) continue;
+std::optional<BudgetError> DisruptionBudget::check_scopes(const std::string& node) const {
+  bool already_unavailable = unavailable_.contains(node);
+  for (const Scope& scope : scopes_) {
+    if (!scope.nodes.contains(node)) continue;
+    double additional = already_unavailable ? 0 : weight_in_scope(scope, node);
+    // A faulty server runs no requests, and a restart may repair it.
+    bool within_budget =
+        faulty_.contains(node) || scope.usage.out + additional <= scope.usage.max + kRounding;
+    if (scope.usage.max > kRounding && within_budget) continue;
     return BudgetError{.kind = BudgetError::Kind::kBudgetUsedUp,
-                       .budget = part.usage.name,
-                       .used = part.usage.out,
-                       .limit = part.usage.max};
+                       .budget = scope.usage.name,
+                       .used = scope.usage.out,
+                       .limit = scope.usage.max};
   }
   return std::nullopt;
 }
 
-// At the load of the moment: a fleet that is full already must not lose more. This may hold a release up for
-// as long as capacity is short, which is when it should wait.
+// Compares the current load with the capacity of the remaining servers: a fully loaded fleet must not lose
+// more servers. This delays a release for as long as capacity is short, which is intended.
 std::optional<BudgetError> DisruptionBudget::check_load(const std::string& node, double reserve) const {
   auto limit = concurrency_limits_.find(node);
   if (unavailable_.contains(node) || limit == concurrency_limits_.end()) return std::nullopt;
@@ -182,16 +183,16 @@
 void DisruptionBudget::mark_unavailable(const std::string& node) {
   if (!unavailable_.insert(node).second) return;
   available_limit_ -= concurrency_limits_[node];
-  for (Part& part : parts_) {
-    if (!part.nodes.contains(node)) continue;
-    part.usage.out += weight_of(part, node);
-    part.usage.voluntarily_unavailable += weight_of(part, node);
+  for (Scope& scope : scopes_) {
+    if (!scope.nodes.contains(node)) continue;
+    scope.usage.out += weight_in_scope(scope, node);
+    scope.usage.voluntarily_unavailable += weight_in_scope(scope, node);
   }
 }
 
 std::vector<DisruptionBudget::Usage> DisruptionBudget::usage() const {
   std::vector<Usage> out;
-  for (const Part& part : parts_) out.push_back(part.usage);
+  for (const Scope& scope : scopes_) out.push_back(scope.usage);
   return out;
 }
 
--- a/src/releases/maintenance_grants.cpp
+++ b/src/releases/maintenance_grants.cpp
@@ -5,16 +5,16 @@
 namespace myrtlecroft::releases {
 namespace {
 
-constexpr Nanos kLeaseMargin = 5000 * kMs;  // of a lease, beyond the time limits of its steps
+constexpr Nanos kLeaseMargin = 5000 * kMs;  // added to the sum of the time limits of a lease's phases
 constexpr double kThousandths = 1000;
 
 }  // namespace
 
 void MaintenanceGrants::propose(const RolloutContext& context, agreement::Decision& out) {
   blocked_reason_.clear();
-  // A replica that hears only a part of the fleet can't tell what is unavailable.
+  // A replica that receives the reports of only some servers can't tell which servers are unavailable.
   if (context.view.router.registry().view() != routing::ConnectivityState::kConnected) {
-    blocked_reason_ = "too few servers report to this instance";
+    blocked_reason_ = "too few servers report to this replica";
     return;
   }
   DisruptionBudget budget(context.view.router.fleet(), context.all_servers(), context.leased);
@@ -29,7 +29,7 @@
     const routing::ServerStatus* server = context.server(node);
     if (!server || server->last_report_at == 0 || context.leased.contains(node)) continue;
     Grant grant{.node = node,
-                .why = agreement::REASON_DRAIN,
+                .reason = agreement::REASON_DRAIN,
                 .duration = options.lease_duration,
                 .reserve = options.reserve};
     grant_within(budget, grant, context.view.now, out);
@@ -42,10 +42,10 @@
   bool is_rollback = context.release.phase() == agreement::PHASE_ROLLING_BACK;
   Nanos duration = plan.empty_within_ns() + plan.back_within_ns() + plan.warm_within_ns() + kLeaseMargin;
   for (const std::string& node : servers_to_update(context)) {
-    // What operators want drained is theirs to take out.
+    // A server that operators drain gets its lease from propose_drains().
     if (context.maintenance.drains().contains(node)) continue;
     Grant grant{.node = node,
-                .why = is_rollback ? agreement::REASON_ROLLBACK : agreement::REASON_RELEASE,
+                .reason = is_rollback ? agreement::REASON_ROLLBACK : agreement::REASON_RELEASE,
                 .version = is_rollback ? context.updated.at(node)->from_version() : plan.version(),
                 .duration = duration,
                 .reserve = plan.reserve() / kThousandths};
@@ -64,7 +64,7 @@
   agreement::MaintenanceStep& step = *out.add_trips();
   step.set_node(grant.node);
   step.set_input(agreement::MAINTENANCE_GRANT);
-  step.set_why(grant.why);
+  step.set_why(grant.reason);
   step.set_version(grant.version);
   step.set_for_ns(grant.duration);
 }
--- a/src/releases/maintenance_grants.h
+++ b/src/releases/maintenance_grants.h
@@ -1,7 +1,6 @@
-// Grants maintenance leases: to servers that operators want drained, and to those that a release updates or
-// rolls back, as far as the disruption budget allows. Called by RolloutController for a decision of the
-// leader, on the control loop's thread. Owns the time of the last grant and the reason of the last refusal.
-// No I/O.
+// Grants maintenance leases to servers that operators drain and to servers that a release updates or rolls
+// back, as far as the disruption budget allows. Called by RolloutController on the leader, on the control
+// loop's thread. Owns the time of the last grant and the reason why the next one is blocked. No I/O.
 #pragma once
 
 #include <string>
@@ -12,20 +11,22 @@
 
 namespace myrtlecroft::releases {
 
+// Not thread-safe.
 class MaintenanceGrants {
  public:
-  // Adds a grant for each server that may be taken out now.
+  // Adds a grant to the decision for each server that may be taken out now.
   void propose(const RolloutContext& context, agreement::Decision& out);
 
+  // Time of the last grant on this replica; 0: none.
   Nanos last_granted() const { return last_granted_; }
-  // Why the next server could not be taken out at the last propose(); empty: none had to wait.
+  // Why the first waiting server could not be taken out in the last propose(); empty: no server had to wait.
   const std::string& blocked_reason() const { return blocked_reason_; }
 
  private:
   struct Grant {
     std::string node;
-    agreement::MaintenanceReason why = agreement::REASON_DRAIN;
-    std::uint32_t version = 0;  // to come back in; 0 for a drain
+    agreement::MaintenanceReason reason = agreement::REASON_DRAIN;
+    std::uint32_t version = 0;  // to restart in; 0 for a drain
     Nanos duration = 0;
     double reserve = 0;  // share of the remaining capacity that must stay free
   };
--- a/src/releases/maintenance_steps.cpp
+++ b/src/releases/maintenance_steps.cpp
@@ -9,14 +9,15 @@
 using agreement::MaintenancePhase;
 using routing::ServerStatus;
 
-// One server that holds a lease.
+// One server with a maintenance lease.
 struct LeasedServer {
   const RolloutContext& context;
   const std::string& node;
   const MaintenanceLease& lease;
-  const ServerStatus* status;  // nullptr: the fleet file doesn't name it any more
+  const ServerStatus* status;  // nullptr: no longer in the fleet file
 };
 
+// In `phase`, a lease receives `event` if `applies` returns true. `reason` may be empty.
 struct StepRule {
   MaintenancePhase phase;
   bool (*applies)(const LeasedServer&);
@@ -29,7 +30,7 @@
          server.status->incarnation != server.lease.incarnation;
 }
 
-// All proxies have applied the snapshot without it, and it reports no request and no shard.
+// All proxies have applied a snapshot in which the server has weight 0, and the server reports no requests.
 bool is_drained(const LeasedServer& server) {
   bool applied = server.lease.zero_weight_publication != 0 &&
                  server.context.view.applied >= server.lease.zero_weight_publication;
@@ -37,7 +38,7 @@
          server.status->report.queued_requests == 0 && server.status->report.running == 0;
 }
 
-// A drain that operators asked for has no time limit.
+// A drain by operators has no time limit.
 bool is_drained_late(const LeasedServer& server) {
   return server.lease.reason != agreement::REASON_DRAIN &&
          server.context.time_in_phase(server.lease) >= server.context.plan.empty_within_ns();
@@ -67,8 +68,8 @@
   return server.status && server.status->at_full_capacity();
 }
 
-// A server that had its order to restart may be about to leave although it still serves: only a report made
-// under the epoch that cancelled the order shows that it stays.
+// A server that received a restart command may be about to stop although it still serves. Only a report made
+// under the epoch that cancelled the command shows that the server will not restart.
 bool has_acted_on_cancellation(const LeasedServer& server) {
   return is_in_full_service(server) &&
          server.status->report.epoch.number >= server.lease.cancelled_in_decision;
@@ -81,7 +82,7 @@
   return server.context.time_in_phase(server.lease) >= limit;
 }
 
-// The first rule of a lease's phase that applies gives its event.
+// The first rule of the lease's phase that applies determines the event.
 constexpr StepRule kStepRules[] = {
     {MaintenancePhase::kDraining, is_other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
     {MaintenancePhase::kDraining, is_drained, agreement::MAINTENANCE_DRAINED, ""},
@@ -113,11 +114,11 @@
   return nullptr;
 }
 
-// A drain that operators still want keeps its lease, extended once half of it is used up.
+// The lease of a drain that operators have not ended is extended once half of it has passed.
 bool needs_extension(const LeasedServer& server, Nanos lease_duration) {
-  bool drained = server.lease.reason == agreement::REASON_DRAIN &&
-                 server.context.maintenance.drains().contains(server.node);
-  return drained && server.lease.until - server.context.view.time < lease_duration / 2;
+  bool drain_is_requested = server.lease.reason == agreement::REASON_DRAIN &&
+                            server.context.maintenance.drains().contains(server.node);
+  return drain_is_requested && server.lease.until - server.context.view.time < lease_duration / 2;
 }
 
 }  // namespace
--- a/src/releases/maintenance_steps.h
+++ b/src/releases/maintenance_steps.h
@@ -1,6 +1,6 @@
-// The next step of each server that holds a maintenance lease: drained, restarted, back, in service,
-// cancelled or abandoned. Called by RolloutController for a decision of the leader, on the control loop's
-// thread. Pure function; owns nothing.
+// Determines the next step of each maintenance lease: drained, restart, restarted, completed, cancelled,
+// failed or extended. Called by RolloutController on the leader, on the control loop's thread. Pure function;
+// owns nothing.
 #pragma once
 
 #include "agreement.pb.h"
--- a/src/releases/operator_commands.cpp
+++ b/src/releases/operator_commands.cpp
@@ -16,7 +16,7 @@
 using agreement::ReleasePhase;
 using Kind = OperatorCommand::Kind;
 
-constexpr std::size_t kMaxReason = 80;  // bytes of an operator's reason that are kept
+constexpr std::size_t kMaxReason = 80;  // bytes; a longer reason of an operator is truncated
 
 struct CommandName {
   std::string_view name;
@@ -25,14 +25,15 @@
 
 constexpr CommandName kDrainCommands[] = {{"drain", Kind::kDrain}, {"undrain", Kind::kUndrain}};
 
-// After "release".
+// The word after "release".
 constexpr CommandName kReleaseCommands[] = {{"start", Kind::kReleaseStart},
                                             {"halt", Kind::kReleaseHalt},
                                             {"resume", Kind::kReleaseResume},
                                             {"back", Kind::kReleaseRollback},
                                             {"end", Kind::kReleaseEnd}};
 
-// The phases in which an operator may give a release an event, and what the answer says then.
+// In `phase`, a command of this kind gives the release `event`; `answer` follows the release's name in the
+// result.
 struct ReleaseCommandRule {
   Kind kind;
   ReleasePhase phase;
@@ -52,20 +53,22 @@
     {Kind::kReleaseRollback, agreement::PHASE_SOAKING, agreement::RELEASE_ROLL_BACK, " is being rolled back"},
     {Kind::kReleaseRollback, agreement::PHASE_HALTED, agreement::RELEASE_ROLL_BACK, " is being rolled back"},
 
-    {Kind::kReleaseEnd, agreement::PHASE_HALTED, agreement::RELEASE_FINISH, " is ended as it is"},
-    {Kind::kReleaseEnd, agreement::PHASE_ROLLBACK_HALTED, agreement::RELEASE_FINISH, " is ended as it is"},
+    {Kind::kReleaseEnd, agreement::PHASE_HALTED, agreement::RELEASE_FINISH,
+     " is ended; servers keep their current versions"},
+    {Kind::kReleaseEnd, agreement::PHASE_ROLLBACK_HALTED, agreement::RELEASE_FINISH,
+     " is ended; servers keep their current versions"},
 };
 
 template <class Names>
 std::optional<Kind> kind_of(const Names& names, const std::string& name) {
-  for (const CommandName& one : names) {
-    if (one.name == name) return one.kind;
+  for (const CommandName& command : names) {
+    if (command.name == name) return command.kind;
   }
   return std::nullopt;
 }
 
-// A server of this name, else a zone's servers, else those that use a service.
-std::vector<std::string> servers_named(const fleet::Fleet& fleet, const std::string& name) {
+// Returns the server of this name, else the servers of the zone, else the servers that use the service.
+std::vector<std::string> servers_matching(const fleet::Fleet& fleet, const std::string& name) {
   if (fleet.node(name)) return {name};
   std::vector<std::string> out;
   for (const fleet::Node& node : fleet.nodes) {
@@ -77,9 +80,9 @@
   return out;
 }
 
-// Why not all of these servers can be taken out at once.
-std::optional<BudgetError> budget_error_of(const RolloutContext& context,
-                                           const std::vector<std::string>& nodes) {
+// Returns why these servers can't all be taken out at once; no value: they can.
+std::optional<BudgetError> find_budget_error(const RolloutContext& context,
+                                             const std::vector<std::string>& nodes) {
   const fleet::Fleet& fleet = context.view.router.fleet();
   DisruptionBudget budget(fleet, context.all_servers(), context.leased);
   for (const std::string& node : nodes) {
@@ -91,20 +94,20 @@
 
 std::string execute_drain(const RolloutContext& context, const OperatorCommand& command,
                           agreement::Decision& out) {
-  bool wanted = command.kind == Kind::kDrain;
-  std::vector<std::string> nodes = servers_named(context.view.router.fleet(), command.target);
+  bool is_drain = command.kind == Kind::kDrain;
+  std::vector<std::string> nodes = servers_matching(context.view.router.fleet(), command.target);
   if (nodes.empty()) throw CommandError("no server, zone or service is named '" + command.target + "'");
   int changed = 0;
   for (const std::string& node : nodes) {
-    if (context.maintenance.drains().contains(node) == wanted) continue;
+    if (context.maintenance.drains().contains(node) == is_drain) continue;
     agreement::DrainStep& step = *out.add_drains();
     step.set_node(node);
-    step.set_wanted(wanted);
+    step.set_wanted(is_drain);
     ++changed;
   }
   std::string answer = std::to_string(changed) + " of " + std::to_string(nodes.size()) + " servers ";
-  if (!wanted) return answer + "return to service";
-  std::optional<BudgetError> error = budget_error_of(context, nodes);
+  if (!is_drain) return answer + "return to service";
+  std::optional<BudgetError> error = find_budget_error(context, nodes);
   if (!error) return answer + "are being drained";
   return answer + "are drained as soon as the budgets allow it: " + error->text();
 }
@@ -121,13 +124,13 @@
                        ": end it or roll it back first");
   }
   std::optional<agreement::Plan> plan = parse_release_plan(command.argument);
-  if (!plan) throw CommandError("this version can't read the plan");
-  std::size_t disobedient = 0;
+  if (!plan) throw CommandError("this version can't parse the release plan");
+  std::size_t not_accepting = 0;
   for (const auto& [node, server] : context.servers)
-    disobedient += server->last_report_at > 0 && !server->report.accepts_assignments;
-  if (disobedient > 0) {
-    throw CommandError(std::to_string(disobedient) +
-                       " servers take no orders: obey = true in their settings");
+    not_accepting += server->last_report_at > 0 && !server->report.accepts_assignments;
+  if (not_accepting > 0) {
+    throw CommandError(std::to_string(not_accepting) +
+                       " servers accept no shard assignments: set obey = true in their settings");
   }
   out.mutable_release()->set_input(agreement::RELEASE_START);
   *out.mutable_release()->mutable_plan() = *plan;
@@ -137,10 +140,11 @@
 std::string execute_release_event(const RolloutContext& context, const OperatorCommand& command,
                                   agreement::Decision& out) {
   const agreement::Release& current = context.release;
-  const ReleaseCommandRule* rule = std::find_if(
-      std::begin(kReleaseCommandRules), std::end(kReleaseCommandRules), [&](const ReleaseCommandRule& one) {
-        return one.kind == command.kind && one.phase == current.phase();
-      });
+  const ReleaseCommandRule* rule =
+      std::find_if(std::begin(kReleaseCommandRules), std::end(kReleaseCommandRules),
+                   [&](const ReleaseCommandRule& candidate) {
+                     return candidate.kind == command.kind && candidate.phase == current.phase();
+                   });
   if (rule == std::end(kReleaseCommandRules))
     throw CommandError(name_of(current) + " is " + agreement::name_of(current.phase()));
   std::string reason = command.argument.empty() ? "" : ": " + command.argument.substr(0, kMaxReason);
--- a/src/releases/operator_commands.h
+++ b/src/releases/operator_commands.h
@@ -1,6 +1,6 @@
-// The operators' commands: drain, undrain and release. Reads their text, checks them against the agreed state
-// and adds their steps to a decision. Called by RolloutController for a decision of the leader, on the
-// control loop's thread. Pure functions; owns nothing.
+// The operators' commands drain, undrain and release: parses their text, checks them against the agreed state
+// and adds their steps to a decision. Called by RolloutController on the leader, on the control loop's
+// thread. Pure functions; owns nothing.
 #pragma once
 
 #include <stdexcept>
@@ -11,15 +11,16 @@
 
 namespace myrtlecroft::releases {
 
-// The result of a rejected command begins with this, in the agreed state too.
+// Prefix of a rejected command's result, in the agreed state as well.
 const std::string kCommandRejectedPrefix = "refused: ";
 
-// Thrown where a command can't be carried out; nothing of it has been added to the decision then.
+// Thrown if a command can't be executed. No step of the command has been added to the decision.
 class CommandError : public std::runtime_error {
  public:
   explicit CommandError(const std::string& reason) : std::runtime_error(reason) {}
 };
 
+// A parsed command.
 struct OperatorCommand {
   enum class Kind {
     kDrain,
@@ -31,15 +32,15 @@
     kReleaseEnd
   };
   Kind kind = Kind::kDrain;
-  std::string target;    // of a drain or undrain: a server, zone or service
-  std::string argument;  // of a start: the plan as JSON; of another release command: the operator's reason
+  std::string target;    // kDrain, kUndrain: a server, zone or service
+  std::string argument;  // kReleaseStart: the plan as JSON; other release commands: the operator's reason
 };
 
-// Throws CommandError.
+// Parses a command's text. Throws CommandError for an unknown command.
 OperatorCommand parse_command(const std::string& text);
 
 // Adds the command's steps to the decision and returns its result, one line for the operator. Throws
-// CommandError.
+// CommandError if the command can't be executed in the present state.
 std::string execute(const RolloutContext& context, const OperatorCommand& command, agreement::Decision& out);
 
 }  // namespace myrtlecroft::releases
--- a/src/releases/phase_analysis.cpp
+++ b/src/releases/phase_analysis.cpp
@@ -8,8 +8,8 @@
 namespace myrtlecroft::releases {
 namespace {
 
-constexpr unsigned kRoundsInAPhase = 4;  // within the plan's soak time
-constexpr unsigned kPhasesOfAWave = 2;   // rolling and soaking
+constexpr unsigned kRoundsPerPhase = 4;  // within the plan's soak time
+constexpr unsigned kPhasesPerWave = 2;   // rolling and soaking
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 }
 
 const AnalysisResult& PhaseAnalysis::result(const RolloutContext& context) {
-  Nanos interval = context.plan.soak_ns() / kRoundsInAPhase;
+  Nanos interval = context.plan.soak_ns() / kRoundsPerPhase;
   if (context.view.now - latest_at_ < interval) return latest_;
   latest_at_ = context.view.now;
   latest_ = evaluate(context);
@@ -37,14 +37,14 @@
       baseline.insert(node);
     }
   }
-  // With too few servers to compare with, only the alarms of the services in use are left.
+  // Without enough baseline servers for a comparison the version passes; the service alarms still apply.
   if (baseline.size() < kMinBaselineServers) return {AnalysisVerdict::kPass, ""};
   if (canary.empty()) return {};
   return analysis_.evaluate({.plan = context.plan,
                              .servers = context.all_servers(),
                              .canary = canary,
                              .baseline = baseline,
-                             .rounds = kRoundsInAPhase * kPhasesOfAWave * wave_count(context.plan),
+                             .rounds = kRoundsPerPhase * kPhasesPerWave * wave_count(context.plan),
                              .now = context.view.now});
 }
 
--- a/src/releases/phase_analysis.h
+++ b/src/releases/phase_analysis.h
@@ -1,6 +1,6 @@
-// Runs the canary analysis of one phase of a release: a few rounds only, since each could be wrong by chance.
-// Called by ReleaseMonitor and the release's transitions, on the control loop's thread. Owns the measurements
-// and the latest result. No I/O.
+// Runs the canary analysis of one phase of a release, in a few rounds only, because each round may be wrong
+// by chance. Called by ReleaseMonitor and release_transitions, on the control loop's thread. Owns the
+// measurements and the latest result. No I/O.
 #pragma once
 
 #include <vector>
@@ -10,19 +10,21 @@
 
 namespace myrtlecroft::releases {
 
+// Not thread-safe.
 class PhaseAnalysis {
  public:
-  // A new phase: all measurements restart, and nothing is known yet.
+  // Starts a new phase: restarts all measurements and clears the latest result.
   void begin(const std::vector<routing::ServerStatus>& servers, Nanos now);
   // Call at every tick of a phase.
   void watch(const std::vector<routing::ServerStatus>& servers, Nanos now) { analysis_.watch(servers, now); }
-  Nanos begun() const { return analysis_.begun(); }
+  // When the phase began.
+  Nanos started_at() const { return analysis_.started_at(); }
 
-  // The latest result, of a new round if one is due.
+  // Runs a new round if one is due, and returns the latest result.
   const AnalysisResult& result(const RolloutContext& context);
-  // The latest result, without a new round.
+  // Returns the latest result without running a round.
   const AnalysisResult& latest() const { return latest_; }
-  // When the latest round was, or the phase began.
+  // Time of the latest round; before the first one, of the start of the phase.
   Nanos latest_at() const { return latest_at_; }
 
  private:
--- a/src/releases/rank_statistics.cpp
+++ b/src/releases/rank_statistics.cpp
@@ -7,19 +7,20 @@
 
 namespace myrtlecroft::releases {
 
-double probability_of_at_least(const MarkedDraw& draw) {
-  // The library accepts only counts that can occur.
-  unsigned min = draw.drawn + draw.marked > draw.population ? draw.drawn + draw.marked - draw.population : 0;
-  if (draw.seen <= min) return 1;
-  if (draw.seen > std::min(draw.drawn, draw.marked)) return 0;
-  boost::math::hypergeometric_distribution<double> distribution(draw.marked, draw.drawn, draw.population);
-  return boost::math::cdf(boost::math::complement(distribution, draw.seen - 1));
+double probability_of_at_least(const HypergeometricDraw& draw) {
+  // Boost throws for counts that can't occur, so these are handled first.
+  unsigned min =
+      draw.draws + draw.successes > draw.population ? draw.draws + draw.successes - draw.population : 0;
+  if (draw.successes_drawn <= min) return 1;
+  if (draw.successes_drawn > std::min(draw.draws, draw.successes)) return 0;
+  boost::math::hypergeometric_distribution<double> distribution(draw.successes, draw.draws, draw.population);
+  return boost::math::cdf(boost::math::complement(distribution, draw.successes_drawn - 1));
 }
 
-double probability_by_chance(const RankCount& count) {
-  return probability_of_at_least({.seen = count.found,
-                                  .drawn = count.canaries,
-                                  .marked = count.canaries,
+double rank_p_value(const RankCount& count) {
+  return probability_of_at_least({.successes_drawn = count.found,
+                                  .draws = count.canaries,
+                                  .successes = count.canaries,
                                   .population = count.canaries + count.baselines});
 }
 
--- a/src/releases/release_monitor.cpp
+++ b/src/releases/release_monitor.cpp
@@ -33,13 +33,13 @@
 
 void ReleaseMonitor::begin_phase(const RolloutContext& context) {
   const agreement::Release& release = context.release;
-  if (release.id() != release_id_) alarms_.release_started();
+  if (release.id() != release_id_) alarms_.record_reference_shares();
   if (release_id_ != 0 || release.phase() != agreement::PHASE_NONE) log_phase(release);
   release_id_ = release.id();
   phase_ = release.phase();
   wave_ = release.wave();
   longest_interruption_ = 0;
-  alarms_.phase_started();
+  alarms_.restart_timers();
   analysis_.begin(context.all_servers(), context.view.now);
 }
 
--- a/src/releases/release_monitor.h
+++ b/src/releases/release_monitor.h
@@ -1,6 +1,7 @@
-// Measures what the phases of a release are decided by: canaries, service alarms and interruptions of
-// agreement. Every control replica measures all the time, whether it leads or not, so that a new leader need
-// not begin anew. Called by RolloutController, on the control loop's thread. Owns the measurements. No I/O.
+// Measures the evidence for the transitions of a release: canary analysis, service alarms and interruptions
+// of the agreement. Every control replica measures all the time, whether it leads or not, so that a new
+// leader does not have to start over. Called by RolloutController, on the control loop's thread. Owns the
+// measurements. No I/O.
 #pragma once
 
 #include <functional>
@@ -12,18 +13,19 @@
 
 namespace myrtlecroft::releases {
 
+// Not thread-safe.
 class ReleaseMonitor {
  public:
   using Log = std::function<void(const std::string&)>;
   explicit ReleaseMonitor(Log log) : log_(std::move(log)) {}
 
-  // Call at every tick. True: a new phase of a release was agreed, and its measurements began.
+  // Call at every tick. Returns true if a new phase of a release was agreed and its measurements started.
   bool watch(const RolloutContext& context);
 
   PhaseAnalysis& analysis() { return analysis_; }
   const PhaseAnalysis& analysis() const { return analysis_; }
   const ServiceAlarms& alarms() const { return alarms_; }
-  // The longest time without an agreed decision since the phase began.
+  // The longest time between two agreed decisions since the phase began.
   Nanos longest_interruption() const { return longest_interruption_; }
 
  private:
@@ -35,7 +37,7 @@
   Log log_;
   PhaseAnalysis analysis_;
   ServiceAlarms alarms_;
-  // The phase that is measured.
+  // The phase being measured.
   std::uint64_t release_id_ = 0;
   agreement::ReleasePhase phase_ = agreement::PHASE_NONE;
   std::uint32_t wave_ = 0;
--- a/src/releases/release_transitions.cpp
+++ b/src/releases/release_transitions.cpp
@@ -14,14 +14,15 @@
 
 using agreement::UpdatedServer;
 
-// A release that was interrupted for so long waits for its operators.
+// After a longer interruption of the agreement a release halts and waits for its operators.
 constexpr Nanos kMaxInterruption = 5000 * kMs;
 
-// Why a transition is due, as operators read it; may be empty. No value: it is not due.
+// Why a transition is due, as shown to operators; may be empty. No value: the transition is not due.
 using Reason = std::optional<std::string>;
 
 const std::string kNoReason;
 
+// In `phase`, the release receives `event` if `due` returns a value.
 struct TransitionRule {
   agreement::ReleasePhase phase;
   Reason (*due)(const ReleaseEvidence&);
@@ -38,7 +39,7 @@
 }
 
 Reason service_alarm(const ReleaseEvidence& evidence) {
-  return evidence.monitor.alarms().raised(evidence.context);
+  return evidence.monitor.alarms().raised_alarm(evidence.context);
 }
 
 Reason too_many_servers_failed(const ReleaseEvidence& evidence) {
@@ -47,7 +48,7 @@
     if (!server.failed().empty()) failed.push_back(server.node() + " (" + server.failed() + ")");
   }
   if (failed.size() <= evidence.context.plan.most_failed()) return std::nullopt;
-  return listed(failed);
+  return truncated_list(failed);
 }
 
 Reason too_many_servers_failed_with_rollback(const ReleaseEvidence& evidence) {
@@ -64,10 +65,10 @@
   return evidence.context.plan.way_back() ? analysis_failed(evidence) : std::nullopt;
 }
 
-// No server could be taken out for as long as a complete restart may take.
+// Due if no server could be taken out for as long as one restart may take.
 Reason blocked_too_long(const ReleaseEvidence& evidence) {
   const RolloutContext& context = evidence.context;
-  Nanos since = std::max(evidence.grants.last_granted(), evidence.monitor.analysis().begun());
+  Nanos since = std::max(evidence.grants.last_granted(), evidence.monitor.analysis().started_at());
   if (context.any_lease_for(agreement::REASON_RELEASE) || evidence.grants.blocked_reason().empty() ||
       context.view.now - since < context.plan.back_within_ns())
     return std::nullopt;
@@ -83,7 +84,7 @@
 Reason analysis_passed(const ReleaseEvidence& evidence) {
   const RolloutContext& context = evidence.context;
   PhaseAnalysis& analysis = evidence.monitor.analysis();
-  if (context.view.now - analysis.begun() < context.plan.soak_ns()) return std::nullopt;
+  if (context.view.now - analysis.started_at() < context.plan.soak_ns()) return std::nullopt;
   if (analysis.result(context).verdict != AnalysisVerdict::kPass) return std::nullopt;
   return kNoReason;
 }
@@ -96,12 +97,12 @@
   for (const auto& [node, server] : context.servers) {
     if (!context.has_target_version(*server)) others.push_back(node);
   }
-  return others.empty() ? kNoReason : "not in the target version: " + listed(others);
+  return others.empty() ? kNoReason : "not in the target version: " + truncated_list(others);
 }
 
 Reason inconclusive_too_long(const ReleaseEvidence& evidence) {
   const PhaseAnalysis& analysis = evidence.monitor.analysis();
-  if (evidence.context.view.now - analysis.begun() < evidence.context.plan.longest_soak_ns())
+  if (evidence.context.view.now - analysis.started_at() < evidence.context.plan.longest_soak_ns())
     return std::nullopt;
   return "analysis inconclusive: " + analysis.latest().reason;
 }
@@ -117,10 +118,10 @@
     if (server && server->version != updated.from_version()) others.push_back(updated.node());
   }
   if (others.empty()) return context.release.reason();
-  return context.release.reason() + "; not rolled back: " + listed(others);
+  return context.release.reason() + "; not rolled back: " + truncated_list(others);
 }
 
-// The first rule of the present phase that is due gives its event.
+// The first rule of the present phase that is due determines the event.
 constexpr TransitionRule kTransitionRules[] = {
     {agreement::PHASE_ROLLING, quorum_was_lost, agreement::RELEASE_HALT},
     {agreement::PHASE_ROLLING, analysis_failed_with_rollback, agreement::RELEASE_ROLL_BACK},
--- a/src/releases/release_transitions.h
+++ b/src/releases/release_transitions.h
@@ -1,5 +1,5 @@
-// The next phase of a release: whether its wave is complete, passes, halts the release or rolls it back.
-// Called by RolloutController for a decision of the leader, on the control loop's thread. Owns nothing.
+// Determines the next transition of a release: its wave is complete or passes, or the release is halted or
+// rolled back. Called by RolloutController on the leader, on the control loop's thread. Owns nothing.
 #pragma once
 
 #include "agreement.pb.h"
@@ -9,14 +9,14 @@
 
 namespace myrtlecroft::releases {
 
-// What a transition rests on. A new analysis round may run when a rule asks for its result.
+// Input of the transition rules. A rule that reads the analysis result may run a new analysis round.
 struct ReleaseEvidence {
   const RolloutContext& context;
   ReleaseMonitor& monitor;
   const MaintenanceGrants& grants;
 };
 
-// Adds the transition of the release to the decision, if one is due.
+// Adds the release's transition to the decision, if one is due.
 void propose_release_transition(const ReleaseEvidence& evidence, agreement::Decision& out);
 
 }  // namespace myrtlecroft::releases
--- a/src/releases/rollout_context.cpp
+++ b/src/releases/rollout_context.cpp
@@ -5,7 +5,7 @@
 namespace myrtlecroft::releases {
 namespace {
 
-constexpr std::size_t kMaxListed = 3;  // servers named in a reason
+constexpr std::size_t kMaxListed = 3;  // names in a list of servers
 
 }  // namespace
 
@@ -24,12 +24,12 @@
   return found == servers.end() ? nullptr : found->second;
 }
 
-bool RolloutContext::any_lease_for(agreement::MaintenanceReason why) const {
+bool RolloutContext::any_lease_for(agreement::MaintenanceReason reason) const {
   return std::any_of(maintenance.leases().begin(), maintenance.leases().end(),
-                     [why](const auto& lease) { return lease.second.reason == why; });
+                     [reason](const auto& lease) { return lease.second.reason == reason; });
 }
 
-std::string listed(const std::vector<std::string>& names) {
+std::string truncated_list(const std::vector<std::string>& names) {
   std::string out;
   for (std::size_t i = 0; i < names.size() && i < kMaxListed; ++i) out += (i > 0 ? ", " : "") + names[i];
   if (names.size() > kMaxListed) out += " and " + std::to_string(names.size() - kMaxListed) + " more";
--- a/src/releases/rollout_controller.cpp
+++ b/src/releases/rollout_controller.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxLoggedCommand = 64;  // bytes
 
-// Adds the command's steps, if it can be carried out. Returns its result as it is agreed.
+// Adds the command's steps if it can be executed. Returns its result as stored in the agreed state.
 std::string run_command(const RolloutContext& context, const std::string& text, agreement::Decision& out) {
   try {
     return execute(context, parse_command(text), out);
@@ -35,21 +35,21 @@
       budgets.SerializeAsString() == view.agreed.maintenance().budgets().SerializeAsString();
   if (!budgets_agreed) *out.mutable_budgets() = budgets;
   propose_command_result(context, out);
-  bool commanded = out.has_release() || out.drains_size() > 0;
-  if (!commanded) {
+  bool has_command_steps = out.has_release() || out.drains_size() > 0;
+  if (!has_command_steps) {
     propose_release_transition({.context = context, .monitor = monitor_, .grants = grants_}, out);
     const PhaseAnalysis& analysis = monitor_.analysis();
     bool new_result = analysis.latest_at() == view.now && !analysis.latest().reason.empty();
     if (new_result) status_detail_ = analysis.latest().reason;
   }
-  // A halt or a rollback cancels leases by itself; further steps wait for the next decision.
-  if (out.has_release() || commanded) return;
+  // The agreed state cancels leases on a halt or a rollback, so that other steps wait for the next decision.
+  if (out.has_release() || has_command_steps) return;
   propose_maintenance_steps(context, out);
   if (budgets_agreed) grants_.propose(context, out);
   if (!grants_.blocked_reason().empty()) status_detail_ = grants_.blocked_reason();
 }
 
-// One command a decision, so that each is checked against what the one before it has changed.
+// Executes one command per decision, so that each command is checked against the effects of the previous one.
 void RolloutController::propose_command_result(const RolloutContext& context, agreement::Decision& out) {
   for (const auto& [id, text] : context.view.commands) {
     if (context.maintenance.result(id)) continue;
--- a/src/releases/rollout_controller.h
+++ b/src/releases/rollout_controller.h
@@ -1,7 +1,7 @@
-// Proposes, on the replica that leads, which servers are taken out next, which are back, and whether a
-// release goes on: further steps of the decision that is drawn up. The rules of the agreed state accept or
-// reject them (agreement/maintenance_state.h). Called by ControlReplica, on the control loop's thread. Owns
-// the measurements of the release; the release itself is agreed state. No I/O.
+// Adds steps to the leader's next decision: which servers are taken out of service, which are back, and
+// whether a release continues. The agreed state accepts or rejects these steps
+// (agreement/maintenance_state.h). Called by ControlReplica, on the control loop's thread. Owns the
+// measurements of the release; the release itself is agreed state. No I/O.
 #pragma once
 
 #include <functional>
@@ -13,18 +13,19 @@
 
 namespace myrtlecroft::releases {
 
+// Not thread-safe.
 class RolloutController final : public agreement::DecisionContributor {
  public:
   using Log = std::function<void(const std::string&)>;
-  // `log` receives one line for each change of phase and each command.
+  // `log` receives one line for each phase change and each command.
   explicit RolloutController(Log log) : log_(log), monitor_(std::move(log)) {}
 
-  // Measures; at every tick on every replica.
+  // Updates the measurements. Called at every tick on every replica.
   void observe(const View& view) override;
-  // Adds steps to the decision; on the leader only.
+  // Adds steps to the decision. Called on the leader only.
   void append_steps(const View& view, agreement::Decision& out) override;
 
-  // What the release waits for, or the figures of its latest analysis round, as measured here; one line.
+  // One line: what the release waits for, or the figures of the latest analysis round on this replica.
   const std::string& status_detail() const { return status_detail_; }
 
  private:
--- a/src/releases/rollout_plan.cpp
+++ b/src/releases/rollout_plan.cpp
@@ -15,8 +15,8 @@
 constexpr std::int64_t kMaxFailedServers = 10'000;
 constexpr std::int64_t kMaxMinRequests = 1'000'000;
 constexpr std::size_t kMaxWaves = 50;
-constexpr std::size_t kMaxName = 64;      // bytes
-constexpr std::uint32_t kAllOfIt = 1000;  // thousandths
+constexpr std::size_t kMaxName = 64;        // bytes
+constexpr std::uint32_t kFullShare = 1000;  // thousandths
 
 void read_waves(Section& root, agreement::Plan& out) {
   for (Section& wave : root.list("waves")) {
@@ -24,13 +24,13 @@
     wave.reject_unknown_fields();
     int count = out.waves_size();
     if (count > 1 && out.waves(count - 1) <= out.waves(count - 2))
-      wave.fail("share", "is not above the wave before it");
+      wave.fail("share", "is not above the share of the previous wave");
   }
   if (out.waves_size() == 0) {
     for (std::uint32_t share : {50u, 150u, 400u, 1000u}) out.add_waves(share);
   }
   if (static_cast<std::size_t>(out.waves_size()) > kMaxWaves) root.fail("waves", "are more than 50");
-  if (out.waves(out.waves_size() - 1) != kAllOfIt) root.fail("waves", "do not end with a share of 1");
+  if (out.waves(out.waves_size() - 1) != kFullShare) root.fail("waves", "do not end with a share of 1");
 }
 
 void set_default_health(agreement::Plan& out) {
@@ -66,7 +66,7 @@
 
 std::string release_start_command(const agreement::Plan& plan) {
   std::string json;
-  // Can't fail for a message of numbers and valid text.
+  // Can't fail: the plan holds only numbers and valid UTF-8 text.
   if (!google::protobuf::util::MessageToJsonString(plan, &json).ok()) json.clear();
   return "release start " + json;
 }
@@ -83,7 +83,7 @@
   agreement::Plan out;
   root.integer("version", 1, 1);
   out.set_name(root.text("name"));
-  if (out.name().size() > kMaxName) root.fail("name", "is longer than 64 letters");
+  if (out.name().size() > kMaxName) root.fail("name", "is longer than 64 bytes");
   out.set_version(static_cast<std::uint32_t>(root.integer("wanted", 0, fencing::kMaxVersion)));
   out.set_first_nodes(static_cast<std::uint32_t>(root.integer_or("first_nodes", 3, 1, kMaxFirstServers)));
   read_waves(root, out);
--- a/src/releases/service_alarms.cpp
+++ b/src/releases/service_alarms.cpp
@@ -6,22 +6,24 @@
 namespace myrtlecroft::releases {
 namespace {
 
-constexpr double kMinAnswers = 20;  // of a service's users lately, for their late share to count
+constexpr double kMinAnswers = 20;  // recent answers that a late share must be based on
 constexpr double kThousandths = 1000;
 
+// Recent answers of the servers that use a service.
 struct Answers {
   double all = 0;
   double in_time = 0;
 };
 
-// Of the users that don't have the new version: a service that slows while a wave goes out is no fault of the
-// version, but no time to go on either.
+// Counts only servers without the new version during a release. If a service slows down for them while a wave
+// is updated, the new version is not at fault, but the release should not continue either.
 Answers answers_of_users(const RolloutContext& context, const fleet::Service& service) {
   Answers out;
-  bool under_way = context.maintenance.release_in_progress();
+  bool rollout_in_progress = context.maintenance.release_in_progress();
   for (const std::string& node : service.used_by) {
     const routing::ServerStatus* server = context.server(node);
-    if (!server || !server->in_service() || (under_way && context.has_target_version(*server))) continue;
+    if (!server || !server->in_service() || (rollout_in_progress && context.has_target_version(*server)))
+      continue;
     out.all += server->reported.answered.read(context.view.now);
     out.in_time += server->reported.in_time.read(context.view.now);
   }
@@ -30,11 +32,11 @@
 
 }  // namespace
 
-void ServiceAlarms::release_started() {
-  for (auto& [name, late] : by_service_) late.at_start = late.now;
+void ServiceAlarms::record_reference_shares() {
+  for (auto& [name, late] : by_service_) late.at_release_start = late.now;
 }
 
-void ServiceAlarms::phase_started() {
+void ServiceAlarms::restart_timers() {
   for (auto& [name, late] : by_service_) late.above_since = 0;
 }
 
@@ -42,12 +44,12 @@
   for (const fleet::Service& service : context.view.router.fleet().services) {
     Answers answers = answers_of_users(context, service);
     LateShare& late = by_service_[service.name];
-    late.now =
-        answers.all < kMinAnswers ? late.at_start : std::clamp(1 - answers.in_time / answers.all, 0.0, 1.0);
+    late.now = answers.all < kMinAnswers ? late.at_release_start
+                                         : std::clamp(1 - answers.in_time / answers.all, 0.0, 1.0);
     if (!context.maintenance.release_in_progress()) {
-      late.at_start = late.now;
+      late.at_release_start = late.now;
       late.above_since = 0;
-    } else if (late.now <= late.at_start + context.plan.alarm() / kThousandths) {
+    } else if (late.now <= late.at_release_start + context.plan.alarm() / kThousandths) {
       late.above_since = 0;
     } else if (late.above_since == 0) {
       late.above_since = context.view.now;
@@ -55,12 +57,12 @@
   }
 }
 
-std::optional<std::string> ServiceAlarms::raised(const RolloutContext& context) const {
+std::optional<std::string> ServiceAlarms::raised_alarm(const RolloutContext& context) const {
   for (const auto& [name, late] : by_service_) {
     if (late.above_since == 0 || context.view.now - late.above_since < context.plan.alarm_for_ns()) continue;
     char line[200];
     std::snprintf(line, sizeof line, "service %s: %.0f%% of its users' answers late, %.0f%% at the start",
-                  name.c_str(), 100 * late.now, 100 * late.at_start);
+                  name.c_str(), 100 * late.now, 100 * late.at_release_start);
     return line;
   }
   return std::nullopt;
--- a/src/releases/service_alarms.h
+++ b/src/releases/service_alarms.h
@@ -1,6 +1,6 @@
-// Watches the services that servers use: whether more answers of their users are late than when the release
-// started. Called by ReleaseMonitor and the release's transitions, on the control loop's thread. Owns the
-// measurements by service. No I/O.
+// Detects services that became slower during a release: more answers of the servers that use them are late
+// than when the release started. Called by ReleaseMonitor and release_transitions, on the control loop's
+// thread. Owns the measurements by service. No I/O.
 #pragma once
 
 #include <map>
@@ -11,23 +11,25 @@
 
 namespace myrtlecroft::releases {
 
+// Not thread-safe.
 class ServiceAlarms {
  public:
-  // From now on the present late shares are what alarms are compared with.
-  void release_started();
-  // An alarm is raised only after its full time within one phase.
-  void phase_started();
-  // Call at every tick.
+  // Call when a release starts: later late shares are compared with the present ones.
+  void record_reference_shares();
+  // Call when a phase starts: an alarm needs the plan's full `alarm_for` within one phase.
+  void restart_timers();
+  // Updates the late shares. Call at every tick.
   void measure(const RolloutContext& context);
-  // The figures of the first service by name whose late share has been too high for the plan's `alarm_for`.
-  std::optional<std::string> raised(const RolloutContext& context) const;
+  // Returns the figures of the first service by name whose late share has been too high for the plan's
+  // `alarm_for`; no value: there is none.
+  std::optional<std::string> raised_alarm(const RolloutContext& context) const;
 
  private:
-  // The share of late answers of the servers that use a service.
+  // Share of late answers among all answers of the servers that use a service.
   struct LateShare {
-    double at_start = 0;
+    double at_release_start = 0;
     double now = 0;
-    Nanos above_since = 0;  // above what the plan allows; 0: it is not
+    Nanos above_since = 0;  // when it rose above the plan's limit; 0: not above
   };
   std::map<std::string, LateShare> by_service_;
 };
--- a/src/releases/update_queue.h
+++ b/src/releases/update_queue.h
@@ -1,5 +1,5 @@
-// Which servers a release takes out next, and in which order. Called by MaintenanceGrants and by the
-// release's transitions, on the control loop's thread. Pure function; owns nothing.
+// Selects the servers that a release takes out next, and their order. Called by MaintenanceGrants and
+// release_transitions, on the control loop's thread. Pure function; owns nothing.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace myrtlecroft::releases {
 
-// The servers that still have to change their version in the current wave or rollback, in the order in which
-// they should go; empty: none is left, or the release is in no phase that takes servers out.
+// Returns the servers that must still change their version in the current wave or rollback, in the order in
+// which to take them out. Empty if none is left or if the release's phase takes no servers out.
 std::vector<std::string> servers_to_update(const RolloutContext& context);
 
 }  // namespace myrtlecroft::releases
--- a/tests/canary_analysis_test.cpp
+++ b/tests/canary_analysis_test.cpp
@@ -1,4 +1,4 @@
-// The verdicts of the canary analysis, its error rates, and the probabilities under them.
+// Tests the verdicts and error rates of the canary analysis, and the rank statistics that it uses.
 #include "releases/canary_analysis.h"
 
 #include <gtest/gtest.h>
@@ -11,18 +11,20 @@
 namespace {
 
 TEST(RankStatisticsTest, ProbabilityIsHypergeometricAndDefinedForAllCounts) {
-  EXPECT_NEAR(probability_by_chance({.found = 3, .canaries = 3, .baselines = 97}), 1.0 / 161'700, 1e-12);
-  EXPECT_NEAR(probability_by_chance({.found = 1, .canaries = 1, .baselines = 9}), 0.1, 1e-12);
-  EXPECT_EQ(probability_by_chance({.found = 0, .canaries = 3, .baselines = 97}), 1);
-  EXPECT_EQ(probability_by_chance({.found = 5, .canaries = 6, .baselines = 1}), 1)
+  EXPECT_NEAR(rank_p_value({.found = 3, .canaries = 3, .baselines = 97}), 1.0 / 161'700, 1e-12);
+  EXPECT_NEAR(rank_p_value({.found = 1, .canaries = 1, .baselines = 9}), 0.1, 1e-12);
+  EXPECT_EQ(rank_p_value({.found = 0, .canaries = 3, .baselines = 97}), 1);
+  EXPECT_EQ(rank_p_value({.found = 5, .canaries = 6, .baselines = 1}), 1)
       << "five canaries must be among the first six of seven";
-  // Every combination has an answer: nothing may throw here in a control service.
+  // No combination may throw, because the control service does not expect an exception.
   for (unsigned all = 1; all <= 8; ++all) {
-    for (unsigned drawn = 0; drawn <= all; ++drawn) {
-      for (unsigned marked = 0; marked <= all; ++marked) {
-        for (unsigned seen = 0; seen <= all + 1; ++seen) {
-          double probability =
-              probability_of_at_least({.seen = seen, .drawn = drawn, .marked = marked, .population = all});
+    for (unsigned draws = 0; draws <= all; ++draws) {
+      for (unsigned successes = 0; successes <= all; ++successes) {
+        for (unsigned successes_drawn = 0; successes_drawn <= all + 1; ++successes_drawn) {
+          double probability = probability_of_at_least({.successes_drawn = successes_drawn,
+                                                        .draws = draws,
+                                                        .successes = successes,
+                                                        .population = all});
           EXPECT_GE(probability, 0);
           EXPECT_LE(probability, 1 + 1e-9);
         }
@@ -31,6 +33,7 @@
   }
 }
 
+// A fleet of which the first `canary_count` servers are canaries.
 struct AnalysedFleet {
   AnalysedFleet(int nodes, int canary_count, unsigned seed = 1) : fleet(fleet_of(nodes)), random(seed) {
     for (const fleet::Node& node : fleet.nodes) {
@@ -41,7 +44,7 @@
     }
     analysis.begin(servers, kSecond);
   }
-  // Requests at one server, of which so many are late.
+  // Adds completed requests to one server's counters; `late` is the probability that one is late.
   void serve(std::size_t index, int requests, double late, double core_ms = 10) {
     report::RequestClassCounts& counts = servers[index].report.request_classes[0];
     counts.read += static_cast<std::uint64_t>(requests);
@@ -109,7 +112,8 @@
   EXPECT_EQ(fleet.evaluate().verdict, AnalysisVerdict::kFail);
 }
 
-// Over many fleets, with the limits of plan_of().
+// 400 pairs of random fleets, one with an equal and one with a worse version. The plan of plan_of() allows 2%
+// false halts and 5% false passes.
 TEST(CanaryAnalysisTest, ErrorRatesAreWithinThePlan) {
   int false_halts = 0;
   int false_passes = 0;
--- a/tests/idempotency_log_test.cpp
+++ b/tests/idempotency_log_test.cpp
@@ -1,5 +1,5 @@
-// The service with an idempotency log: a keyed request runs once its intent is durable, and retries over a
-// restart are answered from what the log had.
+// Tests the service with an idempotency log: a keyed request runs only once its intent is durable, and
+// retries after a restart are answered from the stored outcomes.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -48,7 +48,7 @@
   EXPECT_EQ(world.count("run a"), 1);
 }
 
-// A slow disk must not idle the cores.
+// A slow disk must not leave cores idle.
 TEST_F(IdempotencyLogTest, RequestsBehindOneThatWaitsForTheDiskAreStarted) {
   world.read("a", kWriteClass, "k1");
   world.read("b");
@@ -62,7 +62,7 @@
   world.service.intent_recorded("a", false);
   EXPECT_EQ(caller.only(), "denied");
   EXPECT_EQ(world.count("run a"), 0);
-  // Its retry is a new request.
+  // Its retry counts as a new request.
   world.read("b", kWriteClass, "k1");
   world.service.intent_recorded("b", true);
   EXPECT_EQ(world.count("run b"), 1);
@@ -92,7 +92,7 @@
   EXPECT_EQ(second.only(), "completed made");
 }
 
-// A completion of the disk after the end changes nothing.
+// An intent that becomes durable after the request has ended must not start it.
 TEST_F(IdempotencyLogTest, RequestThatTimesOutWhileTheDiskIsSlowIsRejectedAndItsIntentErased) {
   Caller& caller = world.read("a", kWriteClass, "k1", kSecond);
   for (int i = 0; i < 60; ++i) {
@@ -107,7 +107,7 @@
 
 TEST_F(IdempotencyLogTest, RequestsOfAnEarlierIncarnationAreAnsweredOrFailedAndNeverRun) {
   FakeWorld next(two_core_config(), 1'000, &log);
-  // The key as the service makes it of key and body.
+  // The key that the service derives from the idempotency key and the body.
   world.read("a", kWriteClass, "k1");
   std::string key = world.callers.back().request->key;
   next.service.restore("write", key, true, "made before", 5 * kSecond);
@@ -120,7 +120,8 @@
   EXPECT_EQ(next.count("run d"), 0);
 }
 
-// Between the start and the first message of the engine a rejection would say that they never ran.
+// Before the engine's first message all new requests are rejected; for these, a rejection would wrongly state
+// that they never ran.
 TEST_F(IdempotencyLogTest, RequestsOfAnEarlierIncarnationAreNotRejectedBeforeTheEngineIsUp) {
   FakeWorld next(two_core_config(), 1'000, &log);
   world.read("a", kWriteClass, "k1");
--- a/tests/idempotency_records_test.cpp
+++ b/tests/idempotency_records_test.cpp
@@ -1,4 +1,4 @@
-// The states of keyed requests over crashes, and that no request runs twice whatever the disk does.
+// Tests the states of keyed requests across crashes, and that no request runs twice whatever the disk does.
 #include "recovery/idempotency_records.h"
 
 #include <gtest/gtest.h>
@@ -76,36 +76,36 @@
   EXPECT_EQ(records.handle("a", Event::kRequested, {.window = kWindow}), Action::kRecordIntent);
 }
 
-// A server reduced to its records and a store on a fake disk; the engine is a count of runs by key.
-struct SmallServer {
-  SmallServer(std::unique_ptr<store::FakeDisk> on, std::map<std::string, int>& engine)
-      : disk(std::move(on)),
+// A server that consists of its records and a store on a fake disk. Its engine only counts the runs by key.
+struct SimulatedServer {
+  SimulatedServer(std::unique_ptr<store::FakeDisk> fake_disk, std::map<std::string, int>& engine)
+      : disk(std::move(fake_disk)),
         store(
             *disk, {.segment_bytes = 600, .slice_bytes = 300, .max_small_segments = 3},
             [this] { return time; }, 5),
-        ran(engine) {}
+        run_counts(engine) {}
   void start() {
     store.open();
     store.for_each(
         [&](const store::Record& record) { records.restore(record.key, record.value, record.window); });
   }
-  void write(const std::string& key, bool intent) {
+  void write(const std::string& key, bool is_intent) {
     store.put(key, records.encoded(key), kWindow);
     try {
       store.commit();
     } catch (const store::DiskError&) {
-      if (intent) records.handle(key, Event::kWriteLost);
+      if (is_intent) records.handle(key, Event::kWriteLost);
       return;
     }
-    if (intent && records.handle(key, Event::kWriteDurable) == Action::kRun) ++ran[key];
+    if (is_intent && records.handle(key, Event::kWriteDurable) == Action::kRun) ++run_counts[key];
   }
-  // What the caller is answered.
-  Action requested(const std::string& key) {
+  // Handles a request and returns the action that decides the caller's answer.
+  Action handle_request(const std::string& key) {
     Action action = records.handle(key, Event::kRequested, {.window = kWindow});
     if (action == Action::kRecordIntent) write(key, true);
     return action;
   }
-  void run_completed(const std::string& key) {
+  void complete_run(const std::string& key) {
     if (records.handle(key, Event::kRunCompleted, {.result = "of " + key}) == Action::kRecordOutcome)
       write(key, false);
   }
@@ -114,14 +114,14 @@
   std::unique_ptr<store::FakeDisk> disk;
   store::Store store;
   IdempotencyRecords records;
-  std::map<std::string, int>& ran;
+  std::map<std::string, int>& run_counts;
 };
 
 TEST(IdempotencyRecordsTest, NothingRunsTwiceOverCrashesAndFaultsAtAnyDiskOperation) {
   for (unsigned seed = 0; seed < 400; ++seed) {
     std::mt19937 random(seed);
-    std::map<std::string, int> ran;
-    auto server = std::make_unique<SmallServer>(std::make_unique<store::FakeDisk>(), ran);
+    std::map<std::string, int> run_counts;
+    auto server = std::make_unique<SimulatedServer>(std::make_unique<store::FakeDisk>(), run_counts);
     for (int incarnation = 0; incarnation < 4; ++incarnation) {
       server->disk->crash_at = static_cast<int>(1 + random() % 60);
       if (random() % 2) server->disk->fail_at = static_cast<int>(8 + random() % 30);
@@ -129,26 +129,26 @@
         server->start();
         for (int i = 0; i < 30; ++i) {
           std::string key = "key" + std::to_string(random() % 6);
-          Action answer = server->requested(key);
+          Action answer = server->handle_request(key);
           if (answer == Action::kAnswer) {
             EXPECT_EQ(server->records.find(key)->result, "of " + key);
           }
           if (answer == Action::kReject) {
-            EXPECT_EQ(ran[key], 0) << "what has run is never rejected";
+            EXPECT_EQ(run_counts[key], 0) << "a request that has run must not be rejected";
           }
-          if (random() % 2) server->run_completed(key);
+          if (random() % 2) server->complete_run(key);
           try {
             server->store.compact_slice();
           } catch (const store::DiskError&) {
           }
         }
       } catch (const store::Crashed&) {
-      } catch (const store::DiskError&) {  // the start
+      } catch (const store::DiskError&) {  // thrown by start()
       }
-      server =
-          std::make_unique<SmallServer>(server->disk->after_crash([&] { return random() % 2 == 0; }), ran);
+      server = std::make_unique<SimulatedServer>(server->disk->after_crash([&] { return random() % 2 == 0; }),
+                                                 run_counts);
     }
-    for (const auto& [key, times] : ran) EXPECT_LE(times, 1) << key << " seed " << seed;
+    for (const auto& [key, times] : run_counts) EXPECT_LE(times, 1) << key << " seed " << seed;
   }
 }
 
--- a/tests/releases_fakes.h
+++ b/tests/releases_fakes.h
@@ -1,4 +1,4 @@
-// A small fleet, a release's plan and a healthy server, for the tests of src/releases.
+// Builders of a small fleet, a release plan and a healthy server's status, for the tests of src/releases.
 #pragma once
 
 #include <string>
@@ -9,6 +9,7 @@
 
 namespace myrtlecroft::releases {
 
+// Servers n1, n2, ... that alternate between the zones a and b.
 inline fleet::Fleet fleet_of(int nodes,
                              fleet::MaxUnavailable max_unavailable = {.by_count = true, .max = 2}) {
   fleet::Fleet out;
@@ -27,6 +28,7 @@
   return out;
 }
 
+// Two servers first, then half of the capacity, then all of it.
 inline agreement::Plan plan_of(std::uint32_t version) {
   agreement::Plan out;
   out.set_name("winter");
@@ -51,7 +53,7 @@
   return out;
 }
 
-// In full service, with so many requests that run or are queued.
+// A server in full service with `requests` that run or are queued and a concurrency limit of `limit`.
 inline routing::ServerStatus server_of(const fleet::Node& node, double requests = 1, double limit = 4) {
   routing::ServerStatus out{.node = node, .state = routing::ServerState::kServing};
   out.last_report_at = kSecond;
--- a/tests/rollout_controller_test.cpp
+++ b/tests/rollout_controller_test.cpp
@@ -1,4 +1,4 @@
-// Drains, releases, rollbacks and commands, with one controller that decides and a fleet of simulated
+// Tests drains, releases, rollbacks and commands with one controller as the leader and a fleet of simulated
 // servers.
 #include "releases/rollout_controller.h"
 
@@ -25,8 +25,8 @@
   std::uint64_t received = 0;
   std::uint64_t in_time = 0;
   bool alive = true;
-  bool keeps_version = false;  // restarts in the version that it had
-  bool stays_down = false;     // does not come back after a restart
+  bool restarts_in_old_version = false;  // ignores the version of its lease
+  bool stays_down = false;               // does not start again after a restart command
   Nanos back_at = 0;
   fencing::Epoch epoch;
 };
@@ -37,7 +37,7 @@
         nodes(fleet.nodes.size()),
         rollout_controller([this](const std::string& line) { log.push_back(line); }) {}
 
-  // Ten ticks a second.
+  // Simulates `duration` at ten ticks per second.
   void run(Nanos duration) {
     for (Nanos until = now + duration; now < until; now += 100 * kMs) tick();
   }
@@ -52,14 +52,14 @@
     rollout_controller.observe(view);
     if (!reports_are_lost) rollout_controller.append_steps(view, decision);
     ASSERT_EQ(state.apply(decision), ApplyResult::kApplied);
-    std::erase_if(commands, [&](const auto& one) {
-      const agreement::CommandResult* result = state.maintenance().result(one.first);
+    std::erase_if(commands, [&](const auto& command) {
+      const agreement::CommandResult* result = state.maintenance().result(command.first);
       if (result) answer = result->said();
       return result != nullptr;
     });
     max_leases = std::max(max_leases, state.maintenance().leases().size());
   }
-  // What routing contributes to the next decision: the servers' states, and a snapshot if it changed.
+  // Returns the next decision with routing's part: the servers' states, and the snapshot if it changed.
   Decision routing_decision() {
     auto next = router.step(now);
     Decision decision;
@@ -86,12 +86,12 @@
     SimulatedServer& node = nodes[index];
     std::string name = "n" + std::to_string(index + 1);
     const agreement::MaintenanceLease* lease = state.maintenance().lease(name);
-    if (!orders_are_lost) node.epoch = state.assignments_epoch();
-    if (!orders_are_lost && node.alive && lease && lease->phase == MaintenancePhase::kRestarting &&
+    if (!assignments_are_lost) node.epoch = state.assignments_epoch();
+    if (!assignments_are_lost && node.alive && lease && lease->phase == MaintenancePhase::kRestarting &&
         lease->incarnation == node.incarnation) {
       node.alive = false;
       node.back_at = now + 500 * kMs;
-      if (!node.keeps_version) node.version = lease->version;
+      if (!node.restarts_in_old_version) node.version = lease->version;
     }
     if (!node.alive && !node.stays_down && now >= node.back_at) {
       node.alive = true;
@@ -123,7 +123,7 @@
   const agreement::Release& release() const { return state.maintenance().release(); }
   int servers_in_version(std::uint32_t version) const {
     return static_cast<int>(std::count_if(
-        nodes.begin(), nodes.end(), [&](const SimulatedServer& one) { return one.version == version; }));
+        nodes.begin(), nodes.end(), [&](const SimulatedServer& node) { return node.version == version; }));
   }
 
   Nanos now = 2 * kSecond;
@@ -139,7 +139,7 @@
   std::uint32_t late_version = 0;
   bool service_is_slow = false;
   bool reports_are_lost = false;
-  bool orders_are_lost = false;
+  bool assignments_are_lost = false;  // servers receive neither epochs nor restart commands
 };
 
 TEST_F(RolloutControllerTest, HealthyVersionReachesAllServersWithinTheBudget) {
@@ -179,13 +179,13 @@
   EXPECT_EQ(servers_in_version(2), 2);
 }
 
-TEST_F(RolloutControllerTest, ServerBackInAnotherVersionOrNeverStopsTheRelease) {
-  nodes[0].keeps_version = true;
+TEST_F(RolloutControllerTest, ReleaseStopsWhenAServerRestartsInAnotherVersionOrStaysDown) {
+  nodes[0].restarts_in_old_version = true;
   run(2 * kSecond);
   start(2);
   run(20 * kSecond);
   EXPECT_NE(release().reason().find("another version"), std::string::npos) << release().reason();
-  nodes[0].keeps_version = false;
+  nodes[0].restarts_in_old_version = false;
   for (SimulatedServer& node : nodes) node.stays_down = node.version == 1;
   run(20 * kSecond);
   start(3);
@@ -218,7 +218,8 @@
   reports_are_lost = true;
   run(10 * kSecond);
   EXPECT_LE(state.maintenance().leases().size(), out);
-  EXPECT_TRUE(std::all_of(nodes.begin(), nodes.end(), [](const SimulatedServer& one) { return one.alive; }));
+  EXPECT_TRUE(
+      std::all_of(nodes.begin(), nodes.end(), [](const SimulatedServer& node) { return node.alive; }));
   reports_are_lost = false;
   run(5 * kSecond);
   EXPECT_NE(release().phase(), agreement::PHASE_NONE);
@@ -261,7 +262,7 @@
   EXPECT_EQ(servers_in_version(1), 10);
 }
 
-// The order to restart is on its way when the halt is agreed, and the server seems to serve on.
+// A restart command may still be in transit when the halt is agreed, while the server reports that it serves.
 TEST_F(RolloutControllerTest, CancelledServerKeepsItsLeaseUntilItActsOnTheCancellation) {
   run(2 * kSecond);
   start(2);
@@ -270,17 +271,17 @@
     tick();
     now += 100 * kMs;
   }
-  // The halt is agreed before the servers receive the order.
-  orders_are_lost = true;
+  // The halt is agreed before the servers receive the restart command.
+  assignments_are_lost = true;
   command("release halt");
   run(kSecond);
   EXPECT_FALSE(state.maintenance().leases().empty()) << "the server may still restart";
-  orders_are_lost = false;
+  assignments_are_lost = false;
   run(kSecond);
   EXPECT_TRUE(state.maintenance().leases().empty());
 }
 
-// The same agreed state under a new controller, as after the loss of a leader at any moment.
+// Replaces the controller every 700 ms while the agreed state stays, as after the loss of a leader.
 TEST_F(RolloutControllerTest, ReleaseContinuesUnderNewLeaders) {
   run(2 * kSecond);
   start(2);
--- a/tests/rollout_plan_test.cpp
+++ b/tests/rollout_plan_test.cpp
@@ -1,4 +1,4 @@
-// A plan's file: its defaults, and what is rejected with line and field.
+// Tests the defaults of a release plan's file, and that an error names its line and field.
 #include "releases/rollout_plan.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
   EXPECT_EQ(plan.longest_soak_ns(), 10 * plan.soak_ns());
 }
 
-TEST_F(RolloutPlanTest, FaultIsReportedWithLineAndField) {
+TEST_F(RolloutPlanTest, ErrorsNameLineAndField) {
   write("version = 1;\nname = \"winter\";\nwanted = 100;");
   EXPECT_NE(error_of_reading().find(":3: wanted"), std::string::npos) << error_of_reading();
   write("version = 1; name = \"w\"; wanted = 2; waves = ({ share = 0.5; }, { share = 0.4; });");
