--- a/src/recovery/durable_idempotency_log.cpp
+++ b/src/recovery/durable_idempotency_log.cpp
@@ -28,8 +28,8 @@
         disk_(folder),
         store_(
             disk_, {}, [this] { return loop_.now(); }, std::random_device()()),
-        check_timer_(loop.base(), [this] { check(); }),
-        wake_(loop.base(), [this] { committer_->deliver_completions(); }) {
+        check_timer_(loop.base(), [this] { run_periodic_checks(); }),
+        wakeup_(loop.base(), [this] { committer_->deliver_completions(); }) {
     Nanos open_started = loop.now();
     store::RecoveryStats stats = store_.open();
     log_opened(stats, loop.now() - open_started);
@@ -40,7 +40,7 @@
     store_.for_each([this](const store::Record& record) { restore(record); });
     // The committer's thread is the only one that uses the store from now on.
     committer_ = std::make_unique<store::GroupCommitter>(
-        store_, store::CommitterOptions{}, [this] { return loop_.now(); }, [this] { wake_.notify(); });
+        store_, store::CommitterOptions{}, [this] { return loop_.now(); }, [this] { wakeup_.notify(); });
     check_timer_.set(kCheckInterval);
   }
 
@@ -112,7 +112,7 @@
     if (action == Action::kRun || action == Action::kReject) service_->intent_recorded(id, durable);
   }
 
-  void check() {
+  void run_periodic_checks() {
     check_timer_.set(kCheckInterval);
     while (!expiries_.empty() && expiries_.begin()->first <= loop_.now()) {
       records_.handle(expiries_.begin()->second, Event::kWindowExpired);
@@ -148,7 +148,7 @@
   std::uint64_t attempts_ = 0;
   std::string assignment_;
   net::Timer check_timer_;
-  net::CrossThreadWakeup wake_;
+  net::CrossThreadWakeup wakeup_;
   store::DiskHealth health_ = store::DiskHealth::kHealthy;  // as last logged
   std::unique_ptr<store::GroupCommitter> committer_;        // destroyed first: its thread uses the store
 };
--- a/src/releases/canary_analysis.cpp
+++ b/src/releases/canary_analysis.cpp
@@ -78,8 +78,8 @@
 std::optional<std::string> find_missing_requests(const AnalysisInput& input, const CanarySamples& samples) {
   for (const auto& [request_class, received] : samples.fewest_canary_requests) {
     auto served = samples.metrics.find(request_class + kNotServedMetric);
-    bool baseline_has = served != samples.metrics.end() && !served->second.baseline.empty();
-    if (received < input.plan.least_exchanges() && baseline_has) {
+    bool baseline_has_class = served != samples.metrics.end() && !served->second.baseline.empty();
+    if (received < input.plan.least_exchanges() && baseline_has_class) {
       return "request class " + request_class + ": only " + std::to_string(received) +
              " requests at a canary server";
     }
--- a/src/releases/canary_sampler.cpp
+++ b/src/releases/canary_sampler.cpp
@@ -21,10 +21,10 @@
     if (!is_analysed(counts.request_class)) return completed;
     if (is_canary_) record_fewest(counts.request_class, static_cast<unsigned>(received));
     if (received < plan_.least_exchanges()) return completed;
-    put(counts.request_class + kNotServedMetric, 1 - completed / received);
+    add_sample(counts.request_class + kNotServedMetric, 1 - completed / received);
     if (completed >= plan_.least_exchanges()) {
       double in_time = increase(counts, &report::RequestClassCounts::in_time);
-      put(counts.request_class + kLateMetric, 1 - in_time / completed);
+      add_sample(counts.request_class + kLateMetric, 1 - in_time / completed);
     }
     return completed;
   }
@@ -46,7 +46,7 @@
     auto [fewest, first] = samples_.fewest_canary_requests.emplace(request_class, received);
     if (!first) fewest->second = std::min(fewest->second, received);
   }
-  void put(const std::string& metric, double value) {
+  void add_sample(const std::string& metric, double value) {
     SampleGroups& groups = samples_.metrics[metric];
     (is_canary_ ? groups.canary : groups.baseline).push_back(std::clamp(value, 0.0, 1.0));
   }
@@ -81,10 +81,12 @@
 void CanarySampler::watch(const std::vector<routing::ServerStatus>& servers, Nanos now) {
   for (const routing::ServerStatus& server : servers) {
     MeasurementStart& start = starts_[server.node.name];
-    bool same = start.report.incarnation == server.report.incarnation;
-    if (start.in_full_service && same && routing::has_failed(server.state) && !server.out_for_maintenance)
+    bool is_same_incarnation = start.report.incarnation == server.report.incarnation;
+    if (start.in_full_service && is_same_incarnation && routing::has_failed(server.state) &&
+        !server.out_for_maintenance)
       start.failed = true;
-    if (server.at_full_capacity() != start.in_full_service || !same) restart(start, server, now);
+    if (server.at_full_capacity() != start.in_full_service || !is_same_incarnation)
+      restart(start, server, now);
   }
 }
 
--- a/src/releases/maintenance_steps.cpp
+++ b/src/releases/maintenance_steps.cpp
@@ -39,26 +39,26 @@
 }
 
 // A drain by operators has no time limit.
-bool is_drained_late(const LeasedServer& server) {
+bool is_drain_late(const LeasedServer& server) {
   return server.lease.reason != agreement::REASON_DRAIN &&
          server.context.time_in_phase(server.lease) >= server.context.plan.empty_within_ns();
 }
 
-bool is_to_be_restarted(const LeasedServer& server) {
+bool should_restart(const LeasedServer& server) {
   return server.lease.reason != agreement::REASON_DRAIN && server.status &&
          server.status->report.accepts_assignments;
 }
 
-bool is_back_with_target_version(const LeasedServer& server) {
+bool restarted_in_target_version(const LeasedServer& server) {
   return is_other_incarnation(server) && server.status->version == server.lease.version;
 }
 
-bool is_back_late(const LeasedServer& server) {
+bool is_restart_late(const LeasedServer& server) {
   return server.context.time_in_phase(server.lease) >= server.context.plan.back_within_ns();
 }
 
-bool is_late_and_never_left(const LeasedServer& server) {
-  return is_back_late(server) && server.status && server.status->incarnation == server.lease.incarnation &&
+bool is_late_without_restart(const LeasedServer& server) {
+  return is_restart_late(server) && server.status && server.status->incarnation == server.lease.incarnation &&
          !server.status->report.draining &&
          server.context.view.now - server.status->last_report_at <=
              server.context.view.router.fleet().bounds.lost_after;
@@ -75,7 +75,7 @@
          server.status->report.epoch.number >= server.lease.cancelled_in_decision;
 }
 
-bool is_in_service_late(const LeasedServer& server) {
+bool is_return_to_service_late(const LeasedServer& server) {
   Nanos limit = server.lease.reason == agreement::REASON_DRAIN
                     ? server.context.view.router.fleet().maintenance.lease_duration
                     : server.context.plan.warm_within_ns();
@@ -86,24 +86,25 @@
 constexpr StepRule kStepRules[] = {
     {MaintenancePhase::kDraining, is_other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
     {MaintenancePhase::kDraining, is_drained, agreement::MAINTENANCE_DRAINED, ""},
-    {MaintenancePhase::kDraining, is_drained_late, agreement::MAINTENANCE_CANCEL, "not drained in time"},
+    {MaintenancePhase::kDraining, is_drain_late, agreement::MAINTENANCE_CANCEL, "not drained in time"},
 
     {MaintenancePhase::kDrained, is_other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
-    {MaintenancePhase::kDrained, is_to_be_restarted, agreement::MAINTENANCE_RESTART, ""},
+    {MaintenancePhase::kDrained, should_restart, agreement::MAINTENANCE_RESTART, ""},
 
-    {MaintenancePhase::kRestarting, is_back_with_target_version, agreement::MAINTENANCE_RESTARTED, ""},
+    {MaintenancePhase::kRestarting, restarted_in_target_version, agreement::MAINTENANCE_RESTARTED, ""},
     {MaintenancePhase::kRestarting, is_other_incarnation, agreement::MAINTENANCE_FAIL,
      "back in another version"},
-    {MaintenancePhase::kRestarting, is_late_and_never_left, agreement::MAINTENANCE_CANCEL, "did not restart"},
-    {MaintenancePhase::kRestarting, is_back_late, agreement::MAINTENANCE_FAIL, "did not come back"},
+    {MaintenancePhase::kRestarting, is_late_without_restart, agreement::MAINTENANCE_CANCEL,
+     "did not restart"},
+    {MaintenancePhase::kRestarting, is_restart_late, agreement::MAINTENANCE_FAIL, "did not come back"},
 
     {MaintenancePhase::kSlowStart, is_in_full_service, agreement::MAINTENANCE_COMPLETE, ""},
-    {MaintenancePhase::kSlowStart, is_in_service_late, agreement::MAINTENANCE_FAIL,
+    {MaintenancePhase::kSlowStart, is_return_to_service_late, agreement::MAINTENANCE_FAIL,
      "slow start not completed in time"},
 
     {MaintenancePhase::kCancelling, is_other_incarnation, agreement::MAINTENANCE_RESTARTED, ""},
     {MaintenancePhase::kCancelling, has_acted_on_cancellation, agreement::MAINTENANCE_COMPLETE, ""},
-    {MaintenancePhase::kCancelling, is_in_service_late, agreement::MAINTENANCE_FAIL,
+    {MaintenancePhase::kCancelling, is_return_to_service_late, agreement::MAINTENANCE_FAIL,
      "cancelled, and not in service in time"},
 };
 
--- a/src/releases/release_monitor.cpp
+++ b/src/releases/release_monitor.cpp
@@ -8,14 +8,14 @@
 
 bool ReleaseMonitor::watch(const RolloutContext& context) {
   measure_interruption(context);
-  bool same = is_same_phase(context.release);
-  if (same) {
+  bool is_unchanged = is_same_phase(context.release);
+  if (is_unchanged) {
     analysis_.watch(context.all_servers(), context.view.now);
   } else {
     begin_phase(context);
   }
   alarms_.measure(context);
-  return !same;
+  return !is_unchanged;
 }
 
 void ReleaseMonitor::measure_interruption(const RolloutContext& context) {
--- a/src/releases/service_alarms.cpp
+++ b/src/releases/service_alarms.cpp
@@ -33,17 +33,17 @@
 }  // namespace
 
 void ServiceAlarms::record_reference_shares() {
-  for (auto& [name, late] : by_service_) late.at_release_start = late.now;
+  for (auto& [name, late] : late_shares_) late.at_release_start = late.now;
 }
 
 void ServiceAlarms::restart_timers() {
-  for (auto& [name, late] : by_service_) late.above_since = 0;
+  for (auto& [name, late] : late_shares_) late.above_since = 0;
 }
 
 void ServiceAlarms::measure(const RolloutContext& context) {
   for (const fleet::Service& service : context.view.router.fleet().services) {
     Answers answers = answers_of_users(context, service);
-    LateShare& late = by_service_[service.name];
+    LateShare& late = late_shares_[service.name];
     late.now = answers.all < kMinAnswers ? late.at_release_start
                                          : std::clamp(1 - answers.in_time / answers.all, 0.0, 1.0);
     if (!context.maintenance.release_in_progress()) {
@@ -58,7 +58,7 @@
 }
 
 std::optional<std::string> ServiceAlarms::raised_alarm(const RolloutContext& context) const {
-  for (const auto& [name, late] : by_service_) {
+  for (const auto& [name, late] : late_shares_) {
     if (late.above_since == 0 || context.view.now - late.above_since < context.plan.alarm_for_ns()) continue;
     char line[200];
     std::snprintf(line, sizeof line, "service %s: %.0f%% of its users' answers late, %.0f%% at the start",
--- a/src/releases/service_alarms.h
+++ b/src/releases/service_alarms.h
@@ -31,7 +31,7 @@
     double now = 0;
     Nanos above_since = 0;  // when it rose above the plan's limit; 0: not above
   };
-  std::map<std::string, LateShare> by_service_;
+  std::map<std::string, LateShare> late_shares_;
 };
 
 }  // namespace myrtlecroft::releases
--- a/src/releases/update_queue.cpp
+++ b/src/releases/update_queue.cpp
@@ -56,7 +56,7 @@
   return progress.updated_capacity + next.capacity > target;
 }
 
-std::vector<std::string> servers_of_the_wave(const RolloutContext& context) {
+std::vector<std::string> servers_of_wave(const RolloutContext& context) {
   WaveProgress progress;
   std::map<std::string, int> candidates_in_zone;
   std::multimap<int, Candidate> candidates;  // by their index in their zone, so that zones alternate
@@ -87,7 +87,7 @@
 std::vector<std::string> servers_to_update(const RolloutContext& context) {
   switch (context.release.phase()) {
     case agreement::PHASE_ROLLING:
-      return servers_of_the_wave(context);
+      return servers_of_wave(context);
     case agreement::PHASE_ROLLING_BACK:
       return servers_to_roll_back(context);
     default:
--- a/tests/idempotency_log_test.cpp
+++ b/tests/idempotency_log_test.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 struct FakeIdempotencyLog : service::IdempotencyLog {
-  bool accepts_writes() const override { return accepting; }
+  bool accepts_writes() const override { return is_accepting_writes; }
   void record_intent(const service::ServerRequest& request, Nanos) override { intents.push_back(request.id); }
   void record_outcome(const service::ServerRequest& request, bool completed,
                       std::string_view result) override {
-    ended.push_back((completed ? "completed " : "failed ") + request.id + " " + std::string(result));
+    outcomes.push_back((completed ? "completed " : "failed ") + request.id + " " + std::string(result));
   }
   void erase_intent(const service::ServerRequest& request) override {
-    ended.push_back("never ran " + request.id);
+    outcomes.push_back("never ran " + request.id);
   }
-  bool accepting = true;
+  bool is_accepting_writes = true;
   std::vector<std::string> intents;
-  std::vector<std::string> ended;
+  std::vector<std::string> outcomes;
 };
 
 struct IdempotencyLogTest : testing::Test {
@@ -39,7 +39,7 @@
   EXPECT_EQ(world.count("run a"), 1);
   world.done("a", Outcome::kOk, "made");
   EXPECT_EQ(caller.only(), "completed made");
-  EXPECT_EQ(log.ended, std::vector<std::string>{"completed a made"});
+  EXPECT_EQ(log.outcomes, std::vector<std::string>{"completed a made"});
 }
 
 TEST_F(IdempotencyLogTest, IdempotentRequestDoesNotWaitForTheDisk) {
@@ -72,12 +72,12 @@
   world.read("known", kWriteClass, "k0");
   world.service.intent_recorded("known", true);
   world.done("known", Outcome::kOk, "made");
-  log.accepting = false;
+  log.is_accepting_writes = false;
   EXPECT_EQ(world.read("a", kWriteClass, "k1").only(), "denied");
   EXPECT_EQ(world.read("again", kWriteClass, "k0").only(), "completed made");
   world.read("b");
   EXPECT_EQ(world.count("run b"), 1);
-  log.accepting = true;
+  log.is_accepting_writes = true;
   world.read("c", kWriteClass, "k1");
   EXPECT_EQ(log.intents.back(), "c");
 }
@@ -100,7 +100,7 @@
     world.service.timer_expired();
   }
   EXPECT_EQ(caller.only(), "denied");
-  EXPECT_EQ(log.ended, std::vector<std::string>{"never ran a"});
+  EXPECT_EQ(log.outcomes, std::vector<std::string>{"never ran a"});
   world.service.intent_recorded("a", true);
   EXPECT_EQ(world.count("run a"), 0);
 }
--- a/tests/rollout_plan_test.cpp
+++ b/tests/rollout_plan_test.cpp
@@ -13,7 +13,7 @@
 struct RolloutPlanTest : testing::Test {
   std::string path = testing::TempDir() + "plan.conf";
   void write(const std::string& text) const { std::ofstream(path) << text; }
-  std::string error_of_reading() const {
+  std::string read_error() const {
     try {
       read_plan(path);
       return "";
@@ -33,11 +33,11 @@
 
 TEST_F(RolloutPlanTest, ErrorsNameLineAndField) {
   write("version = 1;\nname = \"winter\";\nwanted = 100;");
-  EXPECT_NE(error_of_reading().find(":3: wanted"), std::string::npos) << error_of_reading();
+  EXPECT_NE(read_error().find(":3: wanted"), std::string::npos) << read_error();
   write("version = 1; name = \"w\"; wanted = 2; waves = ({ share = 0.5; }, { share = 0.4; });");
-  EXPECT_NE(error_of_reading().find("not above"), std::string::npos) << error_of_reading();
+  EXPECT_NE(read_error().find("not above"), std::string::npos) << read_error();
   write("version = 1; name = \"w\"; wanted = 2; waves = ({ share = 0.5; });");
-  EXPECT_NE(error_of_reading().find("end with a share of 1"), std::string::npos) << error_of_reading();
+  EXPECT_NE(read_error().find("end with a share of 1"), std::string::npos) << read_error();
 }
 
 }  // namespace
