--- a/src/releases/canary_sampler.h
+++ b/src/releases/canary_sampler.h
@@ -38,7 +38,7 @@
   unsigned measured_canaries = 0;  // in service for long enough to be measured
 };
 
-// Not thread-safe.
+// Measures each server's counters from begin() or from its latest return to full service. Not thread-safe.
 class CanarySampler {
  public:
   // Restarts the measurement of every server.
--- a/src/releases/disruption_budget.cpp
+++ b/src/releases/disruption_budget.cpp
@@ -54,7 +54,7 @@
 }  // namespace
 
 std::uint64_t capacity_in_thousandths(const fleet::Node& node) {
-  return std::max(1u, thousandths(node.capacity));
+  return std::max(1u, to_thousandths(node.capacity));
 }
 
 agreement::Budgets budgets_of(const fleet::Fleet& fleet) {
@@ -77,7 +77,7 @@
       all += capacities[node];
     }
     budget.set_most(max.by_count
-                        ? thousandths(max.max)
+                        ? to_thousandths(max.max)
                         : static_cast<std::uint64_t>(std::llround(max.max * static_cast<double>(all))));
   });
   return out;
--- a/src/releases/maintenance_grants.h
+++ b/src/releases/maintenance_grants.h
@@ -11,7 +11,7 @@
 
 namespace myrtlecroft::releases {
 
-// Not thread-safe.
+// Proposes maintenance leases within the disruption budget. Not thread-safe.
 class MaintenanceGrants {
  public:
   // Adds a grant to the decision for each server that may be taken out now.
--- a/src/releases/phase_analysis.h
+++ b/src/releases/phase_analysis.h
@@ -10,7 +10,7 @@
 
 namespace myrtlecroft::releases {
 
-// Not thread-safe.
+// Schedules the analysis rounds of one phase and keeps the latest result. Not thread-safe.
 class PhaseAnalysis {
  public:
   // Starts a new phase: restarts all measurements and clears the latest result.
--- a/src/releases/rank_statistics.h
+++ b/src/releases/rank_statistics.h
@@ -39,12 +39,12 @@
 // version makes no difference.
 double rank_p_value(const RankCount& count);
 
-// Counts the canaries among the highest values, of which as many are examined as there are canaries, after
-// adding `allowance` to each baseline value. A canary that ties with a baseline server counts as lower.
+// Counts the canaries among the N highest values, where N is the number of canaries, after adding `allowance`
+// to each baseline value. A canary that ties with a baseline server counts as lower.
 unsigned canaries_among_highest(const SampleGroups& samples, double allowance);
 
-// Counts the canaries among the lowest values, of which as many are examined as there are canaries, after
-// adding `allowance` to each baseline value. A canary that ties with a baseline server counts as higher.
+// Counts the canaries among the N lowest values, where N is the number of canaries, after adding `allowance`
+// to each baseline value. A canary that ties with a baseline server counts as higher.
 unsigned canaries_among_lowest(const SampleGroups& samples, double allowance);
 
 // Returns the upper median; 0 for no values.
--- a/src/releases/release_monitor.h
+++ b/src/releases/release_monitor.h
@@ -13,7 +13,7 @@
 
 namespace myrtlecroft::releases {
 
-// Not thread-safe.
+// Keeps the measurements of the current phase of a release. Not thread-safe.
 class ReleaseMonitor {
  public:
   using Log = std::function<void(const std::string&)>;
--- a/src/releases/rollout_controller.h
+++ b/src/releases/rollout_controller.h
@@ -13,7 +13,7 @@
 
 namespace myrtlecroft::releases {
 
-// Not thread-safe.
+// Contributes the maintenance and release steps to each decision. Not thread-safe.
 class RolloutController final : public agreement::DecisionContributor {
  public:
   using Log = std::function<void(const std::string&)>;
--- a/src/releases/rollout_plan.cpp
+++ b/src/releases/rollout_plan.cpp
@@ -20,7 +20,7 @@
 
 void read_waves(Section& root, agreement::Plan& out) {
   for (Section& wave : root.list("waves")) {
-    out.add_waves(thousandths(wave.number("share", 0.001, 1)));
+    out.add_waves(to_thousandths(wave.number("share", 0.001, 1)));
     wave.reject_unknown_fields();
     int count = out.waves_size();
     if (count > 1 && out.waves(count - 1) <= out.waves(count - 2))
@@ -46,7 +46,7 @@
 
 void read_health(Section& health, agreement::Plan& out) {
   auto share = [&](const char* name, std::uint32_t default_value, double min, double max) {
-    return thousandths(health.number_or(name, default_value / 1000.0, min, max));
+    return to_thousandths(health.number_or(name, default_value / 1000.0, min, max));
   };
   out.set_least_exchanges(static_cast<std::uint32_t>(
       health.integer_or("least_exchanges", out.least_exchanges(), 1, kMaxMinRequests)));
@@ -96,7 +96,7 @@
   out.set_warm_within_ns(root.milliseconds_or("warm_within_ms", 120'000 * kMs, 100, kMaxDuration));
   out.set_way_back(root.boolean_or("way_back", true));
   out.set_most_failed(static_cast<std::uint32_t>(root.integer_or("most_failed", 0, 0, kMaxFailedServers)));
-  out.set_reserve(thousandths(root.number_or("reserve", 0.1, 0, 0.9)));
+  out.set_reserve(to_thousandths(root.number_or("reserve", 0.1, 0, 0.9)));
   set_default_health(out);
   if (auto health = root.optional_section("health")) read_health(*health, out);
   root.reject_unknown_fields();
--- a/src/releases/rollout_plan.h
+++ b/src/releases/rollout_plan.h
@@ -21,7 +21,7 @@
 std::optional<agreement::Plan> parse_release_plan(const std::string& json);
 
 // Converts a share or capacity to thousandths, the unit of the agreed state.
-inline std::uint32_t thousandths(double value) {
+inline std::uint32_t to_thousandths(double value) {
   return static_cast<std::uint32_t>(std::lround(1000 * value));
 }
 
--- a/src/releases/service_alarms.cpp
+++ b/src/releases/service_alarms.cpp
@@ -15,8 +15,8 @@
   double in_time = 0;
 };
 
-// Counts only servers without the new version during a release. If a service slows down for them while a wave
-// is updated, the new version is not at fault, but the release should not continue either.
+// During a release, counts only servers without the new version. If the service becomes slow for these while
+// a wave is updated, the new version is not at fault, but the release should not continue either.
 Answers answers_of_users(const RolloutContext& context, const fleet::Service& service) {
   Answers out;
   bool rollout_in_progress = context.maintenance.release_in_progress();
--- a/src/releases/service_alarms.h
+++ b/src/releases/service_alarms.h
@@ -11,7 +11,7 @@
 
 namespace myrtlecroft::releases {
 
-// Not thread-safe.
+// Compares each service's share of late answers with its share at the start of the release. Not thread-safe.
 class ServiceAlarms {
  public:
   // Call when a release starts: later late shares are compared with the present ones.
