--- a/src/releases/maintenance_steps.cpp
+++ b/src/releases/maintenance_steps.cpp
@@ -9,14 +9,15 @@
 using agreement::MaintenancePhase;
 using routing::ServerStatus;
 
-// One server that holds a lease.
+// One server with a maintenance lease.
 struct LeasedServer {
   const RolloutContext& context;
   const std::string& node;
   const MaintenanceLease& lease;
-  const ServerStatus* status;  // nullptr: the fleet file doesn't name it any more
+  const ServerStatus* status;  // nullptr: no longer in the fleet file
 };
 
+// In `phase`, a lease receives `event` if `applies` returns true. `reason` may be empty.
 struct StepRule {
   MaintenancePhase phase;
   bool (*applies)(const LeasedServer&);
@@ -29,7 +30,7 @@
          server.status->incarnation != server.lease.incarnation;
 }
 
-// All proxies have applied the snapshot without it, and it reports no request and no shard.
+// All proxies have applied a snapshot in which the server has weight 0, and the server reports no requests.
 bool is_drained(const LeasedServer& server) {
   bool applied = server.lease.zero_weight_publication != 0 &&
                  server.context.view.applied >= server.lease.zero_weight_publication;
@@ -37,27 +38,27 @@
          server.status->report.queued_requests == 0 && server.status->report.running == 0;
 }
 
-// A drain that operators asked for has no time limit.
-bool is_drained_late(const LeasedServer& server) {
+// A drain by operators has no time limit.
+bool is_drain_late(const LeasedServer& server) {
   return server.lease.reason != agreement::REASON_DRAIN &&
          server.context.time_in_phase(server.lease) >= server.context.plan.empty_within_ns();
 }
 
-bool is_to_be_restarted(const LeasedServer& server) {
+bool should_restart(const LeasedServer& server) {
   return server.lease.reason != agreement::REASON_DRAIN && server.status &&
          server.status->report.accepts_assignments;
 }
 
-bool is_back_with_target_version(const LeasedServer& server) {
+bool restarted_in_target_version(const LeasedServer& server) {
   return is_other_incarnation(server) && server.status->version == server.lease.version;
 }
 
-bool is_back_late(const LeasedServer& server) {
+bool is_restart_late(const LeasedServer& server) {
   return server.context.time_in_phase(server.lease) >= server.context.plan.back_within_ns();
 }
 
-bool is_late_and_never_left(const LeasedServer& server) {
-  return is_back_late(server) && server.status && server.status->incarnation == server.lease.incarnation &&
+bool is_late_without_restart(const LeasedServer& server) {
+  return is_restart_late(server) && server.status && server.status->incarnation == server.lease.incarnation &&
          !server.status->report.draining &&
          server.context.view.now - server.status->last_report_at <=
              server.context.view.router.fleet().bounds.lost_after;
@@ -67,42 +68,43 @@
   return server.status && server.status->at_full_capacity();
 }
 
-// A server that had its order to restart may be about to leave although it still serves: only a report made
-// under the epoch that cancelled the order shows that it stays.
+// A server that received a restart command may be about to stop although it still serves. Only a report made
+// under the epoch that cancelled the command shows that the server will not restart.
 bool has_acted_on_cancellation(const LeasedServer& server) {
   return is_in_full_service(server) &&
          server.status->report.epoch.number >= server.lease.cancelled_in_decision;
 }
 
-bool is_in_service_late(const LeasedServer& server) {
+bool is_return_to_service_late(const LeasedServer& server) {
   Nanos limit = server.lease.reason == agreement::REASON_DRAIN
                     ? server.context.view.router.fleet().maintenance.lease_duration
                     : server.context.plan.warm_within_ns();
   return server.context.time_in_phase(server.lease) >= limit;
 }
 
-// The first rule of a lease's phase that applies gives its event.
+// The first rule of the lease's phase that applies determines the event.
 constexpr StepRule kStepRules[] = {
     {MaintenancePhase::kDraining, is_other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
     {MaintenancePhase::kDraining, is_drained, agreement::MAINTENANCE_DRAINED, ""},
-    {MaintenancePhase::kDraining, is_drained_late, agreement::MAINTENANCE_CANCEL, "not drained in time"},
+    {MaintenancePhase::kDraining, is_drain_late, agreement::MAINTENANCE_CANCEL, "not drained in time"},
 
     {MaintenancePhase::kDrained, is_other_incarnation, agreement::MAINTENANCE_CANCEL, ""},
-    {MaintenancePhase::kDrained, is_to_be_restarted, agreement::MAINTENANCE_RESTART, ""},
+    {MaintenancePhase::kDrained, should_restart, agreement::MAINTENANCE_RESTART, ""},
 
-    {MaintenancePhase::kRestarting, is_back_with_target_version, agreement::MAINTENANCE_RESTARTED, ""},
+    {MaintenancePhase::kRestarting, restarted_in_target_version, agreement::MAINTENANCE_RESTARTED, ""},
     {MaintenancePhase::kRestarting, is_other_incarnation, agreement::MAINTENANCE_FAIL,
      "back in another version"},
-    {MaintenancePhase::kRestarting, is_late_and_never_left, agreement::MAINTENANCE_CANCEL, "did not restart"},
-    {MaintenancePhase::kRestarting, is_back_late, agreement::MAINTENANCE_FAIL, "did not come back"},
+    {MaintenancePhase::kRestarting, is_late_without_restart, agreement::MAINTENANCE_CANCEL,
+     "did not restart"},
+    {MaintenancePhase::kRestarting, is_restart_late, agreement::MAINTENANCE_FAIL, "did not come back"},
 
     {MaintenancePhase::kSlowStart, is_in_full_service, agreement::MAINTENANCE_COMPLETE, ""},
-    {MaintenancePhase::kSlowStart, is_in_service_late, agreement::MAINTENANCE_FAIL,
+    {MaintenancePhase::kSlowStart, is_return_to_service_late, agreement::MAINTENANCE_FAIL,
      "slow start not completed in time"},
 
     {MaintenancePhase::kCancelling, is_other_incarnation, agreement::MAINTENANCE_RESTARTED, ""},
     {MaintenancePhase::kCancelling, has_acted_on_cancellation, agreement::MAINTENANCE_COMPLETE, ""},
-    {MaintenancePhase::kCancelling, is_in_service_late, agreement::MAINTENANCE_FAIL,
+    {MaintenancePhase::kCancelling, is_return_to_service_late, agreement::MAINTENANCE_FAIL,
      "cancelled, and not in service in time"},
 };
 
@@ -113,11 +115,11 @@
   return nullptr;
 }
 
-// A drain that operators still want keeps its lease, extended once half of it is used up.
+// The lease of a drain that operators have not ended is extended once half of it has passed.
 bool needs_extension(const LeasedServer& server, Nanos lease_duration) {
-  bool drained = server.lease.reason == agreement::REASON_DRAIN &&
-                 server.context.maintenance.drains().contains(server.node);
-  return drained && server.lease.until - server.context.view.time < lease_duration / 2;
+  bool drain_is_requested = server.lease.reason == agreement::REASON_DRAIN &&
+                            server.context.maintenance.drains().contains(server.node);
+  return drain_is_requested && server.lease.until - server.context.view.time < lease_duration / 2;
 }
 
 }  // namespace
--- a/src/releases/release_monitor.cpp
+++ b/src/releases/release_monitor.cpp
@@ -8,14 +8,14 @@
 
 bool ReleaseMonitor::watch(const RolloutContext& context) {
   measure_interruption(context);
-  bool same = is_same_phase(context.release);
-  if (same) {
+  bool is_unchanged = is_same_phase(context.release);
+  if (is_unchanged) {
     analysis_.watch(context.all_servers(), context.view.now);
   } else {
     begin_phase(context);
   }
   alarms_.measure(context);
-  return !same;
+  return !is_unchanged;
 }
 
 void ReleaseMonitor::measure_interruption(const RolloutContext& context) {
@@ -33,13 +33,13 @@
 
 void ReleaseMonitor::begin_phase(const RolloutContext& context) {
   const agreement::Release& release = context.release;
-  if (release.id() != release_id_) alarms_.release_started();
+  if (release.id() != release_id_) alarms_.record_reference_shares();
   if (release_id_ != 0 || release.phase() != agreement::PHASE_NONE) log_phase(release);
   release_id_ = release.id();
   phase_ = release.phase();
   wave_ = release.wave();
   longest_interruption_ = 0;
-  alarms_.phase_started();
+  alarms_.restart_timers();
   analysis_.begin(context.all_servers(), context.view.now);
 }
 
--- a/src/releases/rollout_plan.cpp
+++ b/src/releases/rollout_plan.cpp
@@ -15,22 +15,22 @@
 constexpr std::int64_t kMaxFailedServers = 10'000;
 constexpr std::int64_t kMaxMinRequests = 1'000'000;
 constexpr std::size_t kMaxWaves = 50;
-constexpr std::size_t kMaxName = 64;      // bytes
-constexpr std::uint32_t kAllOfIt = 1000;  // thousandths
+constexpr std::size_t kMaxName = 64;        // bytes
+constexpr std::uint32_t kFullShare = 1000;  // thousandths
 
 void read_waves(Section& root, agreement::Plan& out) {
   for (Section& wave : root.list("waves")) {
-    out.add_waves(thousandths(wave.number("share", 0.001, 1)));
+    out.add_waves(to_thousandths(wave.number("share", 0.001, 1)));
     wave.reject_unknown_fields();
     int count = out.waves_size();
     if (count > 1 && out.waves(count - 1) <= out.waves(count - 2))
-      wave.fail("share", "is not above the wave before it");
+      wave.fail("share", "is not above the share of the previous wave");
   }
   if (out.waves_size() == 0) {
     for (std::uint32_t share : {50u, 150u, 400u, 1000u}) out.add_waves(share);
   }
   if (static_cast<std::size_t>(out.waves_size()) > kMaxWaves) root.fail("waves", "are more than 50");
-  if (out.waves(out.waves_size() - 1) != kAllOfIt) root.fail("waves", "do not end with a share of 1");
+  if (out.waves(out.waves_size() - 1) != kFullShare) root.fail("waves", "do not end with a share of 1");
 }
 
 void set_default_health(agreement::Plan& out) {
@@ -46,7 +46,7 @@
 
 void read_health(Section& health, agreement::Plan& out) {
   auto share = [&](const char* name, std::uint32_t default_value, double min, double max) {
-    return thousandths(health.number_or(name, default_value / 1000.0, min, max));
+    return to_thousandths(health.number_or(name, default_value / 1000.0, min, max));
   };
   out.set_least_exchanges(static_cast<std::uint32_t>(
       health.integer_or("least_exchanges", out.least_exchanges(), 1, kMaxMinRequests)));
@@ -66,7 +66,7 @@
 
 std::string release_start_command(const agreement::Plan& plan) {
   std::string json;
-  // Can't fail for a message of numbers and valid text.
+  // Can't fail: the plan holds only numbers and valid UTF-8 text.
   if (!google::protobuf::util::MessageToJsonString(plan, &json).ok()) json.clear();
   return "release start " + json;
 }
@@ -83,7 +83,7 @@
   agreement::Plan out;
   root.integer("version", 1, 1);
   out.set_name(root.text("name"));
-  if (out.name().size() > kMaxName) root.fail("name", "is longer than 64 letters");
+  if (out.name().size() > kMaxName) root.fail("name", "is longer than 64 bytes");
   out.set_version(static_cast<std::uint32_t>(root.integer("wanted", 0, fencing::kMaxVersion)));
   out.set_first_nodes(static_cast<std::uint32_t>(root.integer_or("first_nodes", 3, 1, kMaxFirstServers)));
   read_waves(root, out);
@@ -96,7 +96,7 @@
   out.set_warm_within_ns(root.milliseconds_or("warm_within_ms", 120'000 * kMs, 100, kMaxDuration));
   out.set_way_back(root.boolean_or("way_back", true));
   out.set_most_failed(static_cast<std::uint32_t>(root.integer_or("most_failed", 0, 0, kMaxFailedServers)));
-  out.set_reserve(thousandths(root.number_or("reserve", 0.1, 0, 0.9)));
+  out.set_reserve(to_thousandths(root.number_or("reserve", 0.1, 0, 0.9)));
   set_default_health(out);
   if (auto health = root.optional_section("health")) read_health(*health, out);
   root.reject_unknown_fields();
