--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-// The adapters on loopback sockets.
+// Tests the network adapters over loopback sockets, and the server program as a whole.
 #include <sys/wait.h>
 
 #include <csignal>
@@ -12,9 +12,9 @@
 namespace myrtlecroft::net {
 namespace {
 
-// ---- Front
+// ---- FastCGI server
 
-TEST_F(FastCgiServerTest, AnswersGoOutInAnyOrderOnOneConnection) {
+TEST_F(FastCgiServerTest, AnswersOnOneConnectionAreSentInCompletionOrder) {
   TestSocket peer = connect_client();
   peer.write(request(1, "/api/v2/read", first) + request(2, "/api/v2/read", second));
   ASSERT_TRUE(eventually([&] { return world.count("run " + second) == 1; }));
@@ -24,7 +24,7 @@
   EXPECT_TRUE(receives(peer, "Status: 500"));
 }
 
-TEST_F(FastCgiServerTest, HealthFollowsTheReport) {
+TEST_F(FastCgiServerTest, HealthCheckReportsTheHealthAndTheProbesResult) {
   TestSocket peer = connect_client();
   peer.write(request(1, "/-/healthy", "deep=0", 0));
   EXPECT_TRUE(receives(peer, "Status: 200"));
@@ -36,7 +36,7 @@
   EXPECT_TRUE(receives(prober, "Status: 503"));
 }
 
-TEST_F(FastCgiServerTest, ABadExchangeEndsAloneAndBadBytesEndTheirConnection) {
+TEST_F(FastCgiServerTest, InvalidRequestFailsAloneAndMalformedBytesEndTheirConnection) {
   TestSocket peer = connect_client();
   peer.write(request(1, "/api/v2/nothing", first) + request(2, "/api/v2/read", second));
   EXPECT_TRUE(receives(peer, "Status: 500"));
@@ -49,22 +49,23 @@
   EXPECT_TRUE(receives(peer, "Status: 200"));
 }
 
-// Such requests were taken and completed, or held places until the engine turned them away.
-TEST_F(FastCgiServerTest, WhatIsOutOfTheProtocolsRangeIsTerminatedUnrun) {
-  const FastCgiServerTest::Pairs wrong = {
+// Requests with invalid parameters used to run and complete, or occupied the admission window until the
+// engine rejected them.
+TEST_F(FastCgiServerTest, RequestWithAnInvalidParameterFailsWithoutRunning) {
+  const FastCgiServerTest::Pairs invalid_params = {
       {"HTTP_PROJECT", "nobody"}, {"HTTP_RESERVE_KB", "2000"}, {"HTTP_RESERVE_KB", "nan"},
       {"HTTP_STANDING", "1.5"},   {"HTTP_EXPECTED_MS", "-3"},  {"HTTP_MAX_WAIT_MS", "99999999999999999999"},
       {"HTTP_MAX_WAIT_MS", "-5"}, {"HTTP_CLIENT_NO", "one"},   {"HTTP_ACCEPTED_AT_MS", "-1"},
       {"HTTP_TRACE_ID", ""}};
-  for (const auto& pair : wrong) {
+  for (const auto& param : invalid_params) {
     TestSocket peer = connect_client();
-    peer.write(request(1, "/api/v2/read", first, 1, {pair}));
-    EXPECT_TRUE(receives(peer, "Status: 500")) << pair.first;
+    peer.write(request(1, "/api/v2/read", first, 1, {param}));
+    EXPECT_TRUE(receives(peer, "Status: 500")) << param.first;
   }
   EXPECT_EQ(world.count("run " + first), 0);
 }
 
-TEST_F(FastCgiServerTest, ACallerThatGoesOnWithWhatIsUnfoundedIsLetGo) {
+TEST_F(FastCgiServerTest, ConnectionIsClosedAfterThreeRunsThatTheEngineIgnores) {
   TestSocket peer = connect_client();
   for (int i = 1; i <= 3; ++i) peer.write(request(i, "/api/v2/read", "00000000000000a" + std::to_string(i)));
   ASSERT_TRUE(eventually([&] { return world.count("run 00000000000000a2") == 1; }));
@@ -74,9 +75,9 @@
   EXPECT_TRUE(eventually([&] { return logged("ended: malformed"); }));
 }
 
-// A balancer whose requests were over before they could run, or that was wrong now and then over a long day,
-// was taken for such a caller, and lost all that it had open.
-TEST_F(FastCgiServerTest, ABalancerIsNotLetGoForRunsThatCameTooLateOrForRareMistakes) {
+// Guards against closing a balancer's connection, with all requests open on it, because requests ended before
+// they could run or because an occasional request over a long day was invalid.
+TEST_F(FastCgiServerTest, ConnectionStaysOpenDespiteLateRunsAndRareInvalidRequests) {
   TestSocket peer = connect_client();
   auto id = [](int i) { return "00000000000000b" + std::to_string(i); };
   for (int i = 1; i <= 8; ++i) {
@@ -97,7 +98,7 @@
   EXPECT_EQ(peer.read(), "");
 }
 
-TEST_F(FastCgiServerTest, OnlyConnectionsWithNothingOpenAreClosedAsIdle) {
+TEST_F(FastCgiServerTest, OnlyConnectionsWithoutOpenRequestsAreClosedAsIdle) {
   TestSocket busy = connect_client();
   TestSocket idle = connect_client();
   idle.write(request(1, "/-/healthy", ""));
@@ -112,11 +113,11 @@
   EXPECT_TRUE(receives(busy, "Status: 200"));
 }
 
-TEST_F(FastCgiServerTest, ALostConnectionLeavesItsWorkToOthersAndHarmsNothing) {
+TEST_F(FastCgiServerTest, LostConnectionDoesNotAffectOtherConnections) {
   TestSocket peer = connect_client();
   peer.write(request(1, "/api/v2/read", first) + request(2, "/api/v2/read", second));
   ASSERT_TRUE(eventually([&] { return world.count("run " + second) == 1; }));
-  peer.close();  // which may be the end of its sending alone, until the first answer meets the reset
+  peer.close();  // looks like a half-close until the first answer is reset
   run_loop_for(5 * kMs);
   world.done(first), world.done(second);
   EXPECT_TRUE(eventually([&] { return logged("ended: "); }));
@@ -125,7 +126,7 @@
   EXPECT_TRUE(eventually([&] { return world.count("run 00000000000000cc") == 1; }));
 }
 
-TEST_F(FastCgiServerTest, FinishingAnswersWhatIsOpenThenPartsAndTakesNoMore) {
+TEST_F(FastCgiServerTest, FinishAnswersOpenRequestsBeforeItClosesTheirConnections) {
   TestSocket busy = connect_client();
   TestSocket idle = connect_client();
   busy.write(request(1, "/api/v2/read", first));
@@ -139,7 +140,7 @@
   EXPECT_TRUE(eventually([&] { return finished; }));
 }
 
-TEST_F(FastCgiServerTest, FinishingReadsWhatHasComeFirst) {
+TEST_F(FastCgiServerTest, FinishFirstAnswersRequestsAlreadyReceived) {
   TestSocket peer = connect_client();
   peer.write(request(1, "/-/healthy", ""));
   fastcgi_server.finish();
@@ -147,17 +148,17 @@
   EXPECT_TRUE(receives(peer, "(end)"));
 }
 
-TEST_F(FastCgiServerTest, APeerThatReadsNothingIsLetGo) {
+TEST_F(FastCgiServerTest, ConnectionIsClosedIfThePeerReadsNothing) {
   TestSocket peer = connect_client();
-  std::string ask;
-  for (int i = 0; i < 500; ++i) ask += record(77, 0, "");
+  std::string unanswered_records;
+  for (int i = 0; i < 500; ++i) unanswered_records += record(77, 0, "");
   EXPECT_TRUE(eventually([&] {
-    peer.try_write(ask);
+    peer.try_write(unanswered_records);
     return logged("ended: unread");
   }));
 }
 
-TEST_F(FastCgiServerTest, OutOfDescriptorsItWaitsAndThenAcceptsAgain) {
+TEST_F(FastCgiServerTest, AcceptResumesOnceDescriptorsAreFree) {
   std::vector<TestSocket> waiting;
   for (int i = 0; i < 8; ++i) waiting.emplace_back();
   {
@@ -166,14 +167,14 @@
     run_loop_for(250 * kMs);
   }
   EXPECT_TRUE(logged("accept failed"));
-  EXPECT_LT(lines.size(), 10u);  // it did not spin
+  EXPECT_LT(lines.size(), 10u);  // accept was not retried in a busy loop
   waiting.back().write(request(1, "/-/healthy", ""));
   EXPECT_TRUE(receives(waiting.back(), "Status: 200"));
 }
 
-// Callers that keep a connection for good, or connect and say nothing, took the last descriptor: balancers
-// and the links to engine and database got none.
-TEST_F(FastCgiServerTest, CrowdedItClosesTheSilentThenTheLongestIdleAndNeverABusyOne) {
+// Callers that keep a connection open permanently, or connect and send nothing, used to take the last
+// descriptors, so that balancers and the links to the engine and the database got none.
+TEST_F(FastCgiServerTest, AtTheLimitSilentThenLongestIdleConnectionsAreClosedButNoBusyOne) {
   TestSocket busy = connect_client();
   busy.write(request(1, "/api/v2/read", first));
   TestSocket idle = connect_client();
@@ -188,53 +189,53 @@
   EXPECT_TRUE(logged("ended: crowded"));
   EXPECT_EQ(idle.read(), "");
   for (TestSocket& peer : silent) peer.write(request(1, "/-/healthy", ""));
-  std::vector<TestSocket> more;
+  std::vector<TestSocket> new_clients;
   for (int i = 0; i < 2; ++i) {
-    more.push_back(connect_client());
-    more.back().write(request(1, "/-/healthy", ""));
-    EXPECT_TRUE(receives(more.back(), "Status: 200"));
+    new_clients.push_back(connect_client());
+    new_clients.back().write(request(1, "/-/healthy", ""));
+    EXPECT_TRUE(receives(new_clients.back(), "Status: 200"));
   }
   EXPECT_TRUE(receives(idle, "(end)"));
   world.done(first);
   EXPECT_TRUE(receives(busy, "Status: 200"));
 }
 
-// A flood of silent callers pushed out balancers whose first request was about to be read.
-TEST_F(FastCgiServerTest, CrowdedItDoesNotCloseTheOneWhoseRequestWaitsToBeRead) {
+// A flood of silent connections used to evict balancers whose first request had arrived but was not yet read.
+TEST_F(FastCgiServerTest, AtTheLimitAConnectionWithAnUnreadRequestStaysOpen) {
   std::vector<TestSocket> silent;
-  TestSocket first_come;
-  first_come.connect(port);
-  first_come.write(request(1, "/-/healthy", ""));
+  TestSocket early_client;
+  early_client.connect(port);
+  early_client.write(request(1, "/-/healthy", ""));
   for (int i = 0; i < 14; ++i) silent.emplace_back().connect(port);
-  EXPECT_TRUE(receives(first_come, "Status: 200"));
+  EXPECT_TRUE(receives(early_client, "Status: 200"));
 }
 
-TEST_F(FastCgiServerTest, HalfRequestsThatFillTheMemoryEndTheirConnection) {
+TEST_F(FastCgiServerTest, PartialRequestsThatFillTheMemoryEndTheirConnection) {
   TestSocket peers[] = {connect_client(), connect_client()};
-  TestSocket good = connect_client();
-  good.write(request(1, "/api/v2/read", first));
-  const std::string begin = std::string("\0\1\1\0\0\0\0\0", 8);
+  TestSocket other_client = connect_client();
+  other_client.write(request(1, "/api/v2/read", first));
+  const std::string begin_request = std::string("\0\1\1\0\0\0\0\0", 8);
   for (int id = 1; id <= 30; ++id) {
     for (TestSocket& peer : peers)
-      peer.try_write(record(1, id, begin) + record(4, id, std::string(8000, 'x')));
+      peer.try_write(record(1, id, begin_request) + record(4, id, std::string(8000, 'x')));
     run_loop_for(kMs);
   }
   EXPECT_TRUE(eventually([&] { return logged("ended: crowded"); }));
   world.done(first);
-  EXPECT_TRUE(receives(good, "Status: 200"));
+  EXPECT_TRUE(receives(other_client, "Status: 200"));
 }
 
-TEST_F(FastCgiServerTest, OneThatNeverBringsAWholeRequestIsClosedInTime) {
+TEST_F(FastCgiServerTest, ConnectionIsClosedIfNoCompleteRequestArrivesInTime) {
   TestSocket silent = connect_client();
-  TestSocket half = connect_client();
-  Nanos began = loop.now();
+  TestSocket partial = connect_client();
+  Nanos start_time = loop.now();
   for (int i = 0; i < 30; ++i) {
-    half.try_write(
+    partial.try_write(
         std::string("\1\1\0\1\0\10\0\0", 8).substr(static_cast<std::size_t>(i) % 8, i < 8 ? 1 : 0));
     run_loop_for(75 * kMs);
   }
-  EXPECT_TRUE(receives(silent, "(end)") && receives(half, "(end)"));
-  EXPECT_LT(loop.now() - began, 3 * kSecond);
+  EXPECT_TRUE(receives(silent, "(end)") && receives(partial, "(end)"));
+  EXPECT_LT(loop.now() - start_time, 3 * kSecond);
 }
 
 // ---- Engine link
@@ -248,7 +249,7 @@
   service::EngineSession session;
 };
 
-TEST_F(EngineClientTest, TheEngineLinkComesBackAndAsksForWhatItHasNotRead) {
+TEST_F(EngineClientTest, EngineLinkReconnectsAndResumesAfterTheLastNotice) {
   TestSocket engine = accept_connection(listener);
   EXPECT_TRUE(receives(engine, "{\"cmd\":\"ATTACH\",\"offset\":0}\n"));
   engine.write("{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":5}\n{\"cmd\":\"NOTE\",\"offset\":4,");
@@ -258,50 +259,51 @@
   engine.write("{\"cmd\":\"DONE\",\"offset\":5\n");
   EXPECT_TRUE(receives(engine, "(end)"));
   EXPECT_TRUE(logged("engine link ended: malformed"));
-  TestSocket again = accept_connection(listener);
-  EXPECT_TRUE(receives(again, "{\"cmd\":\"ATTACH\",\"offset\":4}\n"));
-  // The same line once more: left out, or the link would never get past it.
-  again.write("{\"cmd\":\"DONE\",\"offset\":5\n{\"cmd\":\"NOTE\",\"offset\":6}\n");
+  TestSocket reconnected = accept_connection(listener);
+  EXPECT_TRUE(receives(reconnected, "{\"cmd\":\"ATTACH\",\"offset\":4}\n"));
+  // The same malformed line again is skipped; otherwise the link could never advance past it.
+  reconnected.write("{\"cmd\":\"DONE\",\"offset\":5\n{\"cmd\":\"NOTE\",\"offset\":6}\n");
   EXPECT_TRUE(eventually([&] { return session.last_notice() == 6; }));
 }
 
-// Moved, nothing that was on its way on the old link may be in doubt, and no notice is lost or read twice.
-TEST_F(EngineClientTest, TheEngineMovesAndTheOldLinkStaysUntilWhatItCarriedHasArrived) {
-  TestSocket old = accept_connection(listener);
+// When the engine moves, nothing in transit on the old link may have an unknown fate, and no notice may be
+// lost or read twice.
+TEST_F(EngineClientTest, OldEngineLinkStaysOpenAfterAMoveUntilItsDataHasArrived) {
+  TestSocket old_link = accept_connection(listener);
   const std::string hello = "{\"cmd\":\"HELLO\",\"result\":\"steady\",\"elapsed_ms\":5}\n";
   auto stats = [](int token) {
     return "{\"cmd\":\"STATS\",\"token\":\"" + std::to_string(token) + "\",\"load\":[]}\n";
   };
-  ASSERT_TRUE(receives(old, "ATTACH"));
-  old.write(hello);
-  ASSERT_TRUE(receives(old, "\"token\":\"1\""));
-  old.write(stats(1));
+  ASSERT_TRUE(receives(old_link, "ATTACH"));
+  old_link.write(hello);
+  ASSERT_TRUE(receives(old_link, "\"token\":\"1\""));
+  old_link.write(stats(1));
   run_loop_for(10 * kMs);
-  TestSocket elsewhere;
-  link.move(at_port(elsewhere.listen()));
-  TestSocket moved = accept_connection(elsewhere);
-  EXPECT_TRUE(receives(old, "\"token\":\"2\""));
-  session.request_gauges();  // held back
-  EXPECT_EQ(moved.read(), "");
-  old.write("{\"cmd\":\"NOTE\",\"offset\":1}\n" + stats(2) + "{\"cmd\":\"NOTE\",\"offset\":2}\n");
-  EXPECT_TRUE(receives(moved, "ATTACH\",\"offset\":2}"));
-  EXPECT_TRUE(receives(old, "(end)"));
+  TestSocket new_listener;
+  link.move(at_port(new_listener.listen()));
+  TestSocket new_link = accept_connection(new_listener);
+  EXPECT_TRUE(receives(old_link, "\"token\":\"2\""));
+  session.request_gauges();  // not sent before the new link is attached
+  EXPECT_EQ(new_link.read(), "");
+  old_link.write("{\"cmd\":\"NOTE\",\"offset\":1}\n" + stats(2) + "{\"cmd\":\"NOTE\",\"offset\":2}\n");
+  EXPECT_TRUE(receives(new_link, "ATTACH\",\"offset\":2}"));
+  EXPECT_TRUE(receives(old_link, "(end)"));
   EXPECT_TRUE(logged("engine link ended: moved"));
 }
 
-// Half a line of the old link was dropped while the new one was not yet open.
-TEST_F(EngineClientTest, WhileTheNewLinkCannotBeOpenedTheOldOneGoesOn) {
-  TestSocket old = accept_connection(listener);
-  ASSERT_TRUE(receives(old, "ATTACH"));
+// A partial line on the old link used to be dropped while the new link was not yet open.
+TEST_F(EngineClientTest, OldEngineLinkStaysInUseWhileTheNewOneCannotConnect) {
+  TestSocket old_link = accept_connection(listener);
+  ASSERT_TRUE(receives(old_link, "ATTACH"));
   link.move(at_port(free_port()));
-  old.write("{\"cmd\":\"NOTE\",\"off");
+  old_link.write("{\"cmd\":\"NOTE\",\"off");
   run_loop_for(30 * kMs);
-  old.write("set\":1}\n");
+  old_link.write("set\":1}\n");
   EXPECT_TRUE(eventually([&] { return session.last_notice() == 1; }));
   EXPECT_FALSE(logged("malformed"));
 }
 
-TEST_F(EngineClientTest, AnEngineLineTooLongToKeepIsLeftOutAndTheNextIsRead) {
+TEST_F(EngineClientTest, OverlongEngineLineIsSkippedAndTheNextIsRead) {
   TestSocket engine = accept_connection(listener);
   EXPECT_TRUE(receives(engine, "ATTACH"));
   std::string part(100'000, 'x');
@@ -315,8 +317,8 @@
   EXPECT_TRUE(eventually([&] { return session.last_notice() == 2; }));
 }
 
-// The process stood still for a second.
-TEST_F(FastCgiServerTest, AfterAPauseRunsThatEndedAreTakenBeforeWhatIsNew) {
+// Simulates a process that was paused for a second.
+TEST_F(FastCgiServerTest, AfterAPauseCompletedRunsAreProcessedBeforeNewRequests) {
   TestSocket listener;
   EngineClient link(loop, *this, at_port(listener.listen()));
   link.begin(world.service.engine());
@@ -338,21 +340,21 @@
   EXPECT_TRUE(eventually([&] { return world.count("run " + first) == 1; }));
 }
 
-// What comes while the timers of a turn expire is not yet known to the loop.
-TEST_F(FastCgiServerTest, ATimerThatIsLateLetsTheSocketsGoFirst) {
+// The event loop does not yet know of data that arrives while it runs the expired timers of an iteration.
+TEST_F(FastCgiServerTest, LateTimerRunsAfterPendingSocketEvents) {
   TestSocket peer = connect_client();
-  long ran = -1;
-  Timer earlier(loop.base(), [&] { peer.write(request(1, "/api/v2/read", first)); });
-  loop.set_wake_callback([&] { ran = world.count("run " + first); });
-  earlier.set(0);
+  long runs_at_wake = -1;
+  Timer expired_timer(loop.base(), [&] { peer.write(request(1, "/api/v2/read", first)); });
+  loop.set_wake_callback([&] { runs_at_wake = world.count("run " + first); });
+  expired_timer.set(0);
   loop.wake_at(loop.now() - 100 * kMs);
-  EXPECT_TRUE(eventually([&] { return ran >= 0; }));
-  EXPECT_EQ(ran, 1);
+  EXPECT_TRUE(eventually([&] { return runs_at_wake >= 0; }));
+  EXPECT_EQ(runs_at_wake, 1);
 }
 
 // ---- Log
 
-TEST_F(NetTest, AStormOfLinesIsCutAndCrowdsOutNoOther) {
+TEST_F(NetTest, RateLimitedLinesAreCutAndDisplaceNoOtherLine) {
   testing::internal::CaptureStdout();
   {
     Log log(world);
@@ -361,10 +363,10 @@
     world.time += kSecond;
     log.write_rate_limited("storm");
   }
-  std::string out = testing::internal::GetCapturedStdout();
-  EXPECT_LT(std::count(out.begin(), out.end(), '\n'), 300);
-  EXPECT_NE(out.find("serving -> stalled"), std::string::npos);
-  EXPECT_NE(out.find("800 lines left out"), std::string::npos);
+  std::string output = testing::internal::GetCapturedStdout();
+  EXPECT_LT(std::count(output.begin(), output.end(), '\n'), 300);
+  EXPECT_NE(output.find("serving -> stalled"), std::string::npos);
+  EXPECT_NE(output.find("800 lines left out"), std::string::npos);
 }
 
 // ---- Database
@@ -374,8 +376,8 @@
     database.begin(world.service);
     world.engine_up();
   }
-  // An request whose run waits for its call.
-  service::ServerRequest& calling(const std::string& id) {
+  // Returns a running request that needs a dependency call.
+  service::ServerRequest& request_needing_call(const std::string& id) {
     Caller& caller = world.read(id, kSkipperClass);
     world.need(id);
     return *caller.request;
@@ -385,72 +387,72 @@
   DatabaseClient database;
 };
 
-// One spoilt reply took all calls of a shared connection with it.
-TEST_F(DatabaseClientTest, CallsHaveConnectionsOfTheirOwnSoThatASpoiltReplyEndsOne) {
-  service::ServerRequest& one = calling("a");
-  service::ServerRequest& two = calling("b");
-  database.call(one, "x", 250 * kMs);
-  TestSocket first = accept();
-  database.call(two, "yz", 250 * kMs);
-  TestSocket second = accept();
-  EXPECT_TRUE(receives(first, "Q a 250 1\r\nx\r\n"));
-  EXPECT_TRUE(receives(second, "Q b 250 2\r\nyz\r\n"));
-  first.write("a ROWS 3000000000\r\nxx");
-  EXPECT_TRUE(eventually([&] { return one.lost_call_count > 0; }));
-  second.write("b ROWS 2\r\nbb\r\n");
+// A malformed reply used to fail all calls that shared its connection.
+TEST_F(DatabaseClientTest, CallsUseSeparateConnectionsSoThatAMalformedReplyFailsOne) {
+  service::ServerRequest& first_request = request_needing_call("a");
+  service::ServerRequest& second_request = request_needing_call("b");
+  database.call(first_request, "x", 250 * kMs);
+  TestSocket first_connection = accept();
+  database.call(second_request, "yz", 250 * kMs);
+  TestSocket second_connection = accept();
+  EXPECT_TRUE(receives(first_connection, "Q a 250 1\r\nx\r\n"));
+  EXPECT_TRUE(receives(second_connection, "Q b 250 2\r\nyz\r\n"));
+  first_connection.write("a ROWS 3000000000\r\nxx");
+  EXPECT_TRUE(eventually([&] { return first_request.lost_call_count > 0; }));
+  second_connection.write("b ROWS 2\r\nbb\r\n");
   EXPECT_TRUE(eventually([&] { return world.count("feed b bb") == 1; }));
 }
 
-TEST_F(DatabaseClientTest, WithAllConnectionsTakenCallsShareThem) {
-  for (const char* id : {"a", "b", "c", "d", "e"}) database.call(calling(id), "x", 250 * kMs);
+TEST_F(DatabaseClientTest, CallsShareConnectionsOnceAllAreInUse) {
+  for (const char* id : {"a", "b", "c", "d", "e"}) database.call(request_needing_call(id), "x", 250 * kMs);
   std::vector<TestSocket> peers;
   for (int i = 0; i < 4; ++i) peers.push_back(accept());
   run_loop_for(20 * kMs);
   EXPECT_LT(listener.accept(), 0);
 }
 
-TEST_F(DatabaseClientTest, ALineThatDoesNotEndEndsItsCallSoon) {
-  service::ServerRequest& request = calling("a");
+TEST_F(DatabaseClientTest, UnterminatedReplyFailsItsCallSoon) {
+  service::ServerRequest& request = request_needing_call("a");
   database.call(request, "x", 60 * kSecond);
   TestSocket peer = accept();
   peer.write("a ROWS 20\r\nshort");
   EXPECT_TRUE(eventually([&] { return request.lost_call_count > 0; }));
 }
 
-// The request calls again: a copy of its first reply must not be taken for the second call's.
-TEST_F(DatabaseClientTest, ASecondCopyOfAReplyIsNotTheNextCalls) {
-  service::ServerRequest& request = calling("a");
+// The request calls again. A duplicate of its first reply must not be taken for the reply to the second call.
+TEST_F(DatabaseClientTest, DuplicateReplyIsNotMatchedToTheNextCall) {
+  service::ServerRequest& request = request_needing_call("a");
   database.call(request, "first", 250 * kMs);
-  TestSocket one = accept();
-  one.write("0123456789abcdef ROWS 1\r\nn\r\na ROWS 3\r\nold\r\n");
+  TestSocket first_connection = accept();
+  first_connection.write("0123456789abcdef ROWS 1\r\nn\r\na ROWS 3\r\nold\r\n");
   ASSERT_TRUE(eventually([&] { return world.count("feed a old") == 1; }));
   request.dependency_call.active = true;
   database.call(request, "second", 250 * kMs);
-  TestSocket two = accept();
-  one.try_write("a ROWS 3\r\nold\r\n");
+  TestSocket second_connection = accept();
+  first_connection.try_write("a ROWS 3\r\nold\r\n");
   run_loop_for(20 * kMs);
   EXPECT_EQ(world.count("feed a old"), 1);
 }
 
-TEST_F(DatabaseClientTest, AReplyThatCrossesAGiveUpIsNotTheNextCalls) {
-  service::ServerRequest& request = calling("a");
+TEST_F(DatabaseClientTest, ReplyToAnAbandonedCallIsNotMatchedToTheNextCall) {
+  service::ServerRequest& request = request_needing_call("a");
   database.call(request, "first", 250 * kMs);
-  TestSocket one = accept();
+  TestSocket first_connection = accept();
   database.abandon_call(request);
   database.call(request, "second", 250 * kMs);
-  TestSocket two = accept();
-  one.try_write("a ROWS 3\r\nold\r\n");
+  TestSocket second_connection = accept();
+  first_connection.try_write("a ROWS 3\r\nold\r\n");
   run_loop_for(20 * kMs);
   EXPECT_EQ(world.count("feed a old"), 0);
-  two.write("a ROWS 3\r\nnew\r\n");
+  second_connection.write("a ROWS 3\r\nnew\r\n");
   EXPECT_TRUE(eventually([&] { return world.count("feed a new") == 1; }));
 }
 
-// The database closed connections as soon as they were idle, or forgot them: a call that crossed this looked
-// like one that ran.
-TEST_F(DatabaseClientTest, NoCallMeetsAConnectionThatWasIdle) {
+// The database used to close idle connections at once or drop them silently. A call sent on such a connection
+// looked like one that had run.
+TEST_F(DatabaseClientTest, CallsAreNotSentOnConnectionsThatWereIdle) {
   for (const char* id : {"a", "b"}) {
-    database.call(calling(id), "x", 250 * kMs);
+    database.call(request_needing_call(id), "x", 250 * kMs);
     TestSocket peer = accept();
     EXPECT_TRUE(receives(peer, std::string("Q ") + id));
     peer.write(std::string(id) + " ROWS 1\r\nr\r\n");
@@ -458,38 +460,38 @@
   }
 }
 
-TEST_F(DatabaseClientTest, MovedItCallsElsewhereAndWhatIsOutEndsWhereItIs) {
-  database.call(calling("a"), "x", 250 * kMs);
-  TestSocket old = accept();
-  TestSocket elsewhere;
-  database.move(at_port(elsewhere.listen()));
-  database.call(calling("b"), "y", 250 * kMs);
-  TestSocket moved = accept_connection(elsewhere);
-  EXPECT_TRUE(receives(moved, "Q b"));
-  old.write("a ROWS 1\r\nr\r\n");
+TEST_F(DatabaseClientTest, AfterAMoveNewCallsUseTheNewAddressAndPendingOnesFinishOnTheOld) {
+  database.call(request_needing_call("a"), "x", 250 * kMs);
+  TestSocket old_connection = accept();
+  TestSocket new_listener;
+  database.move(at_port(new_listener.listen()));
+  database.call(request_needing_call("b"), "y", 250 * kMs);
+  TestSocket new_connection = accept_connection(new_listener);
+  EXPECT_TRUE(receives(new_connection, "Q b"));
+  old_connection.write("a ROWS 1\r\nr\r\n");
   EXPECT_TRUE(eventually([&] { return world.count("feed a r") == 1; }));
 }
 
-TEST_F(DatabaseClientTest, ARefusedConnectionProvesThatNothingRanAndABreakDoesNot) {
-  service::ServerRequest& request = calling("a");
+TEST_F(DatabaseClientTest, RefusedConnectionProvesThatACallDidNotRunAndABrokenOneDoesNot) {
+  service::ServerRequest& request = request_needing_call("a");
   database.call(request, "x", 250 * kMs);
   accept().close();
   EXPECT_TRUE(eventually([&] { return request.lost_call_count > 0; }));
   listener.close();
-  service::ServerRequest& other = calling("b");
+  service::ServerRequest& other = request_needing_call("b");
   database.call(other, "x", 250 * kMs);
   EXPECT_TRUE(eventually([&] { return other.dependency_call.result == Outcome::kUnreachable; }));
   EXPECT_TRUE(logged("database connection ended: refused"));
 }
 
-// ---- The whole program
+// ---- Server program
 
-TEST_F(ProgramTest, ServesThenDrainsAndEndsByItself) {
+TEST_F(ProgramTest, ServerDrainsAndExitsAfterSigterm) {
   start();
   TestSocket engine = engine_up();
   ASSERT_FALSE(HasFailure());
-  bool up = false;
-  EXPECT_TRUE(eventually([&] { return up = up || reported("HB n7 UP"); }));
+  bool reported_up = false;
+  EXPECT_TRUE(eventually([&] { return reported_up = reported_up || received_report("HB n7 UP"); }));
   TestSocket peer = connect_client();
   const std::string id = "00000000000000aa";
   peer.write(FastCgiServerTest::request(1, "/-/healthy", ""));
@@ -497,9 +499,9 @@
   peer.write(FastCgiServerTest::request(2, "/api/v2/read", id));
   EXPECT_TRUE(
       receives(engine, R"({"cmd":"RUN","req":"00000000000000aa","method":"read","payload":"Ym9keQ=="})"));
-  kill(process, SIGTERM);
-  bool out = false;
-  EXPECT_TRUE(eventually([&] { return out = out || reported("HB n7 OUT"); }));
+  kill(server_pid, SIGTERM);
+  bool reported_out = false;
+  EXPECT_TRUE(eventually([&] { return reported_out = reported_out || received_report("HB n7 OUT"); }));
   usleep(300'000);
   peer.write(FastCgiServerTest::request(3, "/api/v2/read", "00000000000000bb"));
   EXPECT_TRUE(receives(peer, "Status: 503"));
@@ -510,39 +512,39 @@
   EXPECT_EQ(exit_code(), 0);
 }
 
-// SIGHUP ended the process. A file that makes no sense leaves all as it was.
-TEST_F(ProgramTest, ReloadMovesTheEngineAndABadFileChangesNothing) {
+// SIGHUP used to end the process. An invalid settings file must change nothing.
+TEST_F(ProgramTest, ReloadMovesTheEngineLinkAndAnInvalidFileChangesNothing) {
   start();
-  TestSocket engine = linked();
+  TestSocket engine = accept_engine_link();
   ASSERT_FALSE(HasFailure());
   ASSERT_TRUE(receives(engine, "ATTACH"));
   std::ofstream(config) << "{ no file";
-  kill(process, SIGHUP);
+  kill(server_pid, SIGHUP);
   usleep(100'000);
   EXPECT_EQ(engine.read(), "");
-  TestSocket elsewhere;
-  write_config(elsewhere.listen(), 9);
-  kill(process, SIGHUP);
-  TestSocket again = accept_connection(elsewhere);
+  TestSocket new_listener;
+  write_config(new_listener.listen(), 9);
+  kill(server_pid, SIGHUP);
+  TestSocket new_link = accept_connection(new_listener);
   ASSERT_FALSE(HasFailure());
-  EXPECT_TRUE(receives(again, "ATTACH"));
+  EXPECT_TRUE(receives(new_link, "ATTACH"));
 }
 
-// The table of descriptors grew at the 257th connection, amid a storm of them, and with the log's thread
-// beside it all servers stood still for 6 s.
-TEST_F(ProgramTest, HasRoomForAllItsDescriptorsBeforeTheFirstConnection) {
+// The kernel used to grow the process's descriptor table at the 257th connection, during a surge of
+// connections. Because the log thread shares the table, all servers stalled for 6 s.
+TEST_F(ProgramTest, DescriptorTableHasItsFullSizeBeforeTheFirstConnection) {
   start();
-  TestSocket engine = linked();
+  TestSocket engine = accept_engine_link();
   ASSERT_FALSE(HasFailure());
-  std::ifstream status("/proc/" + std::to_string(process) + "/status");
-  int room = 0;
+  std::ifstream status("/proc/" + std::to_string(server_pid) + "/status");
+  int table_size = 0;
   for (std::string line; std::getline(status, line);) {
-    if (line.starts_with("FDSize:")) room = std::atoi(line.c_str() + 7);
+    if (line.starts_with("FDSize:")) table_size = std::atoi(line.c_str() + 7);
   }
-  EXPECT_GE(room, 1024);
+  EXPECT_GE(table_size, 1024);
 }
 
-TEST_F(ProgramTest, AConfigThatMakesNoSenseEndsTheStartWithOne) {
+TEST_F(ProgramTest, StartWithAnInvalidSettingsFileExitsWithCodeOne) {
   std::ofstream(config) << "{\"name\":\"n7\"}";
   start();
   EXPECT_EQ(exit_code(), 1);
--- a/tests/server_restart_test.cpp
+++ b/tests/server_restart_test.cpp
@@ -1,4 +1,4 @@
-// The server program with a store, killed and started again on the same folder.
+// Kills the server program and restarts it on the same store folder.
 #include <filesystem>
 #include <fstream>
 #include <map>
@@ -19,51 +19,51 @@
   }
   ~ServerRestartTest() override {
     unsetenv("MYRTLECROFT_SETTINGS");
-    if (process > 0) kill_server();
+    if (server_pid > 0) kill_server();
     std::filesystem::remove_all(folder);
   }
-  TestSocket caller() {
+  TestSocket connect_caller() {
     TestSocket peer;
     peer.connect(port);
     usleep(30'000);
     return peer;
   }
   void kill_server() {
-    kill(process, SIGKILL);
-    waitpid(process, nullptr, 0);
-    process = 0;
+    kill(server_pid, SIGKILL);
+    waitpid(server_pid, nullptr, 0);
+    server_pid = 0;
   }
-  static std::string booking(int id, const std::string& trace, const std::string& key) {
+  static std::string keyed_request(int id, const std::string& trace, const std::string& key) {
     return FastCgiServerTest::request(id, "/api/v2/book", trace, 1, {{"HTTP_REPLAY_KEY", key}});
   }
   std::string folder;
   std::string settings;
 };
 
-TEST_F(ServerRestartTest, CompletedRequestIsAnsweredAndOneThatMayHaveRunFails) {
+TEST_F(ServerRestartTest, RetryOfACompletedRequestIsAnsweredAndOneOfUnknownOutcomeFails) {
   start();
   {
     TestSocket engine = engine_up();
-    TestSocket peer = caller();
-    peer.write(booking(1, "00000000000000a1", "aa"));
+    TestSocket peer = connect_caller();
+    peer.write(keyed_request(1, "00000000000000a1", "aa"));
     ASSERT_TRUE(receives(engine, "00000000000000a1"));
     engine.write(R"({"cmd":"DONE","offset":1,"req":"00000000000000a1","result":"success","payload":"QUJD"})"
                  "\n");
     ASSERT_TRUE(receives(peer, "ABC"));
-    peer.write(booking(2, "00000000000000b1", "bb"));
+    peer.write(keyed_request(2, "00000000000000b1", "bb"));
     ASSERT_TRUE(receives(engine, "00000000000000b1"));
-    usleep(100'000);  // the outcome of the first is on its way to the disk
+    usleep(100'000);  // time for the first request's outcome to reach the disk
     kill_server();
   }
   start();
   TestSocket engine = engine_up();
-  TestSocket peer = caller();
-  peer.write(booking(1, "00000000000000a2", "aa"));
+  TestSocket peer = connect_caller();
+  peer.write(keyed_request(1, "00000000000000a2", "aa"));
   EXPECT_TRUE(receives(peer, "ABC"));
-  peer.write(booking(2, "00000000000000b2", "bb"));
+  peer.write(keyed_request(2, "00000000000000b2", "bb"));
   EXPECT_TRUE(receives(peer, "Status: 500"));
-  // A new request runs.
-  peer.write(booking(3, "00000000000000c2", "cc"));
+  // A request with a new key runs.
+  peer.write(keyed_request(3, "00000000000000c2", "cc"));
   std::string commands;
   EXPECT_TRUE(
       eventually([&] { return (commands += engine.read()).find("00000000000000c2") != std::string::npos; }));
@@ -71,15 +71,15 @@
   EXPECT_EQ(commands.find("00000000000000b2"), std::string::npos);
 }
 
-TEST_F(ServerRestartTest, NothingRunsTwiceWhenKilledAtRandomUnderLoad) {
+TEST_F(ServerRestartTest, NoRequestRunsTwiceWhenTheServerIsKilledUnderLoad) {
   std::mt19937 random(5);
-  std::map<std::string, int> ran;
-  std::map<std::string, std::string> key_of;
-  int traces = 0;
-  for (int starts = 0; starts < 8; ++starts) {
+  std::map<std::string, int> runs_by_key;
+  std::map<std::string, std::string> key_by_trace;
+  int trace_count = 0;
+  for (int start_count = 0; start_count < 8; ++start_count) {
     start();
     TestSocket engine = engine_up();
-    TestSocket peer = caller();
+    TestSocket peer = connect_caller();
     std::string commands;
     int offset = 0;
     auto read_engine = [&] {
@@ -89,7 +89,7 @@
         std::size_t at = line.find("\"req\":\"");
         if (line.find("\"RUN\"") == std::string::npos || at == std::string::npos) continue;
         std::string id = line.substr(at + 7, 16);
-        ++ran[key_of[id]];
+        ++runs_by_key[key_by_trace[id]];
         if (random() % 4) {
           engine.try_write(R"({"cmd":"DONE","offset":)" + std::to_string(++offset) + R"(,"req":")" + id +
                            R"(","result":"success","payload":"QUJD"})"
@@ -99,10 +99,10 @@
     };
     for (int i = 0; i < 25; ++i) {
       char trace[17];
-      std::snprintf(trace, sizeof trace, "%016x", ++traces);
+      std::snprintf(trace, sizeof trace, "%016x", ++trace_count);
       std::string key = std::to_string(10 + random() % 40);
-      key_of[trace] = key;
-      peer.try_write(booking(i % 32 + 1, trace, key));
+      key_by_trace[trace] = key;
+      peer.try_write(keyed_request(i % 32 + 1, trace, key));
       usleep(static_cast<useconds_t>(random() % 3'000));
       read_engine();
       peer.read();
@@ -112,23 +112,23 @@
     kill_server();
     read_engine();
   }
-  EXPECT_GT(ran.size(), 20u);
-  for (const auto& [key, times] : ran) EXPECT_LE(times, 1) << key;
+  EXPECT_GT(runs_by_key.size(), 20u);
+  for (const auto& [key, run_count] : runs_by_key) EXPECT_LE(run_count, 1) << key;
 }
 
-TEST_F(ServerRestartTest, StartFailsWhenTheFolderIsInUseOrUnusable) {
+TEST_F(ServerRestartTest, StartFailsIfTheStoreFolderIsInUseOrUnusable) {
   start();
   TestSocket engine = engine_up();
-  pid_t first = std::exchange(process, 0);
-  port = free_port();  // or it would end for that
+  pid_t first_pid = std::exchange(server_pid, 0);
+  port = free_port();  // on the first server's port the start would fail in any case
   write_config(free_port(), 9);
   start();
   EXPECT_EQ(exit_code(), 1);
-  std::swap(process, first);
+  std::swap(server_pid, first_pid);
   kill_server();
   start();
   usleep(200'000);
-  EXPECT_EQ(waitpid(process, nullptr, WNOHANG), 0);  // it runs
+  EXPECT_EQ(waitpid(server_pid, nullptr, WNOHANG), 0);  // still running
   kill_server();
   std::ofstream(settings) << "version = 1; store = { folder = \"" << settings << "/below\"; };\n";
   start();
