--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -258,7 +258,7 @@
   }
 }
 
-// ---- Finishing
+// ---- finish()
 
 // A connection whose reading is paused, because the caller leaves answers unread, used to be closed with
 // requests on it unanswered.
@@ -559,7 +559,7 @@
   setenv("MYRTLECROFT_SETTINGS", settings_pipe.c_str(), 1);
   start();
   unsetenv("MYRTLECROFT_SETTINGS");
-  int writer = -1;  // opens once the server has the pipe open
+  int writer = -1;  // opens only once the server has reached the pipe
   ASSERT_TRUE(eventually(
       [&] { return writer >= 0 || (writer = open(settings_pipe.c_str(), O_WRONLY | O_NONBLOCK)) >= 0; }));
   kill(server_pid, SIGTERM);
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -14,12 +14,13 @@
   void set_tenants(int count) const {
     std::ifstream in(config);
     std::string text((std::istreambuf_iterator<char>(in)), {});
-    std::string list;
+    std::string tenants;
     for (int i = 0; i < count; ++i) {
-      list += std::string(i ? "," : "") + R"({"name":"tenant-)" + std::to_string(i) + R"(","quotaPerS":10})";
+      tenants +=
+          std::string(i ? "," : "") + R"({"name":"tenant-)" + std::to_string(i) + R"(","quotaPerS":10})";
     }
     const std::string insert_after = R"("settings":{)";
-    text.insert(text.find(insert_after) + insert_after.size(), R"("tenants":[)" + list + "],");
+    text.insert(text.find(insert_after) + insert_after.size(), R"("tenants":[)" + tenants + "],");
     std::ofstream(config) << text;
   }
   long resident_kb() const {
--- a/tests/program_story.h
+++ b/tests/program_story.h
@@ -58,6 +58,7 @@
   }
   // Accepts the server's connection as its engine and sends nothing on it.
   TestSocket accept_engine_link() { return accept_connection(listener); }
+  // Waits up to about 3 s for a connection; the test fails if none arrives.
   static TestSocket accept_connection(TestSocket& listening_socket) {
     int socket = -1;
     EXPECT_TRUE(eventually([&] { return socket >= 0 || (socket = listening_socket.accept()) >= 0; }));
@@ -88,6 +89,7 @@
     for (int i = 0; i < 3000 && !condition(); ++i) usleep(1000);
     return condition();
   }
+  // Returns whether `part` arrives from `peer` within about 3 s; all bytes read are dropped.
   static bool receives(TestSocket& peer, const std::string& part) {
     std::string received;
     bool found = false;
