--- a/src/peers/slow_client_policy.cpp
+++ b/src/peers/slow_client_policy.cpp
@@ -6,41 +6,42 @@
 namespace myrtlecroft::peers {
 namespace {
 
-constexpr Nanos kLookEvery = 100 * kMs;
-constexpr Nanos kStoodStill = 100 * kMs;  // a look that comes this much too late
-constexpr Nanos kTurn = 20 * kMs;         // for answers written together to go out together
-constexpr double kShortFrom = 0.75;       // of a limit that is used by those who are waited for
-constexpr double kStrictest = 4;
-constexpr int kFew = 64;  // compared when one must go
+constexpr Nanos kEvaluationInterval = 100 * kMs;
+constexpr Nanos kPauseDetectionThreshold = 100 * kMs;  // lateness of an evaluation
+constexpr Nanos kMinFlowAge = 20 * kMs;  // lets answers written in one turn of the loop be sent together
+constexpr double kStrictnessThreshold = 0.75;  // used fraction of a limit above which strictness rises
+constexpr double kMaxStrictness = 4;
+constexpr int kMaxCandidates = 64;  // connections compared when choosing one to close
 
-struct Row {
+struct Transition {
   State state;
   Input input;
   State next;
   Effect effect;
 };
 
-// What is not named here changes nothing. A paused peer can't be blamed for what we don't read, and a blocked
-// one with requests in hand waits for their answers before kOver comes.
-constexpr Row kTable[] = {
-    {State::kActive, Input::kClear, State::kIdle, Effect::kNone},
-    {State::kActive, Input::kFull, State::kPaused, Effect::kPauseReading},
-    {State::kActive, Input::kSlowIn, State::kFinalWarning, Effect::kNone},
-    {State::kActive, Input::kSlowOut, State::kWriteStalled, Effect::kPauseReading},
-    {State::kActive, Input::kOverdue, State::kActive, Effect::kCancelRequest},
-    {State::kPaused, Input::kClear, State::kIdle, Effect::kResumeReading},
+// A pair of state and input without a row changes nothing. A paused connection has no row for slow sending,
+// since the server does not read from it; a write-stalled one with open requests gets kWarningExpired only
+// after they are answered.
+constexpr Transition kTransitions[] = {
+    {State::kActive, Input::kNothingPending, State::kIdle, Effect::kNone},
+    {State::kActive, Input::kUnreadLimitReached, State::kPaused, Effect::kPauseReading},
+    {State::kActive, Input::kSlowSending, State::kFinalWarning, Effect::kNone},
+    {State::kActive, Input::kSlowReading, State::kWriteStalled, Effect::kPauseReading},
+    {State::kActive, Input::kRequestOverdue, State::kActive, Effect::kCancelRequest},
+    {State::kPaused, Input::kNothingPending, State::kIdle, Effect::kResumeReading},
     {State::kPaused, Input::kSteady, State::kActive, Effect::kResumeReading},
-    {State::kPaused, Input::kSlowOut, State::kWriteStalled, Effect::kNone},
-    {State::kFinalWarning, Input::kClear, State::kIdle, Effect::kNone},
+    {State::kPaused, Input::kSlowReading, State::kWriteStalled, Effect::kNone},
+    {State::kFinalWarning, Input::kNothingPending, State::kIdle, Effect::kNone},
     {State::kFinalWarning, Input::kSteady, State::kActive, Effect::kNone},
-    {State::kFinalWarning, Input::kFull, State::kPaused, Effect::kPauseReading},
-    {State::kFinalWarning, Input::kSlowOut, State::kWriteStalled, Effect::kPauseReading},
-    {State::kFinalWarning, Input::kOverdue, State::kActive, Effect::kCancelRequest},
-    {State::kFinalWarning, Input::kOver, State::kRemoved, Effect::kCloseSlowSender},
-    {State::kWriteStalled, Input::kClear, State::kIdle, Effect::kResumeReading},
+    {State::kFinalWarning, Input::kUnreadLimitReached, State::kPaused, Effect::kPauseReading},
+    {State::kFinalWarning, Input::kSlowReading, State::kWriteStalled, Effect::kPauseReading},
+    {State::kFinalWarning, Input::kRequestOverdue, State::kActive, Effect::kCancelRequest},
+    {State::kFinalWarning, Input::kWarningExpired, State::kRemoved, Effect::kCloseSlowSender},
+    {State::kWriteStalled, Input::kNothingPending, State::kIdle, Effect::kResumeReading},
     {State::kWriteStalled, Input::kSteady, State::kActive, Effect::kResumeReading},
-    {State::kWriteStalled, Input::kFull, State::kPaused, Effect::kNone},
-    {State::kWriteStalled, Input::kOver, State::kRemoved, Effect::kCloseSlowReader},
+    {State::kWriteStalled, Input::kUnreadLimitReached, State::kPaused, Effect::kNone},
+    {State::kWriteStalled, Input::kWarningExpired, State::kRemoved, Effect::kCloseSlowReader},
 };
 
 bool is_slow(State state) { return state == State::kFinalWarning || state == State::kWriteStalled; }
@@ -49,21 +50,21 @@
 
 void SlowClientPolicy::add_connection(ConnectionAccount& account, MonitoredConnection& peer,
                                       BalancerKey key) {
-  account.peer_ = &peer;
+  account.connection_ = &peer;
   account.balancer_ = balancers_.try_emplace(key).first;
   ++account.balancer_->second.peers;
-  ++peers_;
+  ++connections_;
   ++counts_[static_cast<std::size_t>(account.state_)];
 }
 
 void SlowClientPolicy::remove_connection(ConnectionAccount& account) {
-  if (!account.peer_) return;
-  unwatch(account);
+  if (!account.connection_) return;
+  stop_watching(account);
   set_held_bytes(account, 0);
-  enter(account, State::kRemoved);
+  enter_state(account, State::kRemoved);
   --counts_[static_cast<std::size_t>(account.state_)];
-  --peers_;
-  account.peer_ = nullptr;
+  --connections_;
+  account.connection_ = nullptr;
   if (--account.balancer_->second.peers == 0) balancers_.erase(account.balancer_);
 }
 
@@ -71,202 +72,215 @@
   if (account.balancer_->first == key) return;
   auto old = account.balancer_;
   account.balancer_ = balancers_.try_emplace(key).first;
-  account.balancer_->second.held += account.held_;
+  account.balancer_->second.held_bytes += account.held_bytes_;
   ++account.balancer_->second.peers;
-  old->second.held -= account.held_;
+  old->second.held_bytes -= account.held_bytes_;
   if (--old->second.peers == 0) balancers_.erase(old);
 }
 
 void SlowClientPolicy::set_held_bytes(ConnectionAccount& account, std::size_t bytes) {
-  bytes_ += bytes - account.held_;
-  account.balancer_->second.held += bytes - account.held_;
-  account.held_ = bytes;
+  bytes_ += bytes - account.held_bytes_;
+  account.balancer_->second.held_bytes += bytes - account.held_bytes_;
+  account.held_bytes_ = bytes;
 }
 
-// A look that comes late comes in a process that stood still: nobody could have moved anything then, and that
-// time counts for none. Without it, one pause would be taken for all peers being slow. Harm: a peer that is
-// slow while we are short of a core is given more time.
-Nanos SlowClientPolicy::time(Nanos now) {
+// A late evaluation means that the process itself was paused, so no client could make progress; that time is
+// not counted. Otherwise one pause of the process would make all clients look slow. Drawback: a client that
+// is slow while the server lacks CPU gets more time.
+Nanos SlowClientPolicy::effective_time(Nanos now) {
   if (!watched_.empty()) {
-    Nanos late = now - stood_still_ - watched_.front()->look_at_;
-    if (late > kStoodStill) stood_still_ += late;
+    Nanos delay = now - process_pause_total_ - watched_.front()->evaluate_at_;
+    if (delay > kPauseDetectionThreshold) process_pause_total_ += delay;
   }
-  return now - stood_still_;
+  return now - process_pause_total_;
 }
 
 void SlowClientPolicy::start_watching(ConnectionAccount& account, Nanos now) {
   if (account.watched_ || account.state_ == State::kRemoved) return;
-  Nanos at = time(now);
+  Nanos at = effective_time(now);
   account.watched_ = true;
-  account.look_at_ = at + kLookEvery;
-  account.place_ = watched_.insert(watched_.end(), &account);
-  enter(account, State::kActive);
-  input_of(account, account.peer_->current_progress(), at);
+  account.evaluate_at_ = at + kEvaluationInterval;
+  account.watched_position_ = watched_.insert(watched_.end(), &account);
+  enter_state(account, State::kActive);
+  determine_input(account, account.connection_->current_progress(), at);
 }
 
-void SlowClientPolicy::unwatch(ConnectionAccount& account) {
+void SlowClientPolicy::stop_watching(ConnectionAccount& account) {
   if (!std::exchange(account.watched_, false)) return;
-  watched_.erase(account.place_);
-  account.in_ = account.out_ = {};
-  account.awaited_ = 0;
+  watched_.erase(account.watched_position_);
+  account.incoming_ = account.outgoing_ = {};
+  account.awaited_request_ = 0;
 }
 
-void SlowClientPolicy::enter(ConnectionAccount& account, State next) {
+void SlowClientPolicy::enter_state(ConnectionAccount& account, State next) {
   --counts_[static_cast<std::size_t>(account.state_)];
   ++counts_[static_cast<std::size_t>(next)];
   bool was_slow = is_slow(std::exchange(account.state_, next));
   if (is_slow(next) == was_slow) return;
   if (!was_slow) {
-    account.slow_place_ = slow_.insert(slow_.end(), &account);
+    account.slow_position_ = slow_.insert(slow_.end(), &account);
   } else {
-    slow_.erase(account.slow_place_);
+    slow_.erase(account.slow_position_);
   }
 }
 
-// Unbiased from the start on: the sum is set against what a steady stream of this age would have left in it.
+// Returns bytes per second, unbiased from the start: divides the decayed sum by the value that a steady
+// stream of 1 byte/s and the same age would have reached.
 double SlowClientPolicy::rate(const ConnectionAccount::Flow& flow, Nanos at) const {
   double span = static_cast<double>(options_.rate_window) / 1e9;
   double age = static_cast<double>(std::max<Nanos>(at - flow.since, 1)) / 1e9;
-  return flow.moved->read(at) / (span * -std::expm1(-age / span));
+  return flow.moved_bytes->read(at) / (span * -std::expm1(-age / span));
 }
 
-Input SlowClientPolicy::input_of(ConnectionAccount& account, const ConnectionProgress& current_progress,
-                                 Nanos at) {
-  double strict = strictness();
-  if (over_share(account.balancer_->second)) strict = kStrictest;
-  Nanos grace = static_cast<Nanos>(static_cast<double>(options_.grace) / strict);
-  auto slow = [&](ConnectionAccount::Flow& flow, bool waits, std::uint64_t total) {
-    if (!waits) {
+Input SlowClientPolicy::determine_input(ConnectionAccount& account, const ConnectionProgress& progress,
+                                        Nanos at) {
+  double strictness_factor = strictness();
+  if (exceeds_balancer_share(account.balancer_->second)) strictness_factor = kMaxStrictness;
+  Nanos grace = static_cast<Nanos>(static_cast<double>(options_.grace) / strictness_factor);
+  auto update_flow = [&](ConnectionAccount::Flow& flow, bool pending, std::uint64_t total) {
+    if (!pending) {
       flow = {};
       return false;
     }
-    if (!flow.moved) {
-      flow = {.since = at, .progress = at, .seen = total, .moved = DecayingSum(options_.rate_window)};
+    if (!flow.moved_bytes) {
+      flow = {.since = at,
+              .last_progress = at,
+              .counted_bytes = total,
+              .moved_bytes = DecayingSum(options_.rate_window)};
       return false;
     }
-    std::uint64_t moved = total - std::exchange(flow.seen, total);
-    if (moved) flow.progress = at;
-    flow.moved->add(static_cast<double>(moved), at);
-    return at - flow.since >= grace && rate(flow, at) < options_.min_rate * strict;
+    std::uint64_t new_bytes = total - std::exchange(flow.counted_bytes, total);
+    if (new_bytes) flow.last_progress = at;
+    flow.moved_bytes->add(static_cast<double>(new_bytes), at);
+    return at - flow.since >= grace && rate(flow, at) < options_.min_rate * strictness_factor;
   };
-  // What a paused peer sends is not read, and begins anew after that.
-  bool awaited = current_progress.awaited && !account.paused();
-  if (current_progress.awaited != account.awaited_) account.in_ = {};
-  account.awaited_ = current_progress.awaited;
-  bool slow_in = slow(account.in_, awaited, current_progress.in);
-  bool slow_out = slow(account.out_, current_progress.unread > 0, current_progress.out);
-  bool over = is_slow(account.state_) && at >= account.hurry_until_;
-  if (!current_progress.awaited && !current_progress.unread) return Input::kClear;
-  if (slow_out)
-    return over && account.state_ == State::kWriteStalled && !current_progress.open ? Input::kOver
-                                                                                    : Input::kSlowOut;
-  if (slow_in) return over && account.state_ == State::kFinalWarning ? Input::kOver : Input::kSlowIn;
-  if (current_progress.unread && full(account, current_progress.unread, at)) return Input::kFull;
-  if (awaited && at - account.in_.since >= options_.max_request_read_time) return Input::kOverdue;
+  // A paused connection is not read; its incoming flow starts afresh when reading resumes.
+  bool awaits_request = progress.awaited && !account.paused();
+  if (progress.awaited != account.awaited_request_) account.incoming_ = {};
+  account.awaited_request_ = progress.awaited;
+  bool sending_slowly = update_flow(account.incoming_, awaits_request, progress.in);
+  bool reading_slowly = update_flow(account.outgoing_, progress.unread > 0, progress.out);
+  bool warning_expired = is_slow(account.state_) && at >= account.warning_expires_at_;
+  if (!progress.awaited && !progress.unread) return Input::kNothingPending;
+  if (reading_slowly)
+    return warning_expired && account.state_ == State::kWriteStalled && !progress.open
+               ? Input::kWarningExpired
+               : Input::kSlowReading;
+  if (sending_slowly)
+    return warning_expired && account.state_ == State::kFinalWarning ? Input::kWarningExpired
+                                                                     : Input::kSlowSending;
+  if (progress.unread && unread_limit_reached(account, progress.unread, at))
+    return Input::kUnreadLimitReached;
+  if (awaits_request && at - account.incoming_.since >= options_.max_request_read_time)
+    return Input::kRequestOverdue;
   return Input::kSteady;
 }
 
-// More than its share waits, and what waits won't be gone by the next look. Half the share must be free
-// before a paused peer is read again, or it would be paused at every answer. Harm: answers that end together
-// on one connection look alike for a turn of the loop, which is why a new flow is left alone that long.
-bool SlowClientPolicy::full(const ConnectionAccount& account, std::size_t unread, Nanos at) const {
+// True if the unread answers exceed the limit and will not be sent by the next evaluation at the present
+// rate. Reading resumes only once half the limit is free; otherwise each answer would pause the connection
+// again. Drawback: answers that complete together on one connection look the same for one turn of the loop,
+// so a flow younger than kMinFlowAge is never paused.
+bool SlowClientPolicy::unread_limit_reached(const ConnectionAccount& account, std::size_t unread,
+                                            Nanos at) const {
   if (unread < (account.paused() ? options_.max_unread_bytes / 2 : options_.max_unread_bytes)) return false;
-  double soon = rate(account.out_, at) * static_cast<double>(kLookEvery) / 1e9;
-  return at - account.out_.since >= kTurn && static_cast<double>(unread) > soon;
+  double sendable_bytes = rate(account.outgoing_, at) * static_cast<double>(kEvaluationInterval) / 1e9;
+  return at - account.outgoing_.since >= kMinFlowAge && static_cast<double>(unread) > sendable_bytes;
 }
 
-void SlowClientPolicy::step(ConnectionAccount& account, Input input, Nanos at) {
-  for (const Row& row : kTable) {
-    if (row.state != account.state_ || row.input != input) continue;
-    if (is_slow(row.next)) {
-      account.hurry_until_ =
+void SlowClientPolicy::apply_input(ConnectionAccount& account, Input input, Nanos at) {
+  for (const Transition& transition : kTransitions) {
+    if (transition.state != account.state_ || transition.input != input) continue;
+    if (is_slow(transition.next)) {
+      account.warning_expires_at_ =
           at + static_cast<Nanos>(static_cast<double>(options_.final_warning_time) / strictness());
     }
-    if (row.effect == Effect::kResumeReading) account.in_ = {};
-    enter(account, row.next);
-    if (row.next == State::kIdle || row.next == State::kRemoved) unwatch(account);
-    if (row.effect != Effect::kNone) account.peer_->apply_effect(row.effect);  // may end the account
+    if (transition.effect == Effect::kResumeReading) account.incoming_ = {};
+    enter_state(account, transition.next);
+    if (transition.next == State::kIdle || transition.next == State::kRemoved) stop_watching(account);
+    if (transition.effect != Effect::kNone)
+      account.connection_->apply_effect(transition.effect);  // may destroy the account
     return;
   }
 }
 
 void SlowClientPolicy::moved(ConnectionAccount& account, Nanos now) {
-  ConnectionProgress current_progress = account.peer_->current_progress();
-  if (current_progress.unread >= options_.max_unread_bytes) {
+  ConnectionProgress progress = account.connection_->current_progress();
+  if (progress.unread >= options_.max_unread_bytes) {
     evaluate(account, now);
-  } else if (current_progress.awaited || current_progress.unread) {
+  } else if (progress.awaited || progress.unread) {
     start_watching(account, now);
   }
 }
 
 void SlowClientPolicy::evaluate(ConnectionAccount& account, Nanos now) {
   if (!account.watched_) return start_watching(account, now);
-  Nanos at = time(now);
-  step(account, input_of(account, account.peer_->current_progress(), at), at);
+  Nanos at = effective_time(now);
+  apply_input(account, determine_input(account, account.connection_->current_progress(), at), at);
 }
 
 void SlowClientPolicy::evaluate_due_connections(Nanos now) {
-  Nanos at = time(now);
-  while (!watched_.empty() && watched_.front()->look_at_ <= at) {
+  Nanos at = effective_time(now);
+  while (!watched_.empty() && watched_.front()->evaluate_at_ <= at) {
     ConnectionAccount& account = *watched_.front();
-    account.look_at_ = at + kLookEvery;
+    account.evaluate_at_ = at + kEvaluationInterval;
     watched_.splice(watched_.end(), watched_, watched_.begin());
-    step(account, input_of(account, account.peer_->current_progress(), at), at);
+    apply_input(account, determine_input(account, account.connection_->current_progress(), at), at);
   }
 }
 
-// Peers that are waited for are what room is short of: idle ones can be let go at any time.
+// Counts only watched connections against the connection limit: idle ones can be closed at any time.
 double SlowClientPolicy::strictness() const {
   double used = std::max(
       static_cast<double>(bytes_) / static_cast<double>(std::max<std::size_t>(limits_.bytes, 1)),
       static_cast<double>(watched_.size()) / static_cast<double>(std::max<std::size_t>(limits_.peers, 1)));
-  return 1 + (kStrictest - 1) * std::clamp((used - kShortFrom) / (1 - kShortFrom), 0.0, 1.0);
+  return 1 + (kMaxStrictness - 1) *
+                 std::clamp((used - kStrictnessThreshold) / (1 - kStrictnessThreshold), 0.0, 1.0);
 }
 
-// A balancer that has us to itself may use all.
-bool SlowClientPolicy::over_share(const ConnectionAccount::Balancer& balancer) const {
-  return balancer.peers<peers_&& static_cast<double>(balancer.held)> options_.balancer_share *
+// A balancer without others beside it may use all the memory.
+bool SlowClientPolicy::exceeds_balancer_share(const ConnectionAccount::Balancer& balancer) const {
+  return balancer.peers<connections_&& static_cast<double>(balancer.held_bytes)> options_.balancer_share *
          static_cast<double>(limits_.bytes);
 }
 
 bool SlowClientPolicy::exceeds_memory_limit(const ConnectionAccount& account) const {
-  return bytes_ > limits_.bytes || over_share(account.balancer_->second);
+  return bytes_ > limits_.bytes || exceeds_balancer_share(account.balancer_->second);
 }
 
-// Bytes held times the time without progress.
+// Product of the memory used and the time without progress.
 double SlowClientPolicy::waiting_cost(const ConnectionAccount& account, Nanos at) const {
-  Nanos progress = at;
-  for (const ConnectionAccount::Flow* flow : {&account.in_, &account.out_}) {
-    if (flow->moved) progress = std::min(progress, flow->progress);
+  Nanos last_progress = at;
+  for (const ConnectionAccount::Flow* flow : {&account.incoming_, &account.outgoing_}) {
+    if (flow->moved_bytes) last_progress = std::min(last_progress, flow->last_progress);
   }
-  return static_cast<double>(account.held_ + 1) * static_cast<double>(at - progress + kMs);
+  return static_cast<double>(account.held_bytes_ + 1) * static_cast<double>(at - last_progress + kMs);
 }
 
 ConnectionAccount* SlowClientPolicy::costliest_connection(const ConnectionAccount& account, Nanos now) {
-  Nanos at = time(now);
-  bool of_one = over_share(account.balancer_->second);
-  ConnectionAccount* costliest_connection = nullptr;
-  double max = 0;
-  int compared = 0;
-  for (ConnectionAccount* each : watched_) {
-    if (++compared > kFew) break;
-    if (of_one && each->balancer_ != account.balancer_) continue;
-    double cost = waiting_cost(*each, at);
-    if (cost > max) costliest_connection = each, max = cost;
+  Nanos at = effective_time(now);
+  bool only_this_balancer = exceeds_balancer_share(account.balancer_->second);
+  ConnectionAccount* costliest = nullptr;
+  double max_cost = 0;
+  int compared_count = 0;
+  for (ConnectionAccount* candidate : watched_) {
+    if (++compared_count > kMaxCandidates) break;
+    if (only_this_balancer && candidate->balancer_ != account.balancer_) continue;
+    double cost = waiting_cost(*candidate, at);
+    if (cost > max_cost) costliest = candidate, max_cost = cost;
   }
-  return costliest_connection;
+  return costliest;
 }
 
 ConnectionAccount* SlowClientPolicy::slowest_connection() {
-  ConnectionAccount* slowest_connection = nullptr;
-  int compared = 0;
-  for (ConnectionAccount* each : slow_) {
-    if (++compared > kFew) break;
-    if (each->peer_->current_progress().open) continue;
-    if (!slowest_connection || each->balancer_->second.peers > slowest_connection->balancer_->second.peers)
-      slowest_connection = each;
+  ConnectionAccount* slowest = nullptr;
+  int compared_count = 0;
+  for (ConnectionAccount* candidate : slow_) {
+    if (++compared_count > kMaxCandidates) break;
+    if (candidate->connection_->current_progress().open) continue;
+    if (!slowest || candidate->balancer_->second.peers > slowest->balancer_->second.peers)
+      slowest = candidate;
   }
-  return slowest_connection;
+  return slowest;
 }
 
 }  // namespace myrtlecroft::peers
--- a/src/peers/slow_client_policy.h
+++ b/src/peers/slow_client_policy.h
@@ -1,6 +1,6 @@
-// How long callers that move their bytes slowly are waited for, and which of them go first when memory or
-// descriptors are short. Decisions only: no I/O, and the time comes with each word. docs/design/slow-peers.md
-// weighs the options.
+// Decides how long slow clients are tolerated and which connections are closed first when memory or
+// descriptors run short. Performs no I/O and reads no clock: the caller passes the time to each function.
+// docs/design/slow-peers.md compares the options.
 #pragma once
 
 #include <cstdint>
@@ -13,113 +13,122 @@
 
 namespace myrtlecroft::peers {
 
+// Settings of the slow-client policy.
 struct SlowClientOptions {
-  double min_rate = 500;           // bytes per second, of a request on its way in or answers on their way out
-  Nanos rate_window = 1000 * kMs;  // the span of the sums that the rates are read from
-  Nanos grace = 1000 * kMs;        // before a rate is judged
-  Nanos final_warning_time = 500 * kMs;      // from too slow a rate to the end
-  Nanos max_request_read_time = 5000 * kMs;  // one request, from its first byte to its last, at whatever rate
-  std::size_t max_unread_bytes = 65'536;     // bytes of answers; beyond them a peer's next requests wait
-  double balancer_share = 0.75;              // of the memory, for all peers of one balancer beside others
+  double min_rate = 500;           // bytes per second, for incoming requests and for outgoing answers alike
+  Nanos rate_window = 1000 * kMs;  // time constant of the decaying sums behind the rates
+  Nanos grace = 1000 * kMs;        // from the first pending byte until the rate is checked
+  Nanos final_warning_time = 500 * kMs;      // from detecting too low a rate to closing the connection
+  Nanos max_request_read_time = 5000 * kMs;  // for one request, from first to last byte, at any rate
+  std::size_t max_unread_bytes = 65'536;     // of answers; from this size on, reading from the client pauses
+  double balancer_share = 0.75;              // of SlowClientLimits::bytes, for one balancer among several
 };
 
-// Derived from the limits told at the start.
+// Limits derived from the server's configuration at start.
 struct SlowClientLimits {
-  std::size_t bytes = 0;  // of memory, for all peers
-  std::size_t peers = 0;  // descriptors
+  std::size_t bytes = 0;  // memory for all connections together
+  std::size_t peers = 0;  // connections, bounded by the descriptors
 };
 
-// What a connection tells of itself when it is looked at. `in` and `out` only grow.
+// Progress of one connection at the time of the call. `in` and `out` are cumulative and never decrease.
 struct ConnectionProgress {
-  std::uint64_t in = 0;       // bytes that came
-  std::uint64_t out = 0;      // bytes that went
-  std::uint64_t awaited = 0;  // what has begun to come and is not whole, by a number of its own; 0: nothing
-  std::size_t unread = 0;     // bytes of answers that wait to be taken
-  std::size_t open = 0;       // requests in hand
+  std::uint64_t in = 0;       // bytes received
+  std::uint64_t out = 0;      // bytes sent
+  std::uint64_t awaited = 0;  // identifies the partly received request; 0: there is none
+  std::size_t unread = 0;     // bytes of answers that the client has not read yet
+  std::size_t open = 0;       // requests that are not answered yet
 };
 
+// State of one connection.
 enum class State {
-  kIdle,          // nothing moves; not looked at
-  kActive,        // fast enough
-  kPaused,        // too much waits unread: its next requests are not read
-  kFinalWarning,  // brings a request too slowly: a short time to do better
-  kWriteStalled,  // takes its answers too slowly: a short time to do better, and nothing more is read
+  kIdle,          // nothing is pending in either direction; not evaluated
+  kActive,        // data is pending and moves fast enough
+  kPaused,        // too many answers are unread: no further requests are read
+  kFinalWarning,  // sends a request too slowly: closed after final_warning_time unless it speeds up
+  kWriteStalled,  // reads its answers too slowly: the same, and no further requests are read
   kRemoved
 };
 
+// Result of evaluating one connection.
 enum class Input {
-  kClear,    // nothing waits in either direction
-  kSteady,   // moves at the least rate or above, or is in its grace
-  kFull,     // the same, with its share of unread answers used up
-  kSlowIn,   // below the rate with a request
-  kSlowOut,  // below the rate with answers
-  kOverdue,  // one request among others takes too long, at whatever rate
-  kOver,     // the hurry's time is over
+  kNothingPending,      // no partly received request, no unread answers
+  kSteady,              // at the minimum rate or above it, or within the grace period
+  kUnreadLimitReached,  // as kSteady, but with max_unread_bytes used up
+  kSlowSending,         // sends a request below the minimum rate
+  kSlowReading,         // reads answers below the minimum rate
+  kRequestOverdue,      // one request exceeds max_request_read_time, at any rate
+  kWarningExpired,      // final_warning_time has passed
 };
 
+// Action that the connection must take.
 enum class Effect {
   kNone,
   kResumeReading,
   kPauseReading,
-  kCancelRequest,    // ends the request that is awaited, alone
-  kCloseSlowSender,  // ends the connection: what is open is answered first
+  kCancelRequest,    // cancels the partly received request alone
+  kCloseSlowSender,  // closes the connection after answering its open requests
   kCloseSlowReader
 };
 
-// The connection behind an account.
+// Connection that the policy monitors. All calls come from the thread that calls the policy.
 class MonitoredConnection {
  public:
   virtual ~MonitoredConnection() = default;
   virtual ConnectionProgress current_progress() const = 0;
-  // May end the connection and with it the account.
+  // May destroy the connection and its account with it.
   virtual void apply_effect(Effect effect) = 0;
 };
 
-// Whose connection it is: the address it came from, and the balancer's number once it has told one.
+// Identifies the balancer behind a connection: the remote address, and the balancer's number once the
+// balancer has sent it (-1 before).
 struct BalancerKey {
   std::uint32_t address = 0;
   std::int64_t number = -1;
   auto operator<=>(const BalancerKey&) const =
-      default;  // NOLINT(modernize-use-nullptr): of clang-tidy 14 alone
+      default;  // NOLINT(modernize-use-nullptr): false positive of clang-tidy 14 only
 };
 
 class SlowClientPolicy;
 
-// What is remembered of one peer. Belongs to its connection; a quiet one costs nothing but its bytes.
+// State that the policy keeps for one connection. Owned by the connection; an idle one costs memory but no
+// processing time.
 class ConnectionAccount {
  public:
   State state() const { return state_; }
-  bool paused() const { return state_ == State::kPaused || state_ == State::kWriteStalled; }  // not read
+  // True while no requests are read from the connection.
+  bool paused() const { return state_ == State::kPaused || state_ == State::kWriteStalled; }
 
  private:
   friend class SlowClientPolicy;
-  // One direction, from when something waits in it.
+  // One direction of the connection while data is pending in it.
   struct Flow {
     Nanos since = 0;
-    Nanos progress = 0;
-    std::uint64_t seen = 0;
-    std::optional<DecayingSum> moved;  // none: nothing waits
+    Nanos last_progress = 0;
+    std::uint64_t counted_bytes = 0;
+    std::optional<DecayingSum> moved_bytes;  // absent: no data is pending
   };
   struct Balancer {
-    std::size_t held = 0;
+    std::size_t held_bytes = 0;
     std::size_t peers = 0;
   };
   using Balancers = std::map<BalancerKey, Balancer>;
 
-  MonitoredConnection* peer_ = nullptr;
+  MonitoredConnection* connection_ = nullptr;
   Balancers::iterator balancer_;
   State state_ = State::kIdle;
-  std::uint64_t awaited_ = 0;
-  Flow in_;
-  Flow out_;
-  std::size_t held_ = 0;
-  Nanos look_at_ = 0;  // the next time, while it is watched
-  Nanos hurry_until_ = 0;
-  std::list<ConnectionAccount*>::iterator place_;
-  std::list<ConnectionAccount*>::iterator slow_place_;
+  std::uint64_t awaited_request_ = 0;
+  Flow incoming_;
+  Flow outgoing_;
+  std::size_t held_bytes_ = 0;
+  Nanos evaluate_at_ = 0;  // next evaluation, while watched; in effective time
+  Nanos warning_expires_at_ = 0;
+  std::list<ConnectionAccount*>::iterator watched_position_;
+  std::list<ConnectionAccount*>::iterator slow_position_;
   bool watched_ = false;
 };
 
+// Tracks the progress of all connections and tells each what to do when its client is slow. Use from one
+// thread.
 class SlowClientPolicy {
  public:
   SlowClientPolicy(const SlowClientOptions& options, const SlowClientLimits& limits)
@@ -127,62 +136,66 @@
 
   void set_options(const SlowClientOptions& options) { options_ = options; }
 
+  // Registers a connection; `account` and `peer` must live until remove_connection.
   void add_connection(ConnectionAccount& account, MonitoredConnection& peer, BalancerKey key);
   void remove_connection(ConnectionAccount& account);
   void set_balancer(ConnectionAccount& account, BalancerKey key);
-  // Its connection has moved on: it is watched from here on where something waits, and judged at once where
-  // its unread answers may be beyond their share.
+  // Call after bytes have moved on the connection: starts watching it if data is pending, and evaluates it at
+  // once if its unread answers have reached max_unread_bytes.
   void moved(ConnectionAccount& account, Nanos now);
-  // Says how many bytes of memory it holds now.
+  // Records the memory that the connection uses, in bytes.
   void set_held_bytes(ConnectionAccount& account, std::size_t bytes);
-  // Something has begun to wait in one direction. Costs nothing where that is known.
+  // Call when data becomes pending in one direction. Does nothing if the connection is watched already.
   void start_watching(ConnectionAccount& account, Nanos now);
-  // Judges one peer at once.
+  // Evaluates one connection now.
   void evaluate(ConnectionAccount& account, Nanos now);
-  // Judges all whose time has come.
+  // Evaluates all connections that are due.
   void evaluate_due_connections(Nanos now);
-  // When to look next; 0: not before something is watched.
+  // Time at which to call evaluate_due_connections next; 0 while no connection is watched.
   Nanos next_evaluation_at() const {
-    return watched_.empty() ? 0 : watched_.front()->look_at_ + stood_still_;
+    return watched_.empty() ? 0 : watched_.front()->evaluate_at_ + process_pause_total_;
   }
 
-  // Over a bound of memory: for all peers, or of one balancer beside others.
+  // True if all connections together, or those of the account's balancer among several, use too much memory.
   bool exceeds_memory_limit(const ConnectionAccount& account) const;
-  // The one that holds most for longest without progress, of the account's balancer or, where that is
-  // within its share, of all. With many waited for, of the few not looked at for longest: finding it must not
-  // cost more than what it frees. Null: nobody is waited for.
+  // Returns the connection with the largest product of memory and time without progress, among those of the
+  // account's balancer or, if that is within its share, among all. Compares only the 64 watched connections
+  // that were evaluated least recently, so that the search never costs more than it frees. Null if none is
+  // watched.
   ConnectionAccount* costliest_connection(const ConnectionAccount& account, Nanos now);
-  // For its descriptor: among the few that have been hurried or blocked for longest and have nothing in hand,
-  // one of the balancer with most connections. Null: there is none.
+  // Returns the connection to close when descriptors run short: among the 64 that have been slow for longest,
+  // one without open requests that belongs to the balancer with the most connections. Null if there is none.
   ConnectionAccount* slowest_connection();
-  MonitoredConnection& connection_of(ConnectionAccount& account) const { return *account.peer_; }
+  MonitoredConnection& connection_of(ConnectionAccount& account) const { return *account.connection_; }
 
   std::size_t bytes() const { return bytes_; }
   std::size_t watched() const { return watched_.size(); }
   std::size_t count(State state) const { return counts_[static_cast<std::size_t>(state)]; }
-  // 1 where there is room; what the least rate is multiplied by, and the times divided, as room runs out.
+  // Factor that multiplies the minimum rate and divides the time limits: 1 while memory and descriptors
+  // suffice, up to 4 as they run out.
   double strictness() const;
 
  private:
-  Nanos time(Nanos now);
-  Input input_of(ConnectionAccount& account, const ConnectionProgress& current_progress, Nanos at);
-  void step(ConnectionAccount& account, Input input, Nanos at);
-  void enter(ConnectionAccount& account, State next);
-  void unwatch(ConnectionAccount& account);
+  // `now` without the time during which the process was paused.
+  Nanos effective_time(Nanos now);
+  Input determine_input(ConnectionAccount& account, const ConnectionProgress& progress, Nanos at);
+  void apply_input(ConnectionAccount& account, Input input, Nanos at);
+  void enter_state(ConnectionAccount& account, State next);
+  void stop_watching(ConnectionAccount& account);
   double rate(const ConnectionAccount::Flow& flow, Nanos at) const;
-  bool full(const ConnectionAccount& account, std::size_t unread, Nanos at) const;
-  bool over_share(const ConnectionAccount::Balancer& balancer) const;
+  bool unread_limit_reached(const ConnectionAccount& account, std::size_t unread, Nanos at) const;
+  bool exceeds_balancer_share(const ConnectionAccount::Balancer& balancer) const;
   double waiting_cost(const ConnectionAccount& account, Nanos at) const;
 
   SlowClientOptions options_;
   SlowClientLimits limits_;
   ConnectionAccount::Balancers balancers_;
-  std::list<ConnectionAccount*> watched_;  // by the time of the next look, which is as far away for all
-  std::list<ConnectionAccount*> slow_;     // hurried or blocked, longest so first
+  std::list<ConnectionAccount*> watched_;  // by next evaluation; the interval is the same for all
+  std::list<ConnectionAccount*> slow_;     // in kFinalWarning or kWriteStalled, longest first
   std::size_t bytes_ = 0;
-  std::size_t peers_ = 0;
+  std::size_t connections_ = 0;
   std::size_t counts_[static_cast<std::size_t>(State::kRemoved) + 1] = {};
-  Nanos stood_still_ = 0;  // for so long in all, taken off every time
+  Nanos process_pause_total_ = 0;  // total time that the process was paused, subtracted from each time
 };
 
 }  // namespace myrtlecroft::peers
--- a/src/report/load_report.h
+++ b/src/report/load_report.h
@@ -1,7 +1,9 @@
-// What a server says of itself, several times a second, as frames (docs/design/server-reports.md). No I/O.
+// Encodes and decodes the frames of load reports, which a server sends several times a second, and of shard
+// assignments (docs/design/server-reports.md). Performs no I/O.
 //
-// A frame is: length of what follows (4 bytes), version (1), kind (1), body. Numbers are big-endian. A reader
-// passes over kinds it does not know and over bytes behind those it knows, so that a server may be newer.
+// A frame consists of the length of the rest (4 bytes), version (1), kind (1) and body. Numbers are
+// big-endian. A reader skips unknown kinds and trailing bytes of known kinds, so that the sender may be a
+// newer version.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +19,10 @@
 namespace myrtlecroft::report {
 
 constexpr std::uint8_t kFormatVersion = 1;
-constexpr std::size_t kLargestFrame = std::size_t{16} * 1024;  // bytes behind the length
-constexpr std::size_t kMaxRequestClasses = 200;
+constexpr std::size_t kMaxFrameSize = std::size_t{16} * 1024;  // bytes after the length field
+constexpr std::size_t kMaxRequestClasses = 200;                // per report; encode drops the rest
 
-// Counted since the start of this life of the server.
+// Counters of one request class since the start of this incarnation of the server.
 struct RequestClassCounts {
   std::string request_class;
   std::uint64_t read = 0;
@@ -32,47 +34,51 @@
   bool operator==(const RequestClassCounts&) const = default;
 };
 
+// Load and state of one server at one moment.
 struct LoadReport {
   std::string node;
-  std::string address;            // where it listens
-  std::uint64_t incarnation = 0;  // another one after each start; keys live as long as it
-  std::uint64_t sequence = 0;     // of this report in its life
-  std::int64_t sent_unix = 0;     // ns by the server's clock
+  std::string address;            // on which the server listens
+  std::uint64_t incarnation = 0;  // differs after each start; idempotency keys are valid within it
+  std::uint64_t sequence = 0;     // of this report within the incarnation
+  std::int64_t sent_unix = 0;     // Unix time in ns by the server's clock
   Mode mode = Mode::kServing;
   bool warming_up = false;
   bool draining = false;
   bool engine_up = false;
-  bool accepts_assignments = false;  // it takes orders on this connection
-  fencing::Epoch epoch;              // of the order that it acts on; none yet: zeros
-  std::uint8_t version = 0;          // that it was started in, by who started it
-  std::uint32_t window = 0;          // positions
-  double limit = 0;                  // running requests
+  bool accepts_assignments = false;  // the server takes shard assignments on this connection
+  fencing::Epoch epoch;              // of the shard assignment in force; zeros: none yet
+  std::uint8_t version = 0;          // that the server was started with, as told by its starter
+  std::uint32_t window = 0;          // of admission, in positions
+  double limit = 0;                  // of requests running at a time
   std::uint32_t queued_requests = 0;
   std::uint32_t running = 0;
-  std::uint64_t core_time = 0;  // ns, of all work so far
+  std::uint64_t core_time = 0;  // CPU time of all work so far, in ns
   std::vector<RequestClassCounts> request_classes;
 
   bool operator==(const LoadReport&) const = default;
 };
 
+// Returns one complete frame. Texts longer than 64 bytes are truncated.
 std::string encode(const LoadReport& report);
-std::string encode(const fencing::ShardAssignment& order);
+std::string encode(const fencing::ShardAssignment& assignment);
 
 enum class FrameError { kNone, kTooLarge, kUnsupportedVersion, kInvalidBody };
-const char* name_of(FrameError what);
+// Short description for log lines.
+const char* name_of(FrameError error);
 
-// What a frame may be. One that nobody asked for is passed over.
+// Callbacks by kind of frame. Frames of a kind without a callback are skipped.
 struct FrameHandlers {
   std::function<void(LoadReport)> report;
   std::function<void(fencing::ShardAssignment)> order;
 };
 
-// Takes the whole frames at the front of the bytes, hands over each report, and says how many bytes they
-// were. What makes no sense sets `malformed`, and the stream should end.
-std::size_t decode(std::string_view bytes, const FrameHandlers& came, FrameError& malformed);
-inline std::size_t decode(std::string_view bytes, std::function<void(LoadReport)> came,
+// Decodes the complete frames at the start of `bytes`, calls the handler of each and returns the number of
+// bytes consumed. A malformed frame stops decoding and sets `malformed` (kNone otherwise); the caller should
+// then close the stream.
+std::size_t decode(std::string_view bytes, const FrameHandlers& handlers, FrameError& malformed);
+inline std::size_t decode(std::string_view bytes, std::function<void(LoadReport)> on_report,
                           FrameError& malformed) {
-  return decode(bytes, FrameHandlers{.report = std::move(came), .order = {}}, malformed);
+  return decode(bytes, FrameHandlers{.report = std::move(on_report), .order = {}}, malformed);
 }
 
 }  // namespace myrtlecroft::report
--- a/src/wirehost/wire.cpp
+++ b/src/wirehost/wire.cpp
@@ -31,8 +31,8 @@
   Gauges gauges;
   if (!find(fields, "metrics")) return gauges;
   object values = object_field(fields, "metrics");
-  auto gauge = [&](std::string_view name, std::optional<double>& into) {
-    if (auto reading = find(values, name)) into = number(values, name, *reading);
+  auto gauge = [&](std::string_view name, std::optional<double>& target) {
+    if (auto reading = find(values, name)) target = number(values, name, *reading);
   };
   gauge("core_use", gauges.core_utilization);
   gauge("on_cores", gauges.runnable_threads);
@@ -40,48 +40,49 @@
   return gauges;
 }
 
-// Empty where the site has no tenants, which the wire may also tell by 0.
+// Returns an empty name if the request has no tenant: the field is absent or 0.
 std::string read_tenant(object fields) {
   std::optional<element> tenant = find(fields, "tenant");
   if (!tenant) return "";
   if (tenant->is_string()) return text(fields, "tenant");
-  std::int64_t none = -1;
-  if (tenant->get(none) != simdjson::SUCCESS || none != 0) fail(fields, "tenant", "is neither a text nor 0");
+  std::int64_t zero = -1;
+  if (tenant->get(zero) != simdjson::SUCCESS || zero != 0) fail(fields, "tenant", "is neither a text nor 0");
   return "";
 }
 
-bool has_key(object fields) {
+bool read_has_lookup_key(object fields) {
   if (!find(fields, "targetKey")) return false;
   integer(fields, "targetKey");
   return true;
 }
 
-// One line for standard error, whatever bytes of the input it quotes.
-std::string one_line(std::string message) {
+// Replaces control characters, which a message may quote from the input, so that it fits on one line.
+std::string to_single_line(std::string message) {
   for (char& c : message) {
     if (static_cast<unsigned char>(c) < 0x20) c = ' ';
   }
   return message;
 }
 
+// Request with its id in the simulator.
 struct SimulatedRequest : Request {
   std::uint64_t id = 0;
-  std::uint64_t prior_id = 0;
+  std::uint64_t original_id = 0;  // of the attempt that this one retries; 0: none
 };
 
 }  // namespace
 
-// One server's life: its Controller, its requests by id, and its actions as lines of the reply.
+// One incarnation of a server: its controller, its requests by id, and its actions as lines of the reply.
 class Instance final : public ControllerActions {
  public:
   Instance(std::int64_t number, const ServiceConfig& config, std::uint64_t seed, std::string& reply)
       : config_(config), reply_(reply), controller_(config_, *this, seed) {
-    server_ = ",\"server\":" + std::to_string(number);
+    server_field_ = ",\"server\":" + std::to_string(number);
   }
 
   Controller& controller() { return controller_; }
 
-  SimulatedRequest& add(object fields) {
+  SimulatedRequest& add_request(object fields) {
     auto request = std::make_unique<SimulatedRequest>();
     request->id = static_cast<std::uint64_t>(integer(fields, "requestId"));
     std::string request_class = text(fields, "profile");
@@ -91,55 +92,60 @@
     if (!request->request_class)
       throw WireError("field 'profile' names the unknown class '" + request_class + "'");
     request->tenant = tenants_.find(read_tenant(fields));
-    request->has_lookup_key = has_key(fields);
+    request->has_lookup_key = read_has_lookup_key(fields);
     request->writes = boolean(fields, "update");
-    request->arrived = -integer_or(fields, "ageNs", 0);  // made a clock time when it is delivered
+    request->arrived =
+        -integer_or(fields, "ageNs", 0);  // negated age; read_details adds the time of the batch
     request->client_deadline = integer_or(fields, "giveUpAtNs", 0);
     request->estimated_work = integer_or(fields, "workNs", 0);
     request->queued_kb = number(fields, "footprint");
-    request->prior_id = static_cast<std::uint64_t>(integer_or(fields, "prior", 0));
-    request->is_retry = request->prior_id != 0;
-    auto [place, fresh] = requests_.emplace(request->id, std::move(request));
-    if (!fresh) throw WireError("field 'requestId' comes a second time");
-    return *place->second;
+    request->original_id = static_cast<std::uint64_t>(integer_or(fields, "prior", 0));
+    request->is_retry = request->original_id != 0;
+    auto [position, inserted] = requests_.emplace(request->id, std::move(request));
+    if (!inserted) throw WireError("field 'requestId' repeats the id of another request");
+    return *position->second;
   }
 
-  // Null for one that is over.
-  SimulatedRequest* at(std::uint64_t id) {
-    auto place = requests_.find(id);
-    return place == requests_.end() ? nullptr : place->second.get();
+  // Null if the request has ended.
+  SimulatedRequest* find_request(std::uint64_t id) {
+    auto position = requests_.find(id);
+    return position == requests_.end() ? nullptr : position->second.get();
   }
 
+  // Destroys the requests that the controller has released.
   void free_released() {
     for (std::uint64_t id : released_) requests_.erase(id);
     released_.clear();
   }
 
-  void run(Request& request) override { act("Take", request); }
-  void stop_work(Request& request) override { act("AbortWork", request); }
+  void run(Request& request) override { append_request_action("Take", request); }
+  void stop_work(Request& request) override { append_request_action("AbortWork", request); }
   void reject(Request& request, bool no_failover, Nanos retry_after) override {
-    std::string more = no_failover ? ",\"dontRetry\":true" : "";
-    if (retry_after > 0) more += ",\"pauseNs\":" + std::to_string(retry_after);
-    act("Reject", request, more);
+    std::string extra_fields = no_failover ? ",\"dontRetry\":true" : "";
+    if (retry_after > 0) extra_fields += ",\"pauseNs\":" + std::to_string(retry_after);
+    append_request_action("Reject", request, extra_fields);
   }
-  void fail(Request& request) override { act("FinishError", request); }
-  void call(Request& request, Nanos longest) override {
-    act("GoCall", request, ",\"maxWaitNs\":" + std::to_string(longest));
+  void fail(Request& request) override { append_request_action("FinishError", request); }
+  void call(Request& request, Nanos max_wait) override {
+    append_request_action("GoCall", request, ",\"maxWaitNs\":" + std::to_string(max_wait));
   }
   bool abandon_call(Request&) override { return false; }
-  void skip_call(Request& request) override { act("Bypass", request); }
+  void skip_call(Request& request) override { append_request_action("Bypass", request); }
   void retain_key(Request& request, Nanos lifetime) override {
-    act("StoreKey", request, ",\"forTimeNs\":" + std::to_string(lifetime));
+    append_request_action("StoreKey", request, ",\"forTimeNs\":" + std::to_string(lifetime));
   }
-  void forget_key(Request& request) override { act("Unpin", request); }
-  void coalesce(Request& request) override { act("Attach", request); }
-  void report_health(bool good) override {
-    line("ReportHealth", std::string(",\"stored\":true,\"want\":") + (good ? "true" : "false"));
+  void forget_key(Request& request) override { append_request_action("Unpin", request); }
+  void coalesce(Request& request) override { append_request_action("Attach", request); }
+  void report_health(bool healthy) override {
+    append_action("ReportHealth", std::string(",\"stored\":true,\"want\":") + (healthy ? "true" : "false"));
+  }
+  void advertise(double value) override { append_action("Advertise", ",\"level\":" + std::to_string(value)); }
+  void close_idle(Nanos max_idle_time) override {
+    append_action("IdleLimit", ",\"forTimeNs\":" + std::to_string(max_idle_time));
   }
-  void advertise(double value) override { line("Advertise", ",\"level\":" + std::to_string(value)); }
-  void close_idle(Nanos after) override { line("IdleLimit", ",\"forTimeNs\":" + std::to_string(after)); }
   void schedule_timer(Nanos delay, std::uint64_t token) override {
-    line("SetTimer", ",\"sleepForNs\":" + std::to_string(delay) + ",\"token\":" + std::to_string(token));
+    append_action("SetTimer",
+                  ",\"sleepForNs\":" + std::to_string(delay) + ",\"token\":" + std::to_string(token));
   }
   void log(const std::string& text) override {
     std::string quoted;
@@ -147,27 +153,28 @@
       if (c == '"' || c == '\\') quoted += '\\';
       quoted += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
     }
-    line("Debug", ",\"bodyText\":\"" + quoted + "\"");
+    append_action("Debug", ",\"bodyText\":\"" + quoted + "\"");
   }
   void release(Request& request) override { released_.push_back(static_cast<SimulatedRequest&>(request).id); }
 
  private:
-  void line(const char* name, const std::string& more) {
+  void append_action(const char* name, const std::string& extra_fields) {
     reply_ += "{\"m\":\"";
     reply_ += name;
     reply_ += '"';
-    reply_ += server_;
-    reply_ += more;
+    reply_ += server_field_;
+    reply_ += extra_fields;
     reply_ += "}\n";
   }
-  void act(const char* name, Request& request, const std::string& more = "") {
-    line(name, ",\"requestId\":" + std::to_string(static_cast<SimulatedRequest&>(request).id) + more);
+  void append_request_action(const char* name, Request& request, const std::string& extra_fields = "") {
+    append_action(
+        name, ",\"requestId\":" + std::to_string(static_cast<SimulatedRequest&>(request).id) + extra_fields);
   }
 
   const ServiceConfig config_;
   const service::TenantIndex<> tenants_{config_.tenants};
   std::string& reply_;
-  std::string server_;
+  std::string server_field_;
   std::unordered_map<std::uint64_t, std::unique_ptr<SimulatedRequest>> requests_;
   std::vector<std::uint64_t> released_;
   Controller controller_;
@@ -190,9 +197,9 @@
   Kind kind = Kind::kStart;
   Instance* instance = nullptr;
   SimulatedRequest* request = nullptr;
-  std::uint64_t number = 0;  // request id or token
+  std::uint64_t number = 0;  // request id, or timer token
   Outcome outcome = Outcome::kOk;
-  Nanos time = 0;
+  Nanos time = 0;  // stop time of kDrain, duration of kCallEnded and kRunCompleted
   Gauges gauges;
 };
 
@@ -210,25 +217,25 @@
       if (!out_) throw WireError("the reply can't be written");
     }
   } catch (const std::exception& error) {
-    throw WireError("line " + std::to_string(line_number_) + ": " + one_line(error.what()));
+    throw WireError("line " + std::to_string(line_number_) + ": " + to_single_line(error.what()));
   }
 }
 
 Instance& Wire::instance_of(object fields) {
   std::int64_t number = integer(fields, "server");
-  auto place = instances_.find(number);
-  if (place == instances_.end()) {
+  auto position = instances_.find(number);
+  if (position == instances_.end()) {
     throw WireError("field 'server' names " + std::to_string(number) + ", which was never started");
   }
-  return *place->second;
+  return *position->second;
 }
 
-// Events of the present batch that came before its end are void with it.
+// Also drops the instance's earlier events of the present batch.
 void Wire::end_instance(std::int64_t number) {
-  auto place = instances_.find(number);
-  if (place == instances_.end()) return;
-  std::erase_if(events_, [&](const Event& event) { return event.instance == place->second.get(); });
-  instances_.erase(place);
+  auto position = instances_.find(number);
+  if (position == instances_.end()) return;
+  std::erase_if(events_, [&](const Event& event) { return event.instance == position->second.get(); });
+  instances_.erase(position);
 }
 
 // Reads one batch into events_. False at the end of the input.
@@ -295,17 +302,18 @@
   end_instance(number);
   auto instance =
       std::make_unique<Instance>(number, read_service_config(object_field(fields, "env")), seed, reply_);
-  Instance& started = *instance;
+  Instance& new_instance = *instance;
   instances_[number] = std::move(instance);
-  return started;
+  return new_instance;
 }
 
-// Requests of the whole batch exist before the first event is delivered: attempts may name later ones.
+// Creates all requests of the batch before the first event is delivered, since an attempt may refer to a
+// later one.
 void Wire::read_details(object fields, Event& event) {
   using Kind = Event::Kind;
   switch (event.kind) {
     case Kind::kReceived:
-      event.request = &event.instance->add(fields);
+      event.request = &event.instance->add_request(fields);
       event.request->arrived += now_;
       break;
     case Kind::kDrain:
@@ -315,7 +323,7 @@
       event.number = static_cast<std::uint64_t>(integer(fields, "token"));
       event.gauges = read_gauges(fields);
       break;
-    default:  // an event of one request
+    default:  // events of one request
       event.number = static_cast<std::uint64_t>(integer(fields, "requestId"));
       if (event.kind == Kind::kCallEnded || event.kind == Kind::kRunCompleted) {
         event.outcome = read_outcome(fields);
@@ -334,13 +342,13 @@
     case Event::Kind::kTimerExpired:
       return controller.timer_expired(event.number, event.gauges, now_);
     case Event::Kind::kReceived:
-      event.request->original = event.instance->at(event.request->prior_id);
+      event.request->original = event.instance->find_request(event.request->original_id);
       return controller.request_received(*event.request, now_);
     default:
       break;
   }
-  SimulatedRequest* request = event.instance->at(event.number);
-  if (!request) return;  // over: nothing is left to decide
+  SimulatedRequest* request = event.instance->find_request(event.number);
+  if (!request) return;  // the request has ended
   switch (event.kind) {
     case Event::Kind::kCallNeeded:
       return controller.call_needed(*request, now_);
--- a/src/wirehost/wire.h
+++ b/src/wirehost/wire.h
@@ -1,5 +1,5 @@
-// The wire: batches of events in, one reply out for each. Ids end here; behind this door objects point to
-// objects.
+// Adapter between the simulator and the controller: reads batches of events as JSON lines and writes one
+// reply per batch. Ids exist only in this adapter; behind it, objects refer to each other by pointer.
 #pragma once
 
 #include <simdjson.h>
@@ -16,7 +16,7 @@
 
 namespace myrtlecroft::wirehost {
 
-// Input that can't be read; what() says what and where.
+// Malformed input or a failed write of the reply; what() gives the line number and the cause.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -24,11 +24,12 @@
 
 class Instance;
 
+// Serves one input stream. Use from one thread.
 class Wire {
  public:
   Wire(std::istream& in, std::ostream& out);
   ~Wire();
-  // Reads and answers batches until the input ends. Throws WireError.
+  // Reads and answers batches until the input ends. Throws WireError; earlier batches are answered by then.
   void serve();
 
  private:
@@ -50,8 +51,8 @@
   std::string reply_;
   std::string line_;
   std::uint64_t line_number_ = 0;
-  Nanos now_ = 0;
-  std::int64_t batch_ = 0;
+  Nanos now_ = 0;           // time of the present batch
+  std::int64_t batch_ = 0;  // sequence number of the present batch
 };
 
 }  // namespace myrtlecroft::wirehost
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -408,7 +408,7 @@
   EXPECT_EQ(complaint(call(5, 8)), "line 1: field 'm' names 'Call' in the wrong place");
   EXPECT_EQ(complaint_of("{\"m\":\"Turn\",\"momentNs\":1,\"seq\":2}\n"),
             "line 5: field 'm' names 'Turn' in the wrong place");
-  EXPECT_EQ(complaint_of(call(5, 8) + call(5, 8)), "line 6: field 'requestId' comes a second time");
+  EXPECT_EQ(complaint_of(call(5, 8) + call(5, 8)), "line 6: field 'requestId' repeats the id of another request");
 }
 
 TEST(Wire, CutLineAndInputThatEndsInsideABatchAreTold) {
