--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -1,3 +1,5 @@
+// Runs the simulator's adapter on standard input and output. Malformed input ends it with one line on
+// standard error and exit code 1.
 #include <cstdio>
 #include <exception>
 #include <iostream>
--- a/src/wirehost/wire.cpp
+++ b/src/wirehost/wire.cpp
@@ -94,8 +94,7 @@
     request->tenant = tenants_.find(read_tenant(fields));
     request->has_lookup_key = read_has_lookup_key(fields);
     request->writes = boolean(fields, "update");
-    request->arrived =
-        -integer_or(fields, "ageNs", 0);  // negated age; read_details adds the time of the batch
+    request->arrived = -integer_or(fields, "ageNs", 0);  // minus the age; read_details adds the time
     request->client_deadline = integer_or(fields, "giveUpAtNs", 0);
     request->estimated_work = integer_or(fields, "workNs", 0);
     request->queued_kb = number(fields, "footprint");
--- a/tests/load_report_test.cpp
+++ b/tests/load_report_test.cpp
@@ -1,4 +1,4 @@
-// The frames of servers' load reports: encoded, decoded, and malformed.
+// Tests of the load report codec: round trips, split and malformed frames.
 #include "report/load_report.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace myrtlecroft {
 namespace {
 
-report::LoadReport some_report() {
+report::LoadReport sample_report() {
   report::LoadReport out{
       .node = "n1", .address = "127.0.0.1:4101", .incarnation = 7, .sequence = 9, .sent_unix = -3};
   out.mode = Mode::kProbing;
@@ -21,22 +21,22 @@
   return out;
 }
 
-TEST(LoadReportFrames, FramesAreDecodedHoweverTheyAreSplit) {
-  std::string bytes = report::encode(some_report()) + report::encode(some_report());
+TEST(LoadReportFrames, FramesAreDecodedWhereverTheStreamIsSplit) {
+  std::string bytes = report::encode(sample_report()) + report::encode(sample_report());
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     std::vector<report::LoadReport> received;
     auto append = [&](report::LoadReport report) { received.push_back(std::move(report)); };
     report::FrameError malformed{};
-    std::size_t accepted = report::decode(bytes.substr(0, cut), append, malformed);
+    std::size_t consumed = report::decode(bytes.substr(0, cut), append, malformed);
     ASSERT_EQ(malformed, report::FrameError::kNone);
-    accepted += report::decode(bytes.substr(accepted), append, malformed);
-    ASSERT_EQ(accepted, bytes.size());
+    consumed += report::decode(bytes.substr(consumed), append, malformed);
+    ASSERT_EQ(consumed, bytes.size());
     ASSERT_EQ(received.size(), 2u);
-    ASSERT_EQ(received[1], some_report());
+    ASSERT_EQ(received[1], sample_report());
   }
 }
 
-RC_GTEST_PROP(LoadReportFrames, EncodeAndDecodeAreEachOthersInverse, ()) {
+RC_GTEST_PROP(LoadReportFrames, ADecodedReportEqualsTheEncodedOne, ()) {
   report::LoadReport in;
   in.node = "n" + std::to_string(*rc::gen::inRange(0, 1000));
   in.incarnation = *rc::gen::arbitrary<std::uint64_t>();
@@ -50,42 +50,42 @@
   report::FrameError malformed{};
   std::vector<report::LoadReport> out;
   report::decode(
-      report::encode(in), [&](report::LoadReport one) { out.push_back(std::move(one)); }, malformed);
+      report::encode(in), [&](report::LoadReport decoded) { out.push_back(std::move(decoded)); }, malformed);
   RC_ASSERT(malformed == report::FrameError::kNone);
   RC_ASSERT(out.size() == 1u);
   RC_ASSERT(out[0] == in);
 }
 
-RC_GTEST_PROP(LoadReportFrames, AnyBytesAreAcceptedOrRejectedWithinBounds, ()) {
+RC_GTEST_PROP(LoadReportFrames, ArbitraryBytesAreNeverReadBeyondTheirEnd, ()) {
   auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
   report::FrameError malformed{};
-  std::size_t accepted = report::decode(
+  std::size_t consumed = report::decode(
       bytes, [](report::LoadReport) {}, malformed);
-  RC_ASSERT(accepted <= bytes.size());
+  RC_ASSERT(consumed <= bytes.size());
 }
 
-TEST(LoadReportFrames, ChangedByteNeverMakesDecodingRunOver) {
-  std::string good = report::encode(some_report());
-  for (std::size_t at = 0; at < good.size(); ++at) {
-    for (int flip : {0x01, 0x80, 0xff}) {
-      std::string bad = good;
-      bad[at] = static_cast<char>(bad[at] ^ flip);
+TEST(LoadReportFrames, AFrameWithAChangedByteIsNeverReadBeyondItsEnd) {
+  std::string valid_frame = report::encode(sample_report());
+  for (std::size_t at = 0; at < valid_frame.size(); ++at) {
+    for (int mask : {0x01, 0x80, 0xff}) {
+      std::string changed_frame = valid_frame;
+      changed_frame[at] = static_cast<char>(changed_frame[at] ^ mask);
       report::FrameError malformed{};
-      std::size_t accepted = report::decode(
-          bad, [](report::LoadReport) {}, malformed);
-      EXPECT_LE(accepted, bad.size());
+      std::size_t consumed = report::decode(
+          changed_frame, [](report::LoadReport) {}, malformed);
+      EXPECT_LE(consumed, changed_frame.size());
     }
   }
 }
 
-TEST(LoadReportFrames, NewerFramesAreSkippedAndTooLargeOnesRejected) {
+TEST(LoadReportFrames, UnknownKindsAreSkippedAndTooLargeOrNewerFramesRejected) {
   int received = 0;
   report::FrameError malformed{};
   std::string unknown_kind = std::string("\0\0\0\x04\x01\x7f??", 8);
   report::decode(
-      unknown_kind + report::encode(some_report()), [&](report::LoadReport) { ++received; }, malformed);
+      unknown_kind + report::encode(sample_report()), [&](report::LoadReport) { ++received; }, malformed);
   EXPECT_EQ(received, 1);
-  std::string longer = report::encode(some_report());
+  std::string longer = report::encode(sample_report());
   longer[3] = static_cast<char>(longer[3] + 3);
   report::decode(
       longer + "new", [&](report::LoadReport) { ++received; }, malformed);
--- a/tests/slow_client_policy_test.cpp
+++ b/tests/slow_client_policy_test.cpp
@@ -1,4 +1,4 @@
-// Who is waited for and who is not, with a clock that the story turns.
+// Tests of the slow-client policy with a simulated clock.
 #include "peers/slow_client_policy.h"
 
 #include <gtest/gtest.h>
@@ -10,19 +10,19 @@
 namespace myrtlecroft::peers {
 namespace {
 
-struct Peer final : MonitoredConnection {
-  ConnectionProgress current_progress() const override { return now; }
+struct FakeConnection final : MonitoredConnection {
+  ConnectionProgress current_progress() const override { return progress; }
   void apply_effect(Effect effect) override {
     effects.push_back(effect);
     if (effect == Effect::kPauseReading) reading = false;
     if (effect == Effect::kResumeReading) reading = true;
-    if (effect == Effect::kCancelRequest) now.awaited = 0;
+    if (effect == Effect::kCancelRequest) progress.awaited = 0;
   }
-  bool dropped() const {
+  bool closed() const {
     return !effects.empty() &&
            (effects.back() == Effect::kCloseSlowSender || effects.back() == Effect::kCloseSlowReader);
   }
-  ConnectionProgress now;
+  ConnectionProgress progress;
   std::vector<Effect> effects;
   bool reading = true;
   ConnectionAccount account;
@@ -30,214 +30,217 @@
 
 struct SlowClientPolicyTest : testing::Test {
   ~SlowClientPolicyTest() override {
-    for (Peer& peer : peers) slow_client_policy.remove_connection(peer.account);
+    for (FakeConnection& connection : connections) slow_client_policy.remove_connection(connection.account);
   }
-  Peer& comes(BalancerKey key = {1, 1}) {
-    Peer& peer = peers.emplace_back();
-    slow_client_policy.add_connection(peer.account, peer, key);
-    return peer;
+  FakeConnection& add_idle(BalancerKey key = {1, 1}) {
+    FakeConnection& connection = connections.emplace_back();
+    slow_client_policy.add_connection(connection.account, connection, key);
+    return connection;
   }
-  // A request that has begun, with so many bytes of it there.
-  Peer& writes(std::uint64_t bytes, BalancerKey key = {1, 1}) {
-    Peer& peer = comes(key);
-    peer.now.in = bytes;
-    peer.now.awaited = 2;
-    slow_client_policy.start_watching(peer.account, time);
-    return peer;
+  // Adds a connection with a partly received request of which `bytes` have arrived.
+  FakeConnection& add_sender(std::uint64_t bytes, BalancerKey key = {1, 1}) {
+    FakeConnection& connection = add_idle(key);
+    connection.progress.in = bytes;
+    connection.progress.awaited = 2;
+    slow_client_policy.start_watching(connection.account, time);
+    return connection;
   }
-  // Answers that wait to be taken.
-  Peer& reads(std::size_t unread, BalancerKey key = {1, 1}) {
-    Peer& peer = comes(key);
-    peer.now.unread = unread;
-    slow_client_policy.start_watching(peer.account, time);
-    return peer;
+  // Adds a connection with `unread` bytes of answers that its client has not read.
+  FakeConnection& add_reader(std::size_t unread, BalancerKey key = {1, 1}) {
+    FakeConnection& connection = add_idle(key);
+    connection.progress.unread = unread;
+    slow_client_policy.start_watching(connection.account, time);
+    return connection;
   }
-  // Lets time go by in steps in which `moves` may move bytes.
+  // Advances the clock in steps of 50 ms, calling `move_bytes` in each before the due evaluations.
   template <class Moves>
-  void pass(Nanos how_long, Moves moves) {
-    for (Nanos end = time + how_long; time < end;) {
+  void advance(Nanos duration, Moves move_bytes) {
+    for (Nanos end = time + duration; time < end;) {
       time += 50 * kMs;
-      moves();
+      move_bytes();
       slow_client_policy.evaluate_due_connections(time);
     }
   }
-  void pass(Nanos how_long) {
-    pass(how_long, [] {});
+  void advance(Nanos duration) {
+    advance(duration, [] {});
   }
 
   Nanos time = kSecond;
   SlowClientPolicy slow_client_policy{SlowClientOptions{},
                                       SlowClientLimits{.bytes = 1'000'000, .peers = 100}};
-  std::deque<Peer> peers;
+  std::deque<FakeConnection> connections;
 };
 
-TEST_F(SlowClientPolicyTest, AQuietPeerIsNeverLookedAt) {
-  Peer& peer = comes();
+TEST_F(SlowClientPolicyTest, AnIdleConnectionIsNeverEvaluated) {
+  FakeConnection& connection = add_idle();
   EXPECT_EQ(slow_client_policy.next_evaluation_at(), 0);
-  pass(100 * kSecond);
-  EXPECT_EQ(peer.account.state(), State::kIdle);
-  EXPECT_TRUE(peer.effects.empty());
+  advance(100 * kSecond);
+  EXPECT_EQ(connection.account.state(), State::kIdle);
+  EXPECT_TRUE(connection.effects.empty());
 }
 
-TEST_F(SlowClientPolicyTest, OneThatWritesSlowlyButSteadilyAboveTheRateIsServed) {
-  Peer& peer = writes(50);
-  pass(4 * kSecond, [&] { peer.now.in += 30; });  // 600 bytes a second
-  EXPECT_EQ(peer.account.state(), State::kActive);
-  peer.now.awaited = 0;
-  pass(200 * kMs);
-  EXPECT_EQ(peer.account.state(), State::kIdle);
-  EXPECT_TRUE(peer.effects.empty());
+TEST_F(SlowClientPolicyTest, ASenderSteadilyAboveTheMinimumRateIsServed) {
+  FakeConnection& connection = add_sender(50);
+  advance(4 * kSecond, [&] { connection.progress.in += 30; });  // 600 bytes a second
+  EXPECT_EQ(connection.account.state(), State::kActive);
+  connection.progress.awaited = 0;
+  advance(200 * kMs);
+  EXPECT_EQ(connection.account.state(), State::kIdle);
+  EXPECT_TRUE(connection.effects.empty());
 }
 
-TEST_F(SlowClientPolicyTest, OneThatStopsAByteBeforeTheEndIsHurriedThenDropped) {
-  Peer& peer = writes(400);
-  pass(1100 * kMs);
-  EXPECT_EQ(peer.account.state(), State::kFinalWarning);
-  EXPECT_TRUE(peer.effects.empty());
-  pass(600 * kMs);
-  EXPECT_EQ(peer.effects, std::vector{Effect::kCloseSlowSender});
-  EXPECT_EQ(peer.account.state(), State::kRemoved);
+TEST_F(SlowClientPolicyTest, ASenderThatStopsMidRequestIsWarnedThenClosed) {
+  FakeConnection& connection = add_sender(400);
+  advance(1100 * kMs);
+  EXPECT_EQ(connection.account.state(), State::kFinalWarning);
+  EXPECT_TRUE(connection.effects.empty());
+  advance(600 * kMs);
+  EXPECT_EQ(connection.effects, std::vector{Effect::kCloseSlowSender});
+  EXPECT_EQ(connection.account.state(), State::kRemoved);
   EXPECT_EQ(slow_client_policy.watched(), 0u);
 }
 
-TEST_F(SlowClientPolicyTest, AHurriedOneThatDoesBetterIsServed) {
-  Peer& peer = writes(10);
-  pass(1200 * kMs);
-  ASSERT_EQ(peer.account.state(), State::kFinalWarning);
-  pass(2 * kSecond, [&] { peer.now.in += 100; });
-  EXPECT_EQ(peer.account.state(), State::kActive);
+TEST_F(SlowClientPolicyTest, AWarnedSenderThatSpeedsUpIsServed) {
+  FakeConnection& connection = add_sender(10);
+  advance(1200 * kMs);
+  ASSERT_EQ(connection.account.state(), State::kFinalWarning);
+  advance(2 * kSecond, [&] { connection.progress.in += 100; });
+  EXPECT_EQ(connection.account.state(), State::kActive);
 }
 
-TEST_F(SlowClientPolicyTest, AByteJustInsideEveryTimeLimitDoesNotHelp) {
-  Peer& peer = writes(1);
+TEST_F(SlowClientPolicyTest, OneByteWithinEveryTimeLimitDoesNotPreventClosing) {
+  FakeConnection& connection = add_sender(1);
   int step = 0;
-  pass(3 * kSecond, [&] { peer.now.in += ++step % 8 == 0; });
-  EXPECT_TRUE(peer.dropped());
+  advance(3 * kSecond, [&] { connection.progress.in += ++step % 8 == 0; });
+  EXPECT_TRUE(connection.closed());
 }
 
-TEST_F(SlowClientPolicyTest, OneRequestDribbledAmongOthersIsCancelledAlone) {
-  Peer& peer = writes(100);
-  pass(5300 * kMs, [&] { peer.now.in += 500; });  // others come whole beside it
-  EXPECT_EQ(peer.effects, std::vector{Effect::kCancelRequest});
-  EXPECT_FALSE(peer.dropped());
+TEST_F(SlowClientPolicyTest, ARequestSentSlowlyAmongOthersIsCancelledAlone) {
+  FakeConnection& connection = add_sender(100);
+  advance(5300 * kMs, [&] { connection.progress.in += 500; });  // other requests complete meanwhile
+  EXPECT_EQ(connection.effects, std::vector{Effect::kCancelRequest});
+  EXPECT_FALSE(connection.closed());
 }
 
-TEST_F(SlowClientPolicyTest, WithManyRequestsOneAfterTheOtherEachHasItsOwnTime) {
-  Peer& peer = writes(100);
-  pass(20 * kSecond, [&] { peer.now.in += 500, peer.now.awaited += 2; });
-  EXPECT_TRUE(peer.effects.empty());
+TEST_F(SlowClientPolicyTest, EachOfManyConsecutiveRequestsHasItsOwnTimeLimit) {
+  FakeConnection& connection = add_sender(100);
+  advance(20 * kSecond, [&] { connection.progress.in += 500, connection.progress.awaited += 2; });
+  EXPECT_TRUE(connection.effects.empty());
 }
 
-TEST_F(SlowClientPolicyTest, OneThatTakesNothingIsPausedThenDropped) {
-  Peer& peer = reads(100'000);
-  pass(200 * kMs);
-  EXPECT_EQ(peer.account.state(), State::kPaused);
-  EXPECT_FALSE(peer.reading);
-  pass(1 * kSecond);
-  EXPECT_EQ(peer.account.state(), State::kWriteStalled);
-  pass(600 * kMs);
-  EXPECT_EQ(peer.effects.back(), Effect::kCloseSlowReader);
+TEST_F(SlowClientPolicyTest, AReaderThatReadsNothingIsPausedThenClosed) {
+  FakeConnection& connection = add_reader(100'000);
+  advance(200 * kMs);
+  EXPECT_EQ(connection.account.state(), State::kPaused);
+  EXPECT_FALSE(connection.reading);
+  advance(1 * kSecond);
+  EXPECT_EQ(connection.account.state(), State::kWriteStalled);
+  advance(600 * kMs);
+  EXPECT_EQ(connection.effects.back(), Effect::kCloseSlowReader);
 }
 
-TEST_F(SlowClientPolicyTest, WhatIsOpenIsAnsweredBeforeABlockedPeerIsDropped) {
-  Peer& peer = reads(100'000);
-  peer.now.open = 3;
-  pass(4 * kSecond);
-  EXPECT_EQ(peer.account.state(), State::kWriteStalled);
-  EXPECT_FALSE(peer.dropped());
-  peer.now.open = 0;
-  pass(200 * kMs);
-  EXPECT_TRUE(peer.dropped());
+TEST_F(SlowClientPolicyTest, AWriteStalledConnectionIsClosedOnlyAfterItsOpenRequests) {
+  FakeConnection& connection = add_reader(100'000);
+  connection.progress.open = 3;
+  advance(4 * kSecond);
+  EXPECT_EQ(connection.account.state(), State::kWriteStalled);
+  EXPECT_FALSE(connection.closed());
+  connection.progress.open = 0;
+  advance(200 * kMs);
+  EXPECT_TRUE(connection.closed());
 }
 
-TEST_F(SlowClientPolicyTest, APausedOneThatReadsIsReadAgainOnceHalfItsShareIsFree) {
-  Peer& peer = reads(100'000);
-  pass(200 * kMs);
-  ASSERT_FALSE(peer.reading);
-  pass(300 * kMs, [&] { peer.now.out += 5'000, peer.now.unread -= 5'000; });
-  EXPECT_FALSE(peer.reading) << peer.now.unread;
-  pass(500 * kMs, [&] { peer.now.out += 5'000, peer.now.unread -= 5'000; });
-  EXPECT_TRUE(peer.reading) << peer.now.unread;
-  EXPECT_EQ(peer.account.state(), State::kActive);
+TEST_F(SlowClientPolicyTest, ReadingResumesOnceHalfTheUnreadLimitIsFree) {
+  FakeConnection& connection = add_reader(100'000);
+  advance(200 * kMs);
+  ASSERT_FALSE(connection.reading);
+  advance(300 * kMs, [&] { connection.progress.out += 5'000, connection.progress.unread -= 5'000; });
+  EXPECT_FALSE(connection.reading) << connection.progress.unread;
+  advance(500 * kMs, [&] { connection.progress.out += 5'000, connection.progress.unread -= 5'000; });
+  EXPECT_TRUE(connection.reading) << connection.progress.unread;
+  EXPECT_EQ(connection.account.state(), State::kActive);
 }
 
-TEST_F(SlowClientPolicyTest, AOneByteWindowIsBelowTheRate) {
-  Peer& peer = reads(3'000);
-  pass(2 * kSecond, [&] { peer.now.out += 1, peer.now.unread -= 1; });
-  EXPECT_EQ(peer.effects.back(), Effect::kCloseSlowReader);
+TEST_F(SlowClientPolicyTest, AReaderWithAOneByteWindowIsClosed) {
+  FakeConnection& connection = add_reader(3'000);
+  advance(2 * kSecond, [&] { connection.progress.out += 1, connection.progress.unread -= 1; });
+  EXPECT_EQ(connection.effects.back(), Effect::kCloseSlowReader);
 }
 
-// Many answers that end in one turn wait together for a moment on any connection.
-TEST_F(SlowClientPolicyTest, AnswersWrittenTogetherPauseNoQuickPeer) {
-  Peer& peer = comes();
+// Answers that complete in one turn of the loop are unread together for a moment on any connection.
+TEST_F(SlowClientPolicyTest, AnswersWrittenTogetherDoNotPauseAFastReader) {
+  FakeConnection& connection = add_idle();
   for (int i = 0; i < 20; ++i) {
-    peer.now.unread = 130'000;
-    slow_client_policy.evaluate(peer.account, time);
-    slow_client_policy.evaluate(peer.account, time + kMs);
-    peer.now.out += std::exchange(peer.now.unread, 0);
-    pass(50 * kMs);
+    connection.progress.unread = 130'000;
+    slow_client_policy.evaluate(connection.account, time);
+    slow_client_policy.evaluate(connection.account, time + kMs);
+    connection.progress.out += std::exchange(connection.progress.unread, 0);
+    advance(50 * kMs);
   }
-  EXPECT_TRUE(peer.effects.empty());
+  EXPECT_TRUE(connection.effects.empty());
 }
 
-TEST_F(SlowClientPolicyTest, APausedPeerIsNotBlamedForWhatWeDoNotRead) {
-  Peer& peer = reads(100'000);
-  peer.now.awaited = 2;
-  pass(900 * kMs, [&] { peer.now.out += 3'000, peer.now.unread -= 3'000; });
-  EXPECT_FALSE(peer.dropped());
-  pass(1 * kSecond, [&] {
-    peer.now.out += 1'000, peer.now.unread = peer.now.unread > 1'000 ? peer.now.unread - 1'000 : 0;
+TEST_F(SlowClientPolicyTest, APausedConnectionIsNotTreatedAsASlowSender) {
+  FakeConnection& connection = add_reader(100'000);
+  connection.progress.awaited = 2;
+  advance(900 * kMs, [&] { connection.progress.out += 3'000, connection.progress.unread -= 3'000; });
+  EXPECT_FALSE(connection.closed());
+  advance(1 * kSecond, [&] {
+    connection.progress.out += 1'000, connection.progress.unread = connection.progress.unread > 1'000
+                                                                       ? connection.progress.unread - 1'000
+                                                                       : 0;
   });
-  ASSERT_TRUE(peer.reading);
-  // Its request gets its grace from here on.
-  pass(500 * kMs, [&] { peer.now.out += 1'000; });
-  EXPECT_EQ(peer.account.state(), State::kActive);
+  ASSERT_TRUE(connection.reading);
+  // The grace period of the request starts when reading resumes.
+  advance(500 * kMs, [&] { connection.progress.out += 1'000; });
+  EXPECT_EQ(connection.account.state(), State::kActive);
 }
 
-TEST_F(SlowClientPolicyTest, AStopOfOurOwnProcessIsTakenForNobodysSlowness) {
-  for (int i = 0; i < 60; ++i) i % 2 ? writes(200) : reads(2'000);
-  pass(500 * kMs);
-  time += 20 * kSecond;  // stopped and continued
+TEST_F(SlowClientPolicyTest, APauseOfTheServerProcessMakesNoClientSlow) {
+  for (int i = 0; i < 60; ++i) i % 2 ? add_sender(200) : add_reader(2'000);
+  advance(500 * kMs);
+  time += 20 * kSecond;  // the process is stopped and continued
   slow_client_policy.evaluate_due_connections(time);
   EXPECT_EQ(slow_client_policy.count(State::kActive), 60u);
-  pass(300 * kMs, [&] {
-    for (Peer& peer : peers) peer.now.in += 100, peer.now.out += 100;
+  advance(300 * kMs, [&] {
+    for (FakeConnection& connection : connections)
+      connection.progress.in += 100, connection.progress.out += 100;
   });
   EXPECT_EQ(slow_client_policy.count(State::kActive), 60u);
-  for (Peer& peer : peers) EXPECT_TRUE(peer.effects.empty());
+  for (FakeConnection& connection : connections) EXPECT_TRUE(connection.effects.empty());
 }
 
-// A word may come before the look that is late, when the loop reads sockets before timers.
-TEST_F(SlowClientPolicyTest, NeitherWhenAPeerSpeaksBeforeTheLateLook) {
-  Peer& peer = writes(600);
-  pass(500 * kMs);
+// Input may be handled before the late evaluation, when the loop serves sockets before timers.
+TEST_F(SlowClientPolicyTest, APauseIsDetectedWhenInputPrecedesTheLateEvaluation) {
+  FakeConnection& connection = add_sender(600);
+  advance(500 * kMs);
   time += 20 * kSecond;
-  Peer& next = writes(100);
+  FakeConnection& next = add_sender(100);
   slow_client_policy.evaluate_due_connections(time);
-  EXPECT_EQ(peer.account.state(), State::kActive);
+  EXPECT_EQ(connection.account.state(), State::kActive);
   EXPECT_EQ(next.account.state(), State::kActive);
-  pass(2 * kSecond);
-  EXPECT_TRUE(peer.dropped());
+  advance(2 * kSecond);
+  EXPECT_TRUE(connection.closed());
 }
 
-TEST_F(SlowClientPolicyTest, WithRoomRunningOutTheLeastRateRises) {
-  Peer& peer = writes(500);
+TEST_F(SlowClientPolicyTest, TheMinimumRateRisesAsConnectionsRunOut) {
+  FakeConnection& connection = add_sender(500);
   EXPECT_EQ(slow_client_policy.strictness(), 1);
-  pass(2 * kSecond, [&] { peer.now.in += 40; });
-  EXPECT_EQ(peer.account.state(), State::kActive);
-  for (int i = 0; i < 99; ++i) writes(100);
+  advance(2 * kSecond, [&] { connection.progress.in += 40; });
+  EXPECT_EQ(connection.account.state(), State::kActive);
+  for (int i = 0; i < 99; ++i) add_sender(100);
   EXPECT_EQ(slow_client_policy.strictness(), 4);
-  pass(400 * kMs, [&] { peer.now.in += 40; });
-  EXPECT_TRUE(peer.dropped());
+  advance(400 * kMs, [&] { connection.progress.in += 40; });
+  EXPECT_TRUE(connection.closed());
 }
 
-TEST_F(SlowClientPolicyTest, WhoHoldsMostForLongestGoesFirst) {
-  Peer& large_new = writes(100);
-  Peer& small_old = writes(100);
-  Peer& large_old = writes(100);
+TEST_F(SlowClientPolicyTest, TheCostliestConnectionHasMostMemoryForLongestWithoutProgress) {
+  FakeConnection& large_new = add_sender(100);
+  FakeConnection& small_old = add_sender(100);
+  FakeConnection& large_old = add_sender(100);
   slow_client_policy.set_held_bytes(small_old.account, 1'000);
   slow_client_policy.set_held_bytes(large_old.account, 50'000);
-  pass(600 * kMs, [&] { large_new.now.in += 100; });
+  advance(600 * kMs, [&] { large_new.progress.in += 100; });
   slow_client_policy.set_held_bytes(large_new.account, 60'000);
   EXPECT_EQ(slow_client_policy.costliest_connection(small_old.account, time), &large_old.account);
   EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(large_old.account));
@@ -245,65 +248,65 @@
   EXPECT_TRUE(slow_client_policy.exceeds_memory_limit(small_old.account));
 }
 
-TEST_F(SlowClientPolicyTest, ABalancerBesideOthersIsBoundByItselfAndAloneIsNot) {
-  Peer& slow = writes(100, {1, 1});
+TEST_F(SlowClientPolicyTest, ABalancersMemoryShareAppliesOnlyAmongSeveralBalancers) {
+  FakeConnection& slow = add_sender(100, {1, 1});
   slow_client_policy.set_held_bytes(slow.account, 800'000);
   EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(slow.account));
-  Peer& other = writes(100, {1, 2});
+  FakeConnection& other = add_sender(100, {1, 2});
   slow_client_policy.set_held_bytes(other.account, 100'000);
   EXPECT_TRUE(slow_client_policy.exceeds_memory_limit(slow.account));
   EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(other.account));
-  pass(300 * kMs);
+  advance(300 * kMs);
   EXPECT_EQ(slow_client_policy.costliest_connection(slow.account, time), &slow.account);
-  // What a balancer beside others holds beyond its share is waited for less.
+  // A balancer beyond its share of the memory gets shorter time limits.
   EXPECT_EQ(slow.account.state(), State::kFinalWarning);
   EXPECT_EQ(other.account.state(), State::kActive);
 }
 
-TEST_F(SlowClientPolicyTest, APeerThatTellsItsBalancersNumberTakesWhatItHoldsAlong) {
-  Peer& peer = writes(100, {1, -1});
-  comes({1, 7});
-  slow_client_policy.set_held_bytes(peer.account, 800'000);
-  ASSERT_TRUE(slow_client_policy.exceeds_memory_limit(peer.account));
-  slow_client_policy.set_balancer(peer.account, {1, 7});
-  EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(peer.account));  // the only balancer now
+TEST_F(SlowClientPolicyTest, SettingTheBalancerMovesTheMemoryOfTheConnection) {
+  FakeConnection& connection = add_sender(100, {1, -1});
+  add_idle({1, 7});
+  slow_client_policy.set_held_bytes(connection.account, 800'000);
+  ASSERT_TRUE(slow_client_policy.exceeds_memory_limit(connection.account));
+  slow_client_policy.set_balancer(connection.account, {1, 7});
+  EXPECT_FALSE(slow_client_policy.exceeds_memory_limit(connection.account));  // the only balancer left
 }
 
-TEST_F(SlowClientPolicyTest, ForItsDescriptorTheSlowestOfTheLargestBalancerGoes) {
-  writes(100, {1, 1});
-  Peer& first = writes(100, {1, 2});
-  Peer& second = writes(100, {1, 2});
+TEST_F(SlowClientPolicyTest, TheSlowestConnectionIsOfTheLargestBalancerWithoutOpenRequests) {
+  add_sender(100, {1, 1});
+  FakeConnection& first = add_sender(100, {1, 2});
+  FakeConnection& second = add_sender(100, {1, 2});
   EXPECT_EQ(slow_client_policy.slowest_connection(), nullptr);
-  pass(1200 * kMs);
-  second.now.open = 1;  // has work in hand
+  advance(1200 * kMs);
+  second.progress.open = 1;  // has an open request
   EXPECT_EQ(slow_client_policy.slowest_connection(), &first.account);
 }
 
-// All connections of one balancer are slow; another's beside it are as they were.
-TEST_F(SlowClientPolicyTest, AWholeSlowBalancerIsLetGoAndTheQuickOneBesideItIsNot) {
-  std::vector<Peer*> quick;
-  for (int i = 0; i < 40; ++i) writes(100, {1, 1});
-  for (int i = 0; i < 10; ++i) quick.push_back(&reads(8'000, {2, 2}));
-  pass(3 * kSecond, [&] {
-    for (Peer* peer : quick) peer->now.out += 8'000;
+// All connections of one balancer are slow; those of another balancer must not be affected.
+TEST_F(SlowClientPolicyTest, AllConnectionsOfASlowBalancerAreClosedAndThoseOfAFastOneAreNot) {
+  std::vector<FakeConnection*> fast_readers;
+  for (int i = 0; i < 40; ++i) add_sender(100, {1, 1});
+  for (int i = 0; i < 10; ++i) fast_readers.push_back(&add_reader(8'000, {2, 2}));
+  advance(3 * kSecond, [&] {
+    for (FakeConnection* connection : fast_readers) connection->progress.out += 8'000;
   });
   EXPECT_EQ(slow_client_policy.count(State::kRemoved), 40u);
-  for (Peer* peer : quick) EXPECT_TRUE(peer->effects.empty());
+  for (FakeConnection* connection : fast_readers) EXPECT_TRUE(connection->effects.empty());
 }
 
-TEST_F(SlowClientPolicyTest, OnesThatLeaveAreForgotten) {
+TEST_F(SlowClientPolicyTest, RemovedConnectionsLeaveNoState) {
   for (int i = 0; i < 10; ++i) {
-    Peer& peer = writes(100, {1, i});
-    slow_client_policy.set_held_bytes(peer.account, 1'000);
-    slow_client_policy.remove_connection(peer.account);
+    FakeConnection& connection = add_sender(100, {1, i});
+    slow_client_policy.set_held_bytes(connection.account, 1'000);
+    slow_client_policy.remove_connection(connection.account);
   }
   EXPECT_EQ(slow_client_policy.bytes(), 0u);
   EXPECT_EQ(slow_client_policy.watched(), 0u);
   EXPECT_EQ(slow_client_policy.next_evaluation_at(), 0);
-  Peer& hurried = writes(100);
-  pass(1200 * kMs);
-  ASSERT_EQ(slow_client_policy.slowest_connection(), &hurried.account);
-  slow_client_policy.remove_connection(hurried.account);
+  FakeConnection& warned = add_sender(100);
+  advance(1200 * kMs);
+  ASSERT_EQ(slow_client_policy.slowest_connection(), &warned.account);
+  slow_client_policy.remove_connection(warned.account);
   EXPECT_EQ(slow_client_policy.slowest_connection(), nullptr);
 }
 
