--- a/src/control/admin_answer_writer.h
+++ b/src/control/admin_answer_writer.h
@@ -1,5 +1,5 @@
-// Writes one answer to an operator's connection. Called by AdminServer and AdminCommands on the loop's
-// thread.
+// Serializes an admin answer onto an operator's connection. Called by AdminServer and AdminCommands on the
+// loop's thread.
 #pragma once
 
 #include "control.pb.h"
@@ -7,8 +7,8 @@
 
 namespace myrtlecroft::control {
 
-// Four bytes of length, big-endian, then the answer; the connection is closed once they are sent. An answer
-// above the size bound is replaced by one with an error that names both sizes.
+// Writes the answer's length (four bytes, big-endian) and the answer, and closes the connection once all is
+// sent. An answer above the size limit (240 KiB) is replaced by an error that names its size and the limit.
 void write_answer(net::Connection& connection, const AdminAnswer& answer);
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_client.cpp
+++ b/src/control/admin_client.cpp
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr std::size_t kMaxAnswerBytes = std::size_t{8} << 20;
-constexpr std::size_t kLengthBytes = 4;  // before the answer, big-endian
+constexpr std::size_t kLengthBytes = 4;  // big-endian, precedes the answer
 constexpr std::size_t kReadBytes = 65'536;
-constexpr int kTimeoutSeconds = 5;
+constexpr int kTimeoutSeconds = 5;  // of each send and receive call
 
+// A blocking TCP socket with timeouts; closed on destruction.
 class Socket {
  public:
   Socket() : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -30,7 +31,7 @@
   bool send(const std::string& bytes) const {
     return ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
   }
-  // Until the peer closes, the timeout ends a read, or the answer is larger than any may be.
+  // Reads until the peer closes the connection, a read times out, or kMaxAnswerBytes are received.
   std::string receive_all() const {
     std::string out;
     std::string chunk(kReadBytes, '\0');
@@ -46,6 +47,7 @@
   int socket_;
 };
 
+// Nothing if the bytes are incomplete or not a valid message.
 std::optional<AdminAnswer> decode_answer(const std::string& bytes) {
   if (bytes.size() < kLengthBytes) return std::nullopt;
   std::size_t size = 0;
@@ -56,16 +58,16 @@
   return answer;
 }
 
-std::string message_of(AdminClientError::Kind kind, std::uint16_t port) {
+std::string error_message(AdminClientError::Kind kind, std::uint16_t port) {
   std::string at = " at port " + std::to_string(port);
-  return kind == AdminClientError::Kind::kUnreachable ? "no control service answers" + at
+  return kind == AdminClientError::Kind::kUnreachable ? "cannot reach a control service" + at
                                                       : "incomplete answer from the control service" + at;
 }
 
 }  // namespace
 
 AdminClientError::AdminClientError(Kind kind, std::uint16_t port)
-    : std::runtime_error(message_of(kind, port)), kind_(kind), port_(port) {}
+    : std::runtime_error(error_message(kind, port)), kind_(kind), port_(port) {}
 
 AdminAnswer AdminClient::call(const std::string& line) const {
   Socket socket;
--- a/src/control/admin_client.h
+++ b/src/control/admin_client.h
@@ -1,5 +1,5 @@
-// A client of a control service's admin address, for the program's subcommands and for tests. Blocking; used
-// from one thread. Owns no connection between calls.
+// A blocking client of a control service's admin interface, used by the program's subcommands and by tests.
+// Each call opens its own connection.
 #pragma once
 
 #include <netinet/in.h>
@@ -12,10 +12,13 @@
 
 namespace myrtlecroft::control {
 
-// Why a call got no answer.
+// Thrown when a call received no complete answer; what() names the port.
 class AdminClientError final : public std::runtime_error {
  public:
-  enum class Kind { kUnreachable, kIncompleteAnswer };
+  enum class Kind {
+    kUnreachable,      // connecting or sending failed
+    kIncompleteAnswer  // the answer was cut off, timed out or could not be parsed
+  };
   AdminClientError(Kind kind, std::uint16_t port);
   Kind kind() const { return kind_; }
   std::uint16_t port() const { return port_; }
@@ -25,12 +28,14 @@
   std::uint16_t port_;
 };
 
+// Sends queries and commands to one control service. Has no state between calls.
 class AdminClient {
  public:
   explicit AdminClient(const sockaddr_in& server) : server_(server) {}
 
-  // Sends one line, a query (src/control/admin_query.h) or a command, and waits for the answer, some seconds
-  // at most. An answer that carries an error is returned like any other. Throws AdminClientError.
+  // Sends one line, a query (src/control/admin_query.h) or a command, and waits for the answer. A send or
+  // receive that takes longer than 5 s fails. An answer with an error field is returned like any other.
+  // Throws AdminClientError.
   AdminAnswer call(const std::string& line) const;
 
  private:
--- a/src/control/admin_commands.h
+++ b/src/control/admin_commands.h
@@ -1,6 +1,7 @@
-// Operators' commands that are agreed on (drains, releases), and changes of the cluster's members. A command
-// may be given to any replica; it is answered once its result is agreed. Owned by AdminServer, called on the
-// loop's thread; owns the commands whose connections wait for an answer, but not the connections.
+// Operators' commands: drains and releases, which are committed to the replicated log, and changes of the
+// cluster's membership. Any replica accepts drain and release commands and answers once the result is
+// committed. Owned by AdminServer, called on the loop's thread. Owns the pending commands, not their
+// connections.
 #pragma once
 
 #include <map>
@@ -14,38 +15,42 @@
 
 namespace myrtlecroft::control {
 
-// Why a command has no effect, one line for the operator.
+// Why a command was rejected.
 struct AdminCommandError {
-  std::string message;
+  std::string message;  // one line, for the operator
 };
 
+// Submits commands to the local replica and answers the connections they came from.
 class AdminCommands {
  public:
-  // Both outlive this.
+  // `loop` and `control` must outlive this object.
   AdminCommands(net::Loop& loop, ReplicatedControl& control) : loop_(loop), control_(control) {}
 
-  // Of drains and releases; changes of members are not among them.
-  static bool is_command(std::string_view line);
-  // `answer` is the summary that every answer begins with. The connection is answered now or by tick().
+  // True for drain and release commands, false for membership changes and queries.
+  static bool is_maintenance_command(std::string_view line);
+  // `answer` is the summary that the command's result is added to. A rejected command is answered at once,
+  // any other by tick(). `connection` must stay valid until connection_closed(id).
   void submit(FrameServer::Id id, net::Connection& connection, const std::string& command,
               AdminAnswer answer);
+  // Discards the pending command of the connection, if any.
   void connection_closed(FrameServer::Id id);
-  // Answers the commands whose result is agreed, and those whose time is over. To be called after each change
-  // of the agreed state.
+  // Answers the commands whose result is committed or which have timed out. Must be called after each change
+  // of the replicated state.
   void tick();
 
-  // Begins "let-in 4 127.0.0.1:7404", "let-out 2" or "hand-on" (leadership goes to another replica). Nothing
-  // where it is under way.
-  std::optional<AdminCommandError> change_members(std::string_view line);
+  // Starts a membership change: "let-in 4 127.0.0.1:7404" adds a member, "let-out 2" removes one, "hand-on"
+  // transfers leadership. Returns nothing if the change was started, else why it was rejected.
+  std::optional<AdminCommandError> start_membership_change(std::string_view line);
 
  private:
   struct PendingCommand {
     net::Connection* connection = nullptr;
-    std::uint64_t command = 0;  // its id
+    std::uint64_t command_id = 0;
     Nanos deadline = 0;
     AdminAnswer answer;
   };
-  static void finish(PendingCommand& pending, const std::string& result);
+  // `result` begins with releases::kCommandRejectedPrefix if the command was rejected.
+  static void answer_command(PendingCommand& pending, const std::string& result);
 
   net::Loop& loop_;
   ReplicatedControl& control_;
--- a/src/control/admin_names.h
+++ b/src/control/admin_names.h
@@ -1,5 +1,5 @@
-// Names of states as admin answers have them. Operators' scripts read them, so that they stay as they are
-// where the code's own names differ.
+// Names of states in admin answers. Operators' scripts match them, so they stay unchanged even where the
+// code uses other terms.
 #pragma once
 
 #include "agreement/maintenance_state.h"
@@ -10,9 +10,9 @@
 
 // A server's mode: "serving", "stalled", "trial" or "leaving".
 const char* name_of(Mode mode);
-// Why a server is out for maintenance: "drain", "release" or "way back".
+// Why a server has a maintenance lease: "drain", "release" or "way back" (a rollback).
 const char* name_of(agreement::MaintenanceReason reason);
-// What a replica does in the cluster: "votes", "hears" or "named only".
+// A replica's role in the membership: "votes" (voter), "hears" (standby) or "named only" (neither).
 const char* membership_name(const consensus::Server& server);
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -14,32 +14,32 @@
 namespace myrtlecroft::control {
 namespace {
 
-constexpr std::size_t kMaxNacksPerProxy = 3;      // in one row
+constexpr std::size_t kMaxNacksPerProxy = 3;      // rejected resources listed in one row
 constexpr std::size_t kMaxNackReasonLength = 80;  // characters
-constexpr double kNeverReceived = -1;             // in heard_s_ago
+constexpr double kNeverReceived = -1;             // value of heard_s_ago
 
-double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
+double to_seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
 
-double seconds_since(Nanos time, Nanos now) { return time > 0 ? seconds(now - time) : kNeverReceived; }
+double seconds_since(Nanos time, Nanos now) { return time > 0 ? to_seconds(now - time) : kNeverReceived; }
 
-struct RowLabels {
+struct FilterableFields {
   std::string_view zone;
   std::string_view state;
   std::string_view name;
 };
 
-bool matches(const AdminQuery& query, const RowLabels& row) {
+bool matches_filter(const AdminQuery& query, const FilterableFields& row) {
   return (query.zone.empty() || query.zone == row.zone) &&
          (query.state.empty() || query.state == row.state) && row.name.starts_with(query.name);
 }
 
-ServerRow row_of(const routing::ServerStatus& server, std::uint32_t shards, Nanos now) {
+ServerRow make_row(const routing::ServerStatus& server, std::uint32_t shards, Nanos now) {
   ServerRow row;
   row.set_name(server.node.name);
   row.set_zone(server.node.zone);
   row.set_address(server.node.address());
   row.set_state(routing_state::stored_name(server.state));
-  row.set_in_state_s(seconds(now - server.state_since));
+  row.set_in_state_s(to_seconds(now - server.state_since));
   row.set_kept_in(server.kept_in_rotation);
   row.set_heard_s_ago(seconds_since(server.last_report_at, now));
   row.set_mode(server.last_report_at > 0 ? name_of(server.report.mode) : "unknown");
@@ -54,7 +54,7 @@
   return row;
 }
 
-ProxyRow row_of(const xds::ProxyView& proxy) {
+ProxyRow make_row(const xds::ProxyView& proxy) {
   ProxyRow row;
   row.set_id(proxy.id);
   row.set_zone(proxy.zone);
@@ -71,20 +71,21 @@
   return row;
 }
 
-std::size_t bytes_of(const std::string& row) { return row.size(); }
-std::size_t bytes_of(const google::protobuf::Message& row) { return row.ByteSizeLong(); }
+std::size_t serialized_size(const std::string& row) { return row.size(); }
+std::size_t serialized_size(const google::protobuf::Message& row) { return row.ByteSizeLong(); }
 
-// Removes the rows that do not match or stand on other pages.
-template <class Row, class Matches>
-void select_page(google::protobuf::RepeatedPtrField<Row>& rows, Pager& pager, Matches matches_row) {
+// Keeps the rows that match and are on the requested page.
+template <class Row, class RowFilter>
+void select_page(google::protobuf::RepeatedPtrField<Row>& rows, Pager& pager, RowFilter matches_row) {
   google::protobuf::RepeatedPtrField<Row> selected;
   for (Row& row : rows) {
-    if (matches_row(row) && pager.add_row(bytes_of(row))) selected.Add(std::move(row));
+    if (matches_row(row) && pager.add_row(serialized_size(row))) selected.Add(std::move(row));
   }
   rows.Swap(&selected);
 }
 
-// They are larger than all the rest together and would exceed the size of an answer; the fleet file has them.
+// The lists of servers are larger than the rest of the snapshot and would exceed the size limit of an
+// answer. The fleet file has them.
 void remove_server_lists(routing_state::Snapshot& snapshot) {
   snapshot.clear_server_lists();
   for (routing_state::RequestClassRoute& request_class : *snapshot.mutable_groups())
@@ -99,7 +100,7 @@
   out.set_published(status.published);
   out.set_applied_by_all(status.applied_by_all);
   out.set_shards_closed(static_cast<std::uint32_t>(router_.shards().closed()));
-  out.set_proxies_gone(static_cast<std::uint32_t>(discovery_.disconnected()));
+  out.set_proxies_gone(static_cast<std::uint32_t>(discovery_.disconnected_count()));
   out.set_disk_fails(status.disk_fails);
   if (replicated_) set_replica_fields(out);
   return out;
@@ -122,7 +123,7 @@
       add_maintenance(query, pager, answer);
       break;
     case Topic::kInstances:
-      break;  // in every summary
+      break;  // the summary of every answer has the instances
   }
   answer.set_rows(static_cast<std::uint32_t>(pager.rows()));
   answer.set_first_row(static_cast<std::uint32_t>(pager.first_row()));
@@ -136,36 +137,37 @@
   std::vector<std::uint32_t> shards(servers.size());
   for (const routing::Shard& shard : router_.shards().all()) {
     if (shard.state != routing::ShardState::kOwned) continue;
-    int place = router_.registry().index_of(shard.owner);
-    if (place >= 0) ++shards[static_cast<std::size_t>(place)];
+    int server_index = router_.registry().index_of(shard.owner);
+    if (server_index >= 0) ++shards[static_cast<std::size_t>(server_index)];
   }
-  for (std::size_t place = 0; place < servers.size(); ++place) {
-    const routing::ServerStatus& server = servers[place];
-    const RowLabels labels{.zone = server.node.zone,
-                           .state = routing_state::stored_name(server.state),
-                           .name = server.node.name};
-    if (!matches(query, labels)) continue;
-    ServerRow row = row_of(server, shards[place], loop_.now());
+  for (std::size_t server_index = 0; server_index < servers.size(); ++server_index) {
+    const routing::ServerStatus& server = servers[server_index];
+    const FilterableFields fields{.zone = server.node.zone,
+                                  .state = routing_state::stored_name(server.state),
+                                  .name = server.node.name};
+    if (!matches_filter(query, fields)) continue;
+    ServerRow row = make_row(server, shards[server_index], loop_.now());
     if (pager.add_row(row.ByteSizeLong())) *answer.add_nodes() = std::move(row);
   }
 }
 
 void AdminQueries::add_proxy_rows(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const {
   for (const xds::ProxyView& proxy : discovery_.view()) {
-    if (!matches(query, {.zone = proxy.zone, .state = "", .name = proxy.id})) continue;
-    ProxyRow row = row_of(proxy);
+    if (!matches_filter(query, {.zone = proxy.zone, .state = "", .name = proxy.id})) continue;
+    ProxyRow row = make_row(proxy);
     if (pager.add_row(row.ByteSizeLong())) *answer.add_proxies() = std::move(row);
   }
 }
 
-// Servers, then request classes. Owners of shards are indexes among all servers, whichever are on the page.
+// The rows are servers, then request classes. Shard owners are indices into the list of all servers, not
+// into the servers on the page.
 void AdminQueries::add_snapshot(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const {
   if (!router_.published()) return;
   routing_state::Snapshot& snapshot = *answer.mutable_snapshot();
   snapshot = routing_state::to_proto(router_.published()->snapshot);
   snapshot.set_number(router_.published()->number);
   select_page(*snapshot.mutable_nodes(), pager, [&](const routing_state::NodeRoute& server) {
-    return matches(query, {.zone = server.zone(), .state = server.health(), .name = server.name()});
+    return matches_filter(query, {.zone = server.zone(), .state = server.health(), .name = server.name()});
   });
   bool servers_only = !query.zone.empty() || !query.state.empty();
   select_page(*snapshot.mutable_groups(), pager, [&](const routing_state::RequestClassRoute& request_class) {
@@ -174,7 +176,8 @@
   remove_server_lists(snapshot);
 }
 
-// Budgets, then servers with a lease, drained by operators, or failed in the release.
+// The rows are disruption budgets, servers with a maintenance lease, servers drained by operators, and
+// servers that failed in the release, in this order.
 void AdminQueries::add_maintenance(const AdminQuery& query, Pager& pager, AdminAnswer& answer) const {
   add_maintenance_rows(*replicated_, answer);
   auto has_prefix = [&](const std::string& name) { return name.starts_with(query.name); };
@@ -198,7 +201,7 @@
   answer.set_digest(xds::hex(state.digest()));
   answer.set_refused(state.rejected_entries());
   answer.set_left_out(replicated_->links().dropped());
-  answer.set_agreed_time_s(seconds(state.time()));
+  answer.set_agreed_time_s(to_seconds(state.time()));
   answer.set_disk_fails(raft.disk_failed());
   answer.set_published(state.published());
   answer.set_shards_closed(static_cast<std::uint32_t>(state.closed_shards()));
@@ -217,10 +220,10 @@
   agreement::ControlReplica::PeerStatus reported = replica.peer_status(server.id());
   row.set_applied(row.here() ? answer.epoch() : reported.applied);
   row.set_heard_s_ago(row.here() ? 0 : seconds_since(reported.received_at, loop_.now()));
-  auto agreed = replica.agreed().instances().find(server.id());
-  if (agreed == replica.agreed().instances().end()) return;
-  row.set_format(agreed->second.format);
-  row.set_settings(xds::hex(agreed->second.settings));
+  auto instance = replica.agreed().instances().find(server.id());
+  if (instance == replica.agreed().instances().end()) return;
+  row.set_format(instance->second.format);
+  row.set_settings(xds::hex(instance->second.settings));
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_queries.h
+++ b/src/control/admin_queries.h
@@ -1,5 +1,5 @@
-// Answers operators' queries on what a running control service has measured and what it serves. Owned by
-// AdminServer, called on the loop's thread; reads only.
+// Answers operators' queries about the state of a running control service: servers, proxies, the published
+// snapshot, replicas and maintenance. Owned by AdminServer, called on the loop's thread. Read-only.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,24 @@
 
 namespace myrtlecroft::control {
 
-// The control service's own state at the time of a query.
+// State of the control service that is reported in every answer.
 struct ControlStatus {
-  std::uint64_t published = 0;       // the publication that is served; 0: none
-  std::uint64_t applied_by_all = 0;  // the publication that every proxy has applied
-  bool disk_fails = false;
+  std::uint64_t published = 0;       // number of the publication that is served; 0: none
+  std::uint64_t applied_by_all = 0;  // newest publication that every proxy has applied
+  bool disk_fails = false;           // the last write of the saved state failed
 };
 
+// Builds the answers to queries.
 class AdminQueries {
  public:
-  // `replicated` is nullptr where this control service decides alone. All outlive this.
+  // `replicated` is nullptr for a standalone control service. All arguments must outlive this object.
   AdminQueries(net::Loop& loop, const routing::Router& router, DiscoveryService& discovery,
                const ReplicatedControl* replicated)
       : loop_(loop), router_(router), discovery_(discovery), replicated_(replicated) {}
 
-  // The fields that every answer has.
+  // Returns an answer with the fields that every answer has.
   AdminAnswer summary(const ControlStatus& status) const;
-  // Adds the rows of one page. Topics of replicas and maintenance need `replicated`.
+  // Adds the rows of the requested page. Queries about instances and maintenance require `replicated`.
   void add_rows(const AdminQuery& query, AdminAnswer& answer) const;
 
  private:
--- a/src/control/admin_query.cpp
+++ b/src/control/admin_query.cpp
@@ -14,14 +14,15 @@
 
 constexpr std::size_t kMaxPage = 1'000'000;
 
-struct TopicRule {
-  std::string_view prefix;  // of the line
+// A topic and the options that its queries accept.
+struct TopicSyntax {
+  std::string_view prefix;  // of the query line
   Topic topic;
   std::vector<std::string_view> options;
 };
 
-const std::vector<TopicRule>& topic_rules() {
-  static const std::vector<TopicRule> kRules = {
+const std::vector<TopicSyntax>& topic_syntaxes() {
+  static const std::vector<TopicSyntax> kSyntaxes = {
       {"nodes", Topic::kServers, {"zone", "state", "name", "page"}},
       {"proxies", Topic::kProxies, {"zone", "name", "page"}},
       {"snapshot", Topic::kSnapshot, {"zone", "state", "name", "page"}},
@@ -29,13 +30,13 @@
       {"outings", Topic::kMaintenance, {"name", "page"}},
       {"release status", Topic::kReleaseStatus, {"page"}},
   };
-  return kRules;
+  return kSyntaxes;
 }
 
-const TopicRule* find_rule(std::string_view line) {
-  for (const TopicRule& rule : topic_rules()) {
-    if (line == rule.prefix) return &rule;
-    if (line.starts_with(rule.prefix) && line[rule.prefix.size()] == ' ') return &rule;
+const TopicSyntax* find_syntax(std::string_view line) {
+  for (const TopicSyntax& syntax : topic_syntaxes()) {
+    if (line == syntax.prefix) return &syntax;
+    if (line.starts_with(syntax.prefix) && line[syntax.prefix.size()] == ' ') return &syntax;
   }
   return nullptr;
 }
@@ -56,7 +57,7 @@
   return out;
 }
 
-std::vector<std::string_view> states_of(Topic topic) {
+std::vector<std::string_view> valid_states(Topic topic) {
   std::vector<std::string_view> out;
   if (topic == Topic::kSnapshot) {
     for (auto health :
@@ -85,25 +86,25 @@
   return {.kind = AdminQueryError::Kind::kBadOption, .message = std::move(message)};
 }
 
-// Sets one option ("zone=a") in `out`.
-std::optional<AdminQueryError> set_option(const TopicRule& rule, std::string_view text, AdminQuery& out) {
+// Parses one option ("zone=a") into `out`. Returns nothing on success.
+std::optional<AdminQueryError> set_option(const TopicSyntax& syntax, std::string_view text, AdminQuery& out) {
   std::size_t equals = text.find('=');
   const std::string option(text.substr(0, equals));
   const std::string value(equals == std::string_view::npos ? "" : text.substr(equals + 1));
-  if (!contains(rule.options, option)) {
-    return bad_option(std::string(rule.prefix) + " takes no '" + option + "'" +
-                      (rule.options.empty() ? "" : "; there are " + join_with_commas(rule.options)));
+  if (!contains(syntax.options, option)) {
+    return bad_option(std::string(syntax.prefix) + " has no option '" + option + "'" +
+                      (syntax.options.empty() ? "" : "; available are " + join_with_commas(syntax.options)));
   }
   if (value.empty()) return bad_option(option + " has no value");
   if (option == "page") {
     std::optional<std::size_t> page = parse_page(value);
-    if (!page) return bad_option("page '" + value + "' is no number from 1");
+    if (!page) return bad_option("page '" + value + "' is not a valid page number; pages start at 1");
     out.page = *page;
   }
   if (option == "state") {
-    std::vector<std::string_view> states = states_of(rule.topic);
+    std::vector<std::string_view> states = valid_states(syntax.topic);
     if (!contains(states, value))
-      return bad_option("state '" + value + "' is none of " + join_with_commas(states));
+      return bad_option("state '" + value + "' is not one of " + join_with_commas(states));
     out.state = value;
   }
   if (option == "zone") out.zone = value;
@@ -114,11 +115,11 @@
 }  // namespace
 
 std::variant<AdminQuery, AdminQueryError> parse_admin_query(std::string_view line) {
-  const TopicRule* rule = find_rule(line);
-  if (!rule) return AdminQueryError{.kind = AdminQueryError::Kind::kUnknownTopic, .message = ""};
-  AdminQuery query{.topic = rule->topic, .zone = "", .state = "", .name = ""};
-  for (std::string_view option : split_at_spaces(line.substr(rule->prefix.size()))) {
-    if (std::optional<AdminQueryError> error = set_option(*rule, option, query)) return *std::move(error);
+  const TopicSyntax* syntax = find_syntax(line);
+  if (!syntax) return AdminQueryError{.kind = AdminQueryError::Kind::kUnknownTopic, .message = ""};
+  AdminQuery query{.topic = syntax->topic, .zone = "", .state = "", .name = ""};
+  for (std::string_view option : split_at_spaces(line.substr(syntax->prefix.size()))) {
+    if (std::optional<AdminQueryError> error = set_option(*syntax, option, query)) return *std::move(error);
   }
   return query;
 }
--- a/src/control/admin_query.h
+++ b/src/control/admin_query.h
@@ -1,5 +1,5 @@
-// Parses an operator's query, one line: a topic, and which of its rows: "nodes zone=a state=silent page=2".
-// Called by AdminServer. No I/O, no state.
+// Parses an operator's query: one line with a topic and options that select rows, as in
+// "nodes zone=a state=silent page=2". Called by AdminServer. No I/O, no state.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,26 @@
 
 enum class Topic { kServers, kProxies, kSnapshot, kInstances, kMaintenance, kReleaseStatus };
 
+// Which rows an operator asked for. An empty filter matches every row.
 struct AdminQuery {
   Topic topic = Topic::kServers;
-  std::string zone;      // of the rows; empty: any
-  std::string state;     // of the rows; empty: any; of a snapshot's servers, their health
-  std::string name;      // the prefix of the row's name; empty: any
-  std::size_t page = 1;  // from 1
+  std::string zone;      // of the server or proxy
+  std::string state;     // of the server; for a snapshot, the server's health
+  std::string name;      // prefix of the row's name
+  std::size_t page = 1;  // counted from 1
 };
 
+// Why a line is not a valid query.
 struct AdminQueryError {
   enum class Kind {
-    kUnknownTopic,  // the line begins with none of the topics; it may be a command
-    kBadOption
+    kUnknownTopic,  // the line does not begin with a topic; it may be a command
+    kBadOption      // an option is unknown for the topic, or its value is invalid
   };
   Kind kind = Kind::kUnknownTopic;
-  std::string message;  // for the operator, one line; empty for an unknown topic
+  std::string message;  // one line, for the operator; empty for kUnknownTopic
 };
 
+// Does not throw.
 std::variant<AdminQuery, AdminQueryError> parse_admin_query(std::string_view line);
 
 }  // namespace myrtlecroft::control
--- a/src/control/admin_server.cpp
+++ b/src/control/admin_server.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::size_t kMaxConnections = 16;
-constexpr std::size_t kMaxLineBytes = 8192;  // a release's plan is sent with its command
-const std::string kUnknownQueryAlone = "unknown question; there are nodes, proxies and snapshot";
+constexpr std::size_t kMaxLineBytes = 8192;  // "release start" carries the whole plan
+const std::string kUnknownStandaloneQuery = "unknown query; available are nodes, proxies and snapshot";
 
-bool needs_replicas(Topic topic) {
+bool requires_replication(Topic topic) {
   return topic == Topic::kInstances || topic == Topic::kMaintenance || topic == Topic::kReleaseStatus;
 }
 
@@ -42,7 +42,7 @@
     return 0;
   }
   std::string line(bytes.substr(0, end));
-  if (commands_ && AdminCommands::is_command(line)) {
+  if (commands_ && AdminCommands::is_maintenance_command(line)) {
     commands_->submit(id, connection, line, queries_.summary(status_()));
   } else {
     write_answer(connection, answer(line));
@@ -54,10 +54,10 @@
   AdminAnswer out = queries_.summary(status_());
   std::variant<AdminQuery, AdminQueryError> parsed = parse_admin_query(line);
   if (const auto* query = std::get_if<AdminQuery>(&parsed)) {
-    if (commands_ || !needs_replicas(query->topic)) {
+    if (commands_ || !requires_replication(query->topic)) {
       queries_.add_rows(*query, out);
     } else {
-      out.set_error(kUnknownQueryAlone);
+      out.set_error(kUnknownStandaloneQuery);
     }
     return out;
   }
@@ -65,11 +65,11 @@
   if (error.kind == AdminQueryError::Kind::kBadOption) {
     out.set_error(error.message);
   } else if (!commands_) {
-    out.set_error(kUnknownQueryAlone);
-  } else if (std::optional<AdminCommandError> refused = commands_->change_members(line)) {
-    out.set_error(refused->message);
+    out.set_error(kUnknownStandaloneQuery);
+  } else if (std::optional<AdminCommandError> command_error = commands_->start_membership_change(line)) {
+    out.set_error(command_error->message);
   } else {
-    out.set_done("under way");
+    out.set_done("started");
   }
   return out;
 }
--- a/src/control/admin_server.h
+++ b/src/control/admin_server.h
@@ -1,5 +1,5 @@
-// The admin address: reads one line a connection, passes it to the queries or the commands, and writes the
-// answer. Owned by Control; used on the loop's thread.
+// The server of the admin interface: reads one line per connection, passes it to the queries or the commands
+// and writes the answer. Owned by ControlService, used on the loop's thread.
 #pragma once
 
 #include <functional>
@@ -12,19 +12,21 @@
 
 namespace myrtlecroft::control {
 
+// Accepts operators' connections (16 at most) and owns the handlers of queries and commands.
 class AdminServer {
  public:
+  // The components whose state is reported.
   struct Sources {
     const routing::Router& router;
     DiscoveryService& discovery;
-    ReplicatedControl* replicated = nullptr;  // nullptr where this control service decides alone
+    ReplicatedControl* replicated = nullptr;  // nullptr for a standalone control service
     std::function<ControlStatus()> status;
   };
-  // What the sources name outlives this. Throws ListenError.
+  // The objects in `sources` must outlive this one. Throws ListenError.
   AdminServer(net::Loop& loop, service::Logger& log, const sockaddr_in& address, Sources sources);
 
   std::uint16_t port() const { return server_.port(); }
-  // Answers commands whose result is agreed. To be called after each change of the agreed state.
+  // Answers commands whose result is committed. Must be called after each change of the replicated state.
   void tick();
 
  private:
@@ -33,7 +35,7 @@
 
   std::function<ControlStatus()> status_;
   AdminQueries queries_;
-  std::unique_ptr<AdminCommands> commands_;  // nullptr where this control service decides alone
+  std::unique_ptr<AdminCommands> commands_;  // nullptr for a standalone control service
   FrameServer server_;
 };
 
--- a/src/control/command_line.cpp
+++ b/src/control/command_line.cpp
@@ -5,12 +5,12 @@
 namespace myrtlecroft::control {
 namespace {
 
-constexpr unsigned kMinSnapshotAfter = 8;  // log entries
-constexpr unsigned kMaxSnapshotAfter = 100'000;
+constexpr unsigned kMinSnapshotThreshold = 8;  // log entries
+constexpr unsigned kMaxSnapshotThreshold = 100'000;
 
 }  // namespace
 
-std::string RowOptions::text() const {
+std::string RowOptions::query_suffix() const {
   std::string out;
   if (!zone.empty()) out += " zone=" + zone;
   if (!state.empty()) out += " state=" + state;
@@ -19,9 +19,12 @@
   return out;
 }
 
-CommandLine::CommandLine() : app_("Decides how a fleet's requests are routed, and serves proxies over xDS") {
+CommandLine::CommandLine()
+    : app_(
+          "Control service: decides how a fleet's requests are routed and serves the routes to proxies over "
+          "xDS") {
   app_.require_subcommand(1);
-  add_serve();
+  add_serve_command();
   add_offline_commands();
   add_member_commands();
   add_drain_commands();
@@ -44,63 +47,66 @@
   return name;
 }
 
-void CommandLine::add_serve() {
+void CommandLine::add_serve_command() {
   CLI::App& serve = *app_.add_subcommand("serve", "Run the control service");
   serve_command_ = &serve;
   serve.add_option("--fleet", serve_.fleet_path, "The fleet file")->required();
-  serve.add_option("--state", serve_.state_folder, "Folder of the saved state; without it none is saved");
-  serve.add_option("--xds", serve_.discovery, "Address for proxies")->capture_default_str();
-  serve.add_option("--reports", serve_.reports, "Address for servers' load reports")->capture_default_str();
-  serve.add_option("--admin", serve_.admin, "Address for the commands below")->capture_default_str();
+  serve.add_option("--state", serve_.state_folder,
+                   "Folder for the saved state; without it no state is saved");
+  serve.add_option("--xds", serve_.discovery, "Listen address for proxies")->capture_default_str();
+  serve.add_option("--reports", serve_.reports, "Listen address for servers' load reports")
+      ->capture_default_str();
+  serve.add_option("--admin", serve_.admin, "Listen address for admin commands and queries")
+      ->capture_default_str();
   serve.add_flag("--first-start", serve_.first_start,
-                 "No proxy was ever served for this fleet: nothing can have run");
-  add_agreement(serve);
+                 "No proxy was ever served for this fleet, so no request can have run");
+  add_replication_options(serve);
 }
 
-void CommandLine::add_agreement(CLI::App& serve) {
+void CommandLine::add_replication_options(CLI::App& serve) {
   AgreementOptions& agreement = serve_.agreement;
-  serve.add_option("--instance", agreement.id,
-                   "Id among several that decide as one; above 0, never used again");
-  serve.add_option("--peer", agreement.address, "Address where other instances reach it");
-  serve.add_option("--log", agreement.folder, "Folder of its log");
+  serve.add_option("--instance", agreement.id, "Id of this replica in the cluster; above 0, never reused");
+  serve.add_option("--peer", agreement.address, "Address where other instances reach this one");
+  serve.add_option("--log", agreement.folder, "Folder of the replicated log");
   serve.add_option("--begin", serve_.bootstrap,
-                   "First start of several: all of them, as 1=127.0.0.1:7401,2=...");
-  serve.add_option("--reach", serve_.address_overrides,
-                   "Others, where they are reached from here at another address than the cluster knows");
-  serve.add_flag("--join", agreement.join, "First start of one that is to be added by 'let-in'");
+                   "First start of a new cluster: all its members, as 1=127.0.0.1:7401,2=...");
+  serve.add_option(
+      "--reach", serve_.address_overrides,
+      "Address overrides: members that this instance reaches at another address than the cluster knows");
+  serve.add_flag("--join", agreement.join,
+                 "First start of an instance that 'let-in' will add to a running cluster");
   serve
       .add_option("--hold-format", agreement.max_entry_format,
-                  "Accept and write no newer format of log entries, for an upgrade that may be rolled back")
+                  "Newest format of log entries to accept and write, for an upgrade that may be rolled back")
       ->check(CLI::Range(1u, agreement::kEntryFormat));
-  serve
-      .add_option("--snapshot-after", agreement.snapshot_threshold,
-                  "Entries of the log between two snapshots")
-      ->check(CLI::Range(kMinSnapshotAfter, kMaxSnapshotAfter))
+  serve.add_option("--snapshot-after", agreement.snapshot_threshold, "Log entries between two snapshots")
+      ->check(CLI::Range(kMinSnapshotThreshold, kMaxSnapshotThreshold))
       ->capture_default_str();
 }
 
 void CommandLine::add_offline_commands() {
   new_cluster_command_ = app_.add_subcommand(
-      "begin-again", "A majority is lost for good: force a new cluster with the state of this folder");
+      "begin-again",
+      "After the permanent loss of a majority: force a new cluster with the state of this folder");
   new_cluster_command_
       ->add_option("--log", new_cluster_.folder, "Folder of the instance with the highest epoch")
       ->required();
   new_cluster_command_
-      ->add_option("--instances", new_cluster_.instances, "The new cluster, as 1=127.0.0.1:7401")
+      ->add_option("--instances", new_cluster_.instances, "Members of the new cluster, as 1=127.0.0.1:7401")
       ->required();
   check_command_ = app_.add_subcommand("check", "Validate a fleet file");
-  check_command_->add_option("file", checked_path_, "The fleet file")->required();
+  check_command_->add_option("file", checked_fleet_path_, "The fleet file")->required();
 }
 
 void CommandLine::add_member_commands() {
   const std::vector<std::pair<const char*, const char*>> commands = {
-      {"let-in", "Add a member, at the instance that leads"},
-      {"let-out", "Remove a member, at the instance that leads"},
-      {"hand-on", "Transfer leadership, at the instance that leads"}};
+      {"let-in", "Add a member (ask the leader)"},
+      {"let-out", "Remove a member (ask the leader)"},
+      {"hand-on", "Transfer leadership to another member (ask the leader)"}};
   for (const auto& [name, description] : commands) {
     CLI::App* command = app_.add_subcommand(name, description);
-    command->add_option("--admin", client_.admin, "Its admin address")->capture_default_str();
-    command->add_option("words", client_.operands, "Id, and for let-in the address");
+    command->add_option("--admin", client_.admin, "Admin address of the leader")->capture_default_str();
+    command->add_option("words", client_.operands, "Id of the member; for let-in also its address");
   }
 }
 
@@ -116,24 +122,25 @@
 }
 
 void CommandLine::add_release_commands() {
-  release_command_ = app_.add_subcommand("release", "Bring the fleet to another version, wave by wave");
+  release_command_ = app_.add_subcommand("release", "Roll the fleet out to another version, wave by wave");
   release_command_->require_subcommand(1);
-  release_start_ = release_command_->add_subcommand("start", "Start one");
+  release_start_ = release_command_->add_subcommand("start", "Start a release");
   release_start_->add_option("plan", plan_path_, "The plan's file")->required();
   release_check_ = release_command_->add_subcommand("check", "Validate a plan");
   release_check_->add_option("plan", plan_path_, "The plan's file")->required();
-  CLI::App* status = release_command_->add_subcommand("status", "Its progress, and what it waits for");
-  status->add_flag("--watch", client_.watch, "Show it until it is over");
+  CLI::App* status =
+      release_command_->add_subcommand("status", "Show the release's progress and what it waits for");
+  status->add_flag("--watch", client_.watch, "Refresh on the terminal until the release ends");
   status->add_flag("--json", client_.as_json, "Print JSON");
   add_row_options(*status, "release status");
   const std::vector<std::pair<const char*, const char*>> commands = {
-      {"halt", "Take no further server out, at once"},
-      {"resume", "Go on after a halt"},
-      {"back", "Roll back to the version before, the newest first"},
-      {"end", "End a halted one as it is"}};
+      {"halt", "Stop taking servers out of rotation, effective immediately"},
+      {"resume", "Resume after a halt"},
+      {"back", "Roll back to the previous version, starting with the servers updated last"},
+      {"end", "End a halted release without a rollback"}};
   for (const auto& [name, description] : commands) {
     release_command_->add_subcommand(name, description)
-        ->add_option("reason", client_.operands, "For the log");
+        ->add_option("reason", client_.operands, "Reason to log");
   }
   for (CLI::App* command : release_command_->get_subcommands({})) {
     if (command == release_check_) continue;
@@ -144,7 +151,8 @@
 void CommandLine::add_queries() {
   for (const char* topic : {"snapshot", "proxies", "nodes", "instances", "outings"}) {
     CLI::App* query = app_.add_subcommand(topic, "Query a running control service");
-    query->add_option("--admin", client_.admin, "Its admin address")->capture_default_str();
+    query->add_option("--admin", client_.admin, "Admin address of the control service")
+        ->capture_default_str();
     query->add_flag("--json", client_.as_json, "Print JSON");
     add_row_options(*query, topic);
   }
@@ -152,14 +160,14 @@
 
 void CommandLine::add_row_options(CLI::App& query, const std::string& topic) {
   if (topic == "instances") return;
-  query.add_option("--page", client_.rows.page, "Page of a long answer, from 1");
+  query.add_option("--page", client_.rows.page, "Page of a long answer, counted from 1");
   if (topic == "release status") return;
-  query.add_option("--name", client_.rows.name, "Only rows whose name begins so");
+  query.add_option("--name", client_.rows.name, "Only rows whose name begins with this");
   if (topic == "outings") return;
   query.add_option("--zone", client_.rows.zone, "Only rows of this zone");
   if (topic == "proxies") return;
   query.add_option("--state", client_.rows.state,
-                   topic == "nodes" ? "Only servers in this state" : "Only servers of this health");
+                   topic == "nodes" ? "Only servers in this state" : "Only servers with this health");
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/command_line.h
+++ b/src/control/command_line.h
@@ -1,4 +1,4 @@
-// The program's subcommands and options. Used by main.cpp alone. Parses only; nothing is run or checked here
+// The program's subcommands and options. Used only by main.cpp. Arguments are parsed, but not validated
 // beyond what the option parser checks.
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace myrtlecroft::control {
 
-// Of "serve". Addresses and lists of instances as they were given.
+// Arguments of "serve". Addresses and lists of instances are not parsed yet.
 struct ServeArguments {
   std::string fleet_path;
   std::string state_folder;
@@ -24,33 +24,33 @@
   AgreementOptions agreement;
 };
 
-// Of "begin-again".
+// Arguments of "begin-again".
 struct NewClusterArguments {
   std::string folder;
   std::string instances;
 };
 
-// Which rows of an answer.
+// The rows of an answer that are requested. An empty filter matches every row.
 struct RowOptions {
   std::string zone;
   std::string state;
   std::string name;
-  std::size_t page = 1;
+  std::size_t page = 1;  // counted from 1
 
-  // As the end of a query: " zone=a page=2".
-  std::string text() const;
+  // The options as they end a query line: " zone=a page=2".
+  std::string query_suffix() const;
 };
 
-// Of the subcommands that call a running control service.
+// Arguments of the subcommands that call a running control service.
 struct ClientArguments {
   std::string admin = "127.0.0.1:7301";
-  std::vector<std::string> operands;  // after the command's name
+  std::vector<std::string> operands;  // the words after the command's name
   RowOptions rows;
   bool as_json = false;
   bool watch = false;
 };
 
-// Made once; parse() fills the arguments of the subcommand that was given.
+// Defines all subcommands. parse() fills in the arguments of the one on the command line.
 class CommandLine {
  public:
   enum class Command { kServe, kNewCluster, kCheckFleet, kCheckPlan, kStartRelease, kWatchRelease, kCall };
@@ -59,23 +59,24 @@
   CommandLine(const CommandLine&) = delete;
   CommandLine& operator=(const CommandLine&) = delete;
 
-  // Throws CLI::ParseError, which print() writes out.
+  // Throws CLI::ParseError, which print_error() prints.
   void parse(int argc, char** argv) { app_.parse(argc, argv); }
-  // Returns 0 where help was asked for.
-  int print(const CLI::ParseError& error) const { return app_.exit(error); }
+  // Prints the error or the requested help. Returns 0 for help, else the parser's exit code.
+  int print_error(const CLI::ParseError& error) const { return app_.exit(error); }
 
+  // The subcommand on the command line. Valid after parse().
   Command command() const;
-  // The subcommand's name, for a release with the second one: "release status".
+  // Its name, including the nested subcommand of "release", as in "release status".
   std::string name() const;
   const ServeArguments& serve() const { return serve_; }
   const NewClusterArguments& new_cluster() const { return new_cluster_; }
   const ClientArguments& client() const { return client_; }
-  const std::string& checked_path() const { return checked_path_; }  // of a fleet file
-  const std::string& plan_path() const { return plan_path_; }
+  const std::string& checked_fleet_path() const { return checked_fleet_path_; }  // of "check"
+  const std::string& plan_path() const { return plan_path_; }  // of "release start" and "release check"
 
  private:
-  void add_serve();
-  void add_agreement(CLI::App& serve);
+  void add_serve_command();
+  void add_replication_options(CLI::App& serve);
   void add_offline_commands();
   void add_member_commands();
   void add_drain_commands();
@@ -87,7 +88,7 @@
   ServeArguments serve_;
   NewClusterArguments new_cluster_;
   ClientArguments client_;
-  std::string checked_path_;
+  std::string checked_fleet_path_;
   std::string plan_path_;
   CLI::App* serve_command_ = nullptr;
   CLI::App* new_cluster_command_ = nullptr;
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr Nanos kStepInterval = 100 * kMs;
-constexpr Nanos kTrimInterval = 5000 * kMs;  // memory of a burst of connections goes back to the system
+constexpr Nanos kHeapTrimInterval = 5000 * kMs;  // returns memory to the system after a burst of connections
 
-// Of a file's bytes, so that replicas see whether they have the same.
-std::uint64_t hash_of_file(const std::string& path) {
+// Hashes a file's bytes. Replicas compare the hashes to detect different fleet files.
+std::uint64_t hash_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::string bytes((std::istreambuf_iterator<char>(in)), {});
   return XXH3_64bits(bytes.data(), bytes.size());
@@ -35,17 +35,18 @@
                            {.discovery = discovery_,
                             .publisher = publisher_,
                             .state = [this] { return router_.persisted_state(); }}),
-      own_router_(make_router()),
+      standalone_router_(make_router()),
       replicated_(make_replica()),
-      router_(own_router_ ? *own_router_ : replicated_->replica().router()),
-      reports_(loop, log, options_.addresses.reports,
-               {.router = router_, .replica = replica(), .mode_changed = [this] { request_decision(); }}),
-      proxies_(discovery_, load_reporting_, router_, replica()),
-      admin_(loop, log, options_.addresses.admin,
-             {.router = router_,
-              .discovery = discovery_,
-              .replicated = replicated_.get(),
-              .status = [this] { return status(); }}),
+      router_(standalone_router_ ? *standalone_router_ : replicated_->replica().router()),
+      report_receiver_(
+          loop, log, options_.addresses.reports,
+          {.router = router_, .replica = replica(), .mode_changed = [this] { request_decision(); }}),
+      proxy_monitor_(discovery_, load_reporting_, router_, replica()),
+      admin_server_(loop, log, options_.addresses.admin,
+                    {.router = router_,
+                     .discovery = discovery_,
+                     .replicated = replicated_.get(),
+                     .status = [this] { return status(); }}),
       step_timer_(loop.base(), [this] { step(); }) {
   step();
   discovery_server_ =
@@ -63,10 +64,10 @@
   if (options_.agreement.id == 0) return nullptr;
   return std::make_unique<ReplicatedControl>(
       loop_, log_, options_.agreement,
-      ReplicatedControl::Start{.fleet = fleet::read_fleet(options_.fleet_path),
-                               .first_start = options_.first_start,
-                               .fleet_file_hash = hash_of_file(options_.fleet_path)},
-      [this] { serve_agreed(); });
+      ReplicatedControl::InitialFleet{.fleet = fleet::read_fleet(options_.fleet_path),
+                                      .first_start = options_.first_start,
+                                      .fleet_file_hash = hash_file(options_.fleet_path)},
+      [this] { serve_agreed_state(); });
 }
 
 void ControlService::reload() {
@@ -74,7 +75,7 @@
     fleet::Fleet fleet = fleet::read_fleet(options_.fleet_path);
     std::size_t servers = fleet.nodes.size();
     if (replicated_) {
-      replicated_->replica().update_fleet(std::move(fleet), hash_of_file(options_.fleet_path));
+      replicated_->replica().update_fleet(std::move(fleet), hash_file(options_.fleet_path));
     } else {
       router_.update_fleet(std::move(fleet), loop_.now());
     }
@@ -99,35 +100,35 @@
 
 void ControlService::step() {
   step_timer_.set(kStepInterval);
-  proxies_.step(loop_.now());
+  proxy_monitor_.step(loop_.now());
   if (replicated_) {
-    serve_agreed();
+    serve_agreed_state();
   } else {
-    decide_alone();
+    step_standalone();
   }
 }
 
-void ControlService::decide_alone() {
+void ControlService::step_standalone() {
   if (!publisher_.may_publish()) {
     router_.observe(loop_.now());
   } else if (auto published = router_.step(loop_.now())) {
     durable_publication_.set_pending(std::move(published));
   }
-  if (!durable_publication_.has_pending() && loop_.now() - trimmed_at_ > kTrimInterval) {
-    trimmed_at_ = loop_.now();
+  if (!durable_publication_.has_pending() && loop_.now() - last_trim_at_ > kHeapTrimInterval) {
+    last_trim_at_ = loop_.now();
     malloc_trim(0);
   }
   durable_publication_.step();
 }
 
-void ControlService::serve_agreed() {
-  admin_.tick();
+void ControlService::serve_agreed_state() {
+  admin_server_.tick();
   publisher_.publish_agreed(replicated_->replica());
 }
 
 ControlStatus ControlService::status() const {
   return {.published = publisher_.number(),
-          .applied_by_all = proxies_.applied_by_all(),
+          .applied_by_all = proxy_monitor_.applied_by_all(),
           .disk_fails = durable_publication_.disk_fails()};
 }
 
--- a/src/control/discovery_server.cpp
+++ b/src/control/discovery_server.cpp
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr int kMaxRequestBytes = 1 << 20;
-constexpr int kMaxStreams = 64;  // of one connection
+constexpr int kMaxStreams = 64;  // per connection
 constexpr int kMaxThreads = 16;
-constexpr int kKeepaliveMs = 10'000;  // so that a proxy whose host vanished is noticed
+constexpr int kKeepaliveMs =
+    10'000;  // detects a proxy whose host has vanished without closing the connection
 constexpr int kKeepaliveTimeoutMs = 5'000;
-constexpr int kMinPingIntervalMs = 5'000;  // of a proxy
+constexpr int kMinPingIntervalMs = 5'000;  // of a proxy's keep-alive pings
 constexpr int kReadChunkBytes = 4096;
 constexpr std::size_t kMaxMemoryBytes = std::size_t{512} << 20;
 constexpr auto kShutdownGrace = std::chrono::milliseconds(500);
@@ -33,7 +34,7 @@
   builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
   builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, kMinPingIntervalMs);
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-  // Proxies send little: reads need no large buffer and no measurement of the bandwidth.
+  // Proxies send little, so reads need neither a large buffer nor a bandwidth estimate.
   builder.AddChannelArgument(GRPC_ARG_TCP_READ_CHUNK_SIZE, kReadChunkBytes);
   builder.AddChannelArgument(GRPC_ARG_TCP_MAX_READ_CHUNK_SIZE, kReadChunkBytes);
   builder.AddChannelArgument(GRPC_ARG_HTTP2_BDP_PROBE, 0);
--- a/src/control/discovery_server.h
+++ b/src/control/discovery_server.h
@@ -1,5 +1,5 @@
-// The gRPC server that proxies connect to, with its bounds. Owned by Control, which makes it once there is
-// something to serve. gRPC's own threads run the services.
+// The gRPC server that proxies connect to, with its resource limits. Owned by ControlService, which creates
+// it after its first decision step. gRPC's own threads run the services.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -13,12 +13,14 @@
 
 namespace myrtlecroft::control {
 
+// Listens from construction to destruction.
 class DiscoveryServer {
  public:
-  // `address` as gRPC has it ("127.0.0.1:18000"). Both services outlive this. Throws ListenError.
+  // `address` is in gRPC's notation ("127.0.0.1:18000"). Both services must outlive this object. Throws
+  // ListenError.
   DiscoveryServer(const std::string& address, DiscoveryService& discovery,
                   LoadReportingService& load_reporting);
-  // Ends all streams; waits half a second at most for calls that go on.
+  // Ends all streams. Calls still open after half a second are cancelled.
   ~DiscoveryServer();
   DiscoveryServer(const DiscoveryServer&) = delete;
   DiscoveryServer& operator=(const DiscoveryServer&) = delete;
--- a/src/control/discovery_service.cpp
+++ b/src/control/discovery_service.cpp
@@ -11,8 +11,8 @@
 namespace discovery = envoy::service::discovery::v3;
 using grpc::ByteBuffer;
 
-constexpr const char* kMalformedRequest = "a request makes no sense";        // sent to the proxy
-constexpr const char* kNamelessRequest = "the first request names no node";  // sent to the proxy
+constexpr const char* kMalformedRequest = "a request makes no sense";      // sent to the proxy
+constexpr const char* kMissingNodeId = "the first request names no node";  // sent to the proxy
 
 Nanos steady_now() {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
@@ -20,7 +20,8 @@
       .count();
 }
 
-// Refers to the bytes of a resource, and keeps it alive until the last write of them is done.
+// Refers to the bytes of a resource without a copy, and keeps the resource alive until the last write of
+// them is done.
 grpc::Slice shared_slice(const xds::ResourcePtr& resource, xds::ProtocolVariant variant) {
   const std::string& bytes = xds::encoded_resource(*resource, variant);
   return grpc::Slice(
@@ -30,30 +31,31 @@
 
 }  // namespace
 
+// One xDS stream of a proxy. gRPC calls the On... methods on its threads; OnDone deletes the stream.
 class DiscoveryService::Stream final : public grpc::ServerBidiReactor<ByteBuffer, ByteBuffer> {
  public:
   Stream(DiscoveryService& service, xds::ProtocolVariant variant, const std::string& peer)
-      : service_(service), form_(variant) {
+      : service_(service), variant_(variant) {
     std::lock_guard lock(service_.mutex_);
     ++service_.changes_;
-    id_ = service_.table_.open(variant, peer);
+    id_ = service_.session_table_.open(variant, peer);
     service_.streams_[id_] = this;
-    StartRead(&in_);
+    StartRead(&read_buffer_);
   }
 
-  // With the service's mutex locked.
-  void write_next() {
-    if (writing_ || ending_) return;
-    auto response = service_.table_.next(id_);
+  // Writes the stream's next response, if one is due and no write is pending. Requires the service's mutex.
+  void write_next_response() {
+    if (write_pending_ || finish_called_) return;
+    auto response = service_.session_table_.next(id_);
     if (!response) return;
     std::vector<grpc::Slice> slices;
     slices.reserve(response->resources.size() + 1);
-    slices.emplace_back(xds::encode_response_header(*response, form_));
+    slices.emplace_back(xds::encode_response_header(*response, variant_));
     for (const xds::ResourcePtr& resource : response->resources)
-      slices.push_back(shared_slice(resource, form_));
-    out_ = ByteBuffer(slices.data(), slices.size());
-    writing_ = true;
-    StartWrite(&out_);
+      slices.push_back(shared_slice(resource, variant_));
+    write_buffer_ = ByteBuffer(slices.data(), slices.size());
+    write_pending_ = true;
+    StartWrite(&write_buffer_);
   }
 
   void OnReadDone(bool ok) override {
@@ -62,21 +64,23 @@
       end(grpc::Status::OK);
       return;
     }
-    if (ending_) return;
+    if (finish_called_) return;
     grpc::Slice bytes;
-    xds::ParsedRequest read;
-    if (!in_.DumpToSingleSlice(&bytes).ok() || !xds::read_request(form_, bytes.begin(), bytes.size(), read)) {
-      fail(grpc::StatusCode::INVALID_ARGUMENT, {.sent = kMalformedRequest, .logged = "malformed request"});
+    xds::ParsedRequest parsed;
+    if (!read_buffer_.DumpToSingleSlice(&bytes).ok() ||
+        !xds::read_request(variant_, bytes.begin(), bytes.size(), parsed)) {
+      fail(grpc::StatusCode::INVALID_ARGUMENT,
+           {.status_message = kMalformedRequest, .log_text = "malformed request"});
       return;
     }
-    if (read.request && !handle(read)) return;
-    StartRead(&in_);
+    if (parsed.request && !handle(parsed)) return;
+    StartRead(&read_buffer_);
   }
 
   void OnWriteDone(bool ok) override {
     std::lock_guard lock(service_.mutex_);
-    writing_ = false;
-    if (ok) write_next();
+    write_pending_ = false;
+    if (ok) write_next_response();
   }
 
   void OnCancel() override {
@@ -88,7 +92,7 @@
     {
       std::lock_guard lock(service_.mutex_);
       ++service_.changes_;
-      service_.table_.close(id_, steady_now());
+      service_.session_table_.close(id_, steady_now());
       service_.streams_.erase(id_);
     }
     delete this;
@@ -96,47 +100,49 @@
 
  private:
   struct Reason {
-    std::string sent;  // to the proxy, as the status's message
-    std::string logged;
+    std::string status_message;  // of the gRPC status that the proxy receives
+    std::string log_text;
   };
 
-  // False where the stream was ended for it.
-  bool handle(const xds::ParsedRequest& read) {
-    named_ = named_ || !read.node.empty();
-    if (!named_) {
+  // Returns false if the request ended the stream.
+  bool handle(const xds::ParsedRequest& parsed) {
+    has_node_id_ = has_node_id_ || !parsed.node.empty();
+    if (!has_node_id_) {
       fail(grpc::StatusCode::INVALID_ARGUMENT,
-           {.sent = kNamelessRequest, .logged = "the first request has no node id"});
+           {.status_message = kMissingNodeId, .log_text = "the first request has no node id"});
       return false;
     }
     ++service_.changes_;
-    xds::StreamError fault = service_.table_.request(id_, read.node, read.zone, *read.request, steady_now());
-    if (fault != xds::StreamError::kNone) {
+    xds::StreamError error =
+        service_.session_table_.request(id_, parsed.node, parsed.zone, *parsed.request, steady_now());
+    if (error != xds::StreamError::kNone) {
       fail(grpc::StatusCode::RESOURCE_EXHAUSTED,
-           {.sent = xds::name_of(fault), .logged = xds::name_of(fault)});
+           {.status_message = xds::name_of(error), .log_text = xds::name_of(error)});
       return false;
     }
-    write_next();
+    write_next_response();
     return true;
   }
   void end(const grpc::Status& status) {
-    if (std::exchange(ending_, true)) return;
+    if (std::exchange(finish_called_, true)) return;
     Finish(status);
   }
   void fail(grpc::StatusCode code, const Reason& reason) {
-    service_.log_("xDS stream " + std::to_string(id_) + " closed: " + reason.logged);
-    end(grpc::Status(code, reason.sent));
+    service_.log_("xDS stream " + std::to_string(id_) + " closed: " + reason.log_text);
+    end(grpc::Status(code, reason.status_message));
   }
 
   DiscoveryService& service_;
-  xds::ProtocolVariant form_;
+  xds::ProtocolVariant variant_;
   xds::StreamId id_ = 0;
-  ByteBuffer in_;
-  ByteBuffer out_;
-  bool writing_ = false;
-  bool ending_ = false;
-  bool named_ = false;
+  ByteBuffer read_buffer_;
+  ByteBuffer write_buffer_;
+  bool write_pending_ = false;
+  bool finish_called_ = false;
+  bool has_node_id_ = false;
 };
 
+// Connects the generated gRPC service to Stream, with requests and responses as raw bytes.
 class DiscoveryService::Adapter final
     : public discovery::AggregatedDiscoveryService::WithRawCallbackMethod_StreamAggregatedResources<
           discovery::AggregatedDiscoveryService::WithRawCallbackMethod_DeltaAggregatedResources<
@@ -156,32 +162,32 @@
   DiscoveryService& service_;
 };
 
-DiscoveryService::DiscoveryService(Log log)
-    : table_(log), log_(std::move(log)), adapter_(std::make_unique<Adapter>(*this)) {}
+DiscoveryService::DiscoveryService(LogFunction log)
+    : session_table_(log), log_(std::move(log)), adapter_(std::make_unique<Adapter>(*this)) {}
 DiscoveryService::~DiscoveryService() = default;
 
 grpc::Service& DiscoveryService::service() { return *adapter_; }
 
-// With the mutex locked.
-void DiscoveryService::write_to_all() {
-  for (auto& [id, stream] : streams_) stream->write_next();
+// Requires the mutex.
+void DiscoveryService::write_to_all_streams() {
+  for (auto& [id, stream] : streams_) stream->write_next_response();
 }
 
 void DiscoveryService::publish(std::shared_ptr<const xds::ResourceSet> set) {
   std::lock_guard lock(mutex_);
-  table_.publish(std::move(set));
-  write_to_all();
+  session_table_.publish(std::move(set));
+  write_to_all_streams();
 }
 
 void DiscoveryService::gate(xds::SessionTable::Gate gate) {
   std::lock_guard lock(mutex_);
-  table_.gate(std::move(gate), steady_now());
-  write_to_all();
+  session_table_.gate(std::move(gate), steady_now());
+  write_to_all_streams();
 }
 
 void DiscoveryService::extend_gate(Nanos fresh_until, std::shared_ptr<const xds::ResourceSet> closed) {
   std::lock_guard lock(mutex_);
-  if (table_.extend_gate(fresh_until, std::move(closed), steady_now())) write_to_all();
+  if (session_table_.extend_gate(fresh_until, std::move(closed), steady_now())) write_to_all_streams();
 }
 
 std::uint64_t DiscoveryService::changes() const {
@@ -189,29 +195,29 @@
   return changes_;
 }
 
-void DiscoveryService::restore_known(const std::vector<std::string>& proxies) {
+void DiscoveryService::restore_known_proxies(const std::vector<std::string>& proxies) {
   std::lock_guard lock(mutex_);
-  table_.restore_proxies(proxies, steady_now());
+  session_table_.restore_proxies(proxies, steady_now());
 }
 
 std::vector<std::string> DiscoveryService::known_proxies() const {
   std::lock_guard lock(mutex_);
-  return table_.known_proxies();
+  return session_table_.known_proxies();
 }
 
-std::uint64_t DiscoveryService::applied_by_all(Nanos forget_after) {
+std::uint64_t DiscoveryService::applied_by_all(Nanos disconnected_expiry) {
   std::lock_guard lock(mutex_);
-  return table_.applied_by_all(forget_after, steady_now());
+  return session_table_.applied_by_all(disconnected_expiry, steady_now());
 }
 
 std::vector<xds::ProxyView> DiscoveryService::view() {
   std::lock_guard lock(mutex_);
-  return table_.view();
+  return session_table_.view();
 }
 
-std::size_t DiscoveryService::disconnected() const {
+std::size_t DiscoveryService::disconnected_count() const {
   std::lock_guard lock(mutex_);
-  return table_.disconnected_count();
+  return session_table_.disconnected_count();
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/discovery_service.h
+++ b/src/control/discovery_service.h
@@ -1,9 +1,9 @@
-// The xDS service for proxies: passes bytes between gRPC's streams and the session table, and decides
-// nothing. Owned by Control. May be used from any thread: gRPC's threads call the streams, the loop's thread
-// the rest.
+// The xDS service for proxies: passes bytes between gRPC's streams and the session table, which decides what
+// is sent. Owned by ControlService. Thread-safe: gRPC's threads run the streams, the loop's thread calls the
+// public methods.
 //
-// A resource is in memory once: what is written to a proxy refers to it. Each stream has at most one write in
-// flight, so that a proxy that does not read delays nobody and costs no further memory.
+// A resource is in memory once; writes to proxies refer to its bytes. Each stream has at most one write in
+// flight, so a proxy that does not read delays no other proxy and takes no additional memory.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -20,44 +20,47 @@
 
 namespace myrtlecroft::control {
 
+// Serves one resource set at a time to all proxies.
 class DiscoveryService {
  public:
-  using Log = std::function<void(const std::string&)>;
-  explicit DiscoveryService(Log log);
+  using LogFunction = std::function<void(const std::string&)>;
+  // `log` is called on any thread, with one line.
+  explicit DiscoveryService(LogFunction log);
   ~DiscoveryService();
 
-  // From now on proxies are sent this set.
+  // Sends this set to all proxies from now on.
   void publish(std::shared_ptr<const xds::ResourceSet> set);
-  // Which proxies are served, where several replicas agree on it.
+  // Limits which proxies are served and until when. Used when several replicas share the proxies.
   void gate(xds::SessionTable::Gate gate);
-  // The same proxies as in the last gate().
+  // Extends the last gate for the same proxies until `fresh_until`.
   void extend_gate(Nanos fresh_until, std::shared_ptr<const xds::ResourceSet> closed);
-  // Proxies that were served before a restart, and may still route by what they had.
-  void restore_known(const std::vector<std::string>& proxies);
-  // Those that must be restored after a restart: connected, or disconnected not long ago.
+  // Adds proxies that were served before a restart and may still route by the last set they received.
+  void restore_known_proxies(const std::vector<std::string>& proxies);
+  // The proxies to restore after a restart: those connected, or disconnected and not yet forgotten.
   std::vector<std::string> known_proxies() const;
-  // The publication that every proxy which may still route has applied; one that disconnected counts for
-  // `forget_after`.
-  std::uint64_t applied_by_all(Nanos forget_after);
+  // The newest publication that every proxy has applied. A disconnected proxy may still route and counts for
+  // `disconnected_expiry` after it disconnected.
+  std::uint64_t applied_by_all(Nanos disconnected_expiry);
+  // The status of each stream, for the admin interface and the proxy monitor.
   std::vector<xds::ProxyView> view();
-  // Grows with each stream that opens or ends and each request: while it is the same, so is view().
+  // Counts streams opened, streams ended and requests received. view() is unchanged while this number is.
   std::uint64_t changes() const;
-  // How many proxies have disconnected and are not forgotten.
-  std::size_t disconnected() const;
+  // How many proxies have disconnected and are not yet forgotten.
+  std::size_t disconnected_count() const;
 
-  // For grpc::ServerBuilder. Owned by this.
+  // The service to register with grpc::ServerBuilder. Owned by this object.
   grpc::Service& service();
 
  private:
   class Stream;
   class Adapter;
-  void write_to_all();
+  void write_to_all_streams();
 
   mutable std::mutex mutex_;
-  xds::SessionTable table_;
+  xds::SessionTable session_table_;
   std::map<xds::StreamId, Stream*> streams_;
   std::uint64_t changes_ = 0;
-  Log log_;
+  LogFunction log_;
   std::unique_ptr<Adapter> adapter_;
 };
 
--- a/src/control/durable_publication.cpp
+++ b/src/control/durable_publication.cpp
@@ -7,7 +7,7 @@
 namespace myrtlecroft::control {
 namespace {
 
-constexpr Nanos kSaveInterval = 1000 * kMs;  // where no publication waits, or the disk fails
+constexpr Nanos kSaveInterval = 1000 * kMs;  // while no publication is pending or the disk fails
 
 }  // namespace
 
@@ -15,7 +15,8 @@
                                        Targets targets)
     : loop_(loop), log_(log), folder_(folder), targets_(std::move(targets)) {
   if (folder.empty()) return;
-  store_ = std::make_unique<StateStore>(folder, loop, [this](SaveResult result) { saved(result); });
+  store_ =
+      std::make_unique<StateStore>(folder, loop, [this](SaveResult result) { handle_save_result(result); });
 }
 
 std::optional<routing::PersistedState> DurablePublication::restore() {
@@ -26,7 +27,7 @@
               ": this version can't read the saved state; owners of shards are unknown");
     return std::nullopt;
   }
-  targets_.discovery.restore_known(state->proxies);
+  targets_.discovery.restore_known_proxies(state->proxies);
   log_.line("restored saved state: " + std::to_string(state->routing.snapshot.nodes.size()) + " servers, " +
             std::to_string(state->proxies.size()) + " proxies");
   return std::move(state->routing);
@@ -38,35 +39,35 @@
     return;
   }
   if (store_->is_saving()) return;
-  bool at_once = pending_ && !disk_fails_;
-  if (!at_once && loop_.now() - attempted_at_ < kSaveInterval) return;
-  attempted_at_ = loop_.now();
-  covered_ = pending_;
-  saving_ = routing_state::serialize({targets_.state(), targets_.discovery.known_proxies()});
-  if (saving_ == saved_) {
-    saved(SaveResult::kDurable);
+  bool save_now = pending_ && !disk_fails_;
+  if (!save_now && loop_.now() - last_attempt_at_ < kSaveInterval) return;
+  last_attempt_at_ = loop_.now();
+  publication_being_saved_ = pending_;
+  state_being_saved_ = routing_state::serialize({targets_.state(), targets_.discovery.known_proxies()});
+  if (state_being_saved_ == last_saved_state_) {
+    handle_save_result(SaveResult::kDurable);
   } else {
-    store_->save(saving_);
+    store_->save(state_being_saved_);
   }
 }
 
-void DurablePublication::saved(SaveResult result) {
+void DurablePublication::handle_save_result(SaveResult result) {
   log_disk_change(result);
   disk_fails_ = result == SaveResult::kFailed;
   if (disk_fails_) return;
-  saved_ = std::move(saving_);
-  if (!covered_) return;
-  targets_.publisher.publish(*covered_);
-  if (pending_ == covered_) pending_.reset();
-  covered_.reset();
+  last_saved_state_ = std::move(state_being_saved_);
+  if (!publication_being_saved_) return;
+  targets_.publisher.publish(*publication_being_saved_);
+  if (pending_ == publication_being_saved_) pending_.reset();
+  publication_being_saved_.reset();
   if (pending_) step();
 }
 
 void DurablePublication::log_disk_change(SaveResult result) {
   bool fails = result == SaveResult::kFailed;
   if (fails == disk_fails_) return;
-  std::string served = std::to_string(targets_.publisher.number());
-  log_.line(fails ? "state folder " + folder_ + ": a write failed; publication " + served +
+  std::string served_number = std::to_string(targets_.publisher.number());
+  log_.line(fails ? "state folder " + folder_ + ": a write failed; publication " + served_number +
                         " is served until a write succeeds"
                   : "state folder " + folder_ + ": writes succeed again");
 }
--- a/src/control/durable_publication.h
+++ b/src/control/durable_publication.h
@@ -1,6 +1,6 @@
-// Publishes what a control service that decides alone has decided, once the state it rests on is on disk:
-// after a crash a key's new owner must still be known. Owned by Control; used on the loop's thread. Owns the
-// store.
+// Publishes the decisions of a standalone control service once the state behind them is on disk. Otherwise
+// the new owner of a key would be unknown after a crash. Owned by ControlService, used on the loop's thread.
+// Owns the store.
 #pragma once
 
 #include <functional>
@@ -15,43 +15,47 @@
 
 namespace myrtlecroft::control {
 
+// Saves the state, then publishes the decisions it covers.
 class DurablePublication {
  public:
   struct Targets {
     DiscoveryService& discovery;
     Publisher& publisher;
-    std::function<routing::PersistedState()> state;  // what must be saved, at any time after restore()
+    std::function<routing::PersistedState()> state;  // the state to save; called after restore()
   };
-  // An empty `folder`: nothing is saved, and publications need not wait. What the targets name outlives this.
-  // Throws as StateStore does.
+  // With an empty `folder` nothing is saved and publications do not wait. The objects in `targets` must
+  // outlive this one. Throws StateFolderError, and std::runtime_error if the folder cannot be used.
   DurablePublication(net::Loop& loop, service::Logger& log, const std::string& folder, Targets targets);
 
-  // What was saved before the start; passes the proxies that were known then to the discovery service.
+  // Returns the state saved before the start, if there is one that this version can read, and passes the
+  // saved proxies to the discovery service.
   std::optional<routing::PersistedState> restore();
-  // Replaces a publication that waits.
+  // Sets the publication to save and publish next; replaces one that is still waiting.
   void set_pending(std::shared_ptr<const routing::PublishedSnapshot> published) {
     pending_ = std::move(published);
   }
   bool has_pending() const { return pending_ != nullptr; }
-  // Saves, and publishes, what is due. To be called several times a second.
+  // Starts a save if one is due, and publishes. Must be called several times a second.
   void step();
+  // True if the last save failed.
   bool disk_fails() const { return disk_fails_; }
 
  private:
-  void saved(SaveResult result);
+  void handle_save_result(SaveResult result);
   void log_disk_change(SaveResult result);
 
   net::Loop& loop_;
   service::Logger& log_;
   std::string folder_;
   Targets targets_;
-  std::unique_ptr<StateStore> store_;                          // nullptr: nothing is saved
+  std::unique_ptr<StateStore> store_;                          // nullptr if no state is saved
   std::shared_ptr<const routing::PublishedSnapshot> pending_;  // decided, not yet saved
-  std::shared_ptr<const routing::PublishedSnapshot> covered_;  // by the state that is being saved
-  std::string saving_;
-  std::string saved_;
+  std::shared_ptr<const routing::PublishedSnapshot>
+      publication_being_saved_;  // covered by the state being saved
+  std::string state_being_saved_;
+  std::string last_saved_state_;
   bool disk_fails_ = false;
-  Nanos attempted_at_ = 0;
+  Nanos last_attempt_at_ = 0;
 };
 
 }  // namespace myrtlecroft::control
--- a/src/control/frame_server.cpp
+++ b/src/control/frame_server.cpp
@@ -11,11 +11,12 @@
 namespace myrtlecroft::control {
 namespace {
 
-constexpr Nanos kAcceptBackoff = 100 * kMs;  // after an accept failed, as with no descriptor left
+constexpr Nanos kAcceptBackoff = 100 * kMs;  // after a failed accept, for example without a free descriptor
 constexpr int kBacklog = 1024;
 
 }  // namespace
 
+// One accepted connection.
 class FrameServer::Session final : public net::ConnectionOwner {
  public:
   Session(FrameServer& frame_server, Id id, evutil_socket_t socket)
@@ -46,14 +47,14 @@
       max_connections_(max_connections),
       handlers_(std::move(handlers)),
       listener_(evconnlistener_new_bind(
-          loop.base(), accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
+          loop.base(), on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
           kBacklog, reinterpret_cast<const sockaddr*>(&address), sizeof address)),
-      resume_accepting_(loop.base(), [this] { evconnlistener_enable(listener_.get()); }) {
+      accept_retry_timer_(loop.base(), [this] { evconnlistener_enable(listener_.get()); }) {
   if (!listener_) {
     throw ListenError(peer_kind_, "port " + std::to_string(ntohs(address.sin_port)),
                       std::strerror(EVUTIL_SOCKET_ERROR()));
   }
-  evconnlistener_set_error_cb(listener_.get(), accept_failed);
+  evconnlistener_set_error_cb(listener_.get(), on_accept_error);
 }
 
 FrameServer::~FrameServer() = default;
@@ -65,16 +66,16 @@
   return ntohs(address.sin_port);
 }
 
-void FrameServer::accepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
+void FrameServer::on_accept(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
   static_cast<FrameServer*>(self)->add_session(socket);
 }
 
-void FrameServer::accept_failed(evconnlistener*, void* given) {
-  auto* self = static_cast<FrameServer*>(given);
+void FrameServer::on_accept_error(evconnlistener*, void* context) {
+  auto* self = static_cast<FrameServer*>(context);
   self->log_.write_rate_limited("accept failed for " + self->peer_kind_ + ": " +
                                 std::strerror(EVUTIL_SOCKET_ERROR()));
   evconnlistener_disable(self->listener_.get());
-  self->resume_accepting_.set(kAcceptBackoff);
+  self->accept_retry_timer_.set(kAcceptBackoff);
 }
 
 void FrameServer::add_session(evutil_socket_t socket) {
--- a/src/control/listen_error.h
+++ b/src/control/listen_error.h
@@ -1,4 +1,4 @@
-// The error of a listening address that can't be had. Thrown by the control service's servers at the start.
+// The error thrown at startup by a server of the control service that cannot listen on its address.
 #pragma once
 
 #include <stdexcept>
@@ -6,9 +6,10 @@
 
 namespace myrtlecroft::control {
 
+// what() names the expected clients, the address and the cause.
 class ListenError final : public std::runtime_error {
  public:
-  // `peers`: who was to connect there. `cause` may be empty where the library gives none.
+  // `peers` says who would connect to the address. `cause` is empty if the library gives none.
   ListenError(const std::string& peers, const std::string& address, const std::string& cause = "")
       : std::runtime_error("can't listen for " + peers + " on " + address +
                            (cause.empty() ? "" : ": " + cause)),
--- a/src/control/load_reporting_service.cpp
+++ b/src/control/load_reporting_service.cpp
@@ -8,10 +8,11 @@
 namespace load_stats = envoy::service::load_stats::v3;
 
 constexpr std::int64_t kReportIntervalSeconds = 1;
-constexpr std::size_t kMaxLoads = 20'000;  // servers and endpoints between two calls of take()
+constexpr std::size_t kMaxLoads = 20'000;  // servers and endpoints held between two calls of take_loads()
 
 }  // namespace
 
+// One load reporting stream of a proxy. gRPC calls the On... methods; OnDone deletes the stream.
 class LoadReportingService::Stream final
     : public grpc::ServerBidiReactor<load_stats::LoadStatsRequest, load_stats::LoadStatsResponse> {
  public:
@@ -26,9 +27,9 @@
       end();
       return;
     }
-    // The first request only opens the stream; the answer says what to report, and how often.
-    if (!responded_) StartWrite(&response_);
-    responded_ = true;
+    // The first request only opens the stream. The response says what to report and how often.
+    if (!response_sent_) StartWrite(&response_);
+    response_sent_ = true;
     service_.add(request_);
     StartRead(&request_);
   }
@@ -37,13 +38,13 @@
 
  private:
   void end() {
-    if (!ending_.exchange(true)) Finish(grpc::Status::OK);
+    if (!finish_called_.exchange(true)) Finish(grpc::Status::OK);
   }
   LoadReportingService& service_;
   load_stats::LoadStatsRequest request_;
   load_stats::LoadStatsResponse response_;
-  bool responded_ = false;
-  std::atomic<bool> ending_ = false;
+  bool response_sent_ = false;
+  std::atomic<bool> finish_called_ = false;
 };
 
 grpc::ServerBidiReactor<load_stats::LoadStatsRequest, load_stats::LoadStatsResponse>*
@@ -86,7 +87,7 @@
   }
 }
 
-std::vector<ProxyLoad> LoadReportingService::take() {
+std::vector<ProxyLoad> LoadReportingService::take_loads() {
   std::lock_guard lock(mutex_);
   std::vector<ProxyLoad> out;
   for (auto& [key, load] : loads_) out.push_back(std::move(load));
--- a/src/control/load_reporting_service.h
+++ b/src/control/load_reporting_service.h
@@ -1,5 +1,5 @@
-// The xDS load reporting service: collects what proxies count of their requests to each server until the
-// loop's thread takes it. Owned by Control. May be used from any thread.
+// The xDS load reporting service: sums the request counts that proxies report for each server until the
+// loop's thread takes them. Owned by ControlService. Thread-safe.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -15,15 +15,16 @@
 
 namespace myrtlecroft::control {
 
-// Requests of proxies to one server or endpoint.
+// Counts of proxies' requests to one server or endpoint.
 struct ProxyLoad {
-  std::string node;     // the server, where the locality names it; else empty
-  std::string address;  // the endpoint, where the server is not named; else empty
+  std::string node;     // the server's name if the locality has it, else empty
+  std::string address;  // the endpoint's address if the server's name is unknown, else empty
   std::uint64_t issued = 0;
   std::uint64_t succeeded = 0;
   std::uint64_t failed = 0;
 };
 
+// Implements StreamLoadStats. Counts for more than 20,000 servers and endpoints at a time are dropped.
 class LoadReportingService final
     : public envoy::service::load_stats::v3::LoadReportingService::CallbackService {
  public:
@@ -31,13 +32,13 @@
                           envoy::service::load_stats::v3::LoadStatsResponse>*
   StreamLoadStats(grpc::CallbackServerContext* context) override;
 
-  // What was reported since the last call, one entry for each server or endpoint.
-  std::vector<ProxyLoad> take();
+  // Returns and clears the counts since the last call, one entry per server or endpoint.
+  std::vector<ProxyLoad> take_loads();
 
  private:
   class Stream;
   void add(const envoy::service::load_stats::v3::LoadStatsRequest& request);
-  void add(const ProxyLoad& load);  // with the mutex locked
+  void add(const ProxyLoad& load);  // requires the mutex
 
   std::mutex mutex_;
   std::map<std::pair<std::string, std::string>, ProxyLoad> loads_;  // by node and address
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,4 +1,4 @@
-// myrtlecroft-control: runs the subcommand that was given; signals and exit codes.
+// myrtlecroft-control: runs the subcommand on the command line. Handles signals and sets the exit code.
 #include <absl/synchronization/mutex.h>
 #include <arpa/inet.h>
 #include <google/protobuf/stubs/logging.h>
@@ -28,19 +28,19 @@
 
 constexpr int kExitOk = 0;
 constexpr int kExitFailed = 1;
-constexpr int kExitUsage = 2;  // a bad command line or file
-constexpr Nanos kMaxLeadershipTransfer = 1500 * kMs;
+constexpr int kExitUsage = 2;                         // invalid command line, fleet file or plan
+constexpr Nanos kMaxLeadershipTransfer = 1500 * kMs;  // the service stops then in any case
 constexpr std::size_t kMaxDescriptors =
-    65'536;                          // for proxies and servers; fewer where the process's limit is
-constexpr int kMaxMallocArenas = 2;  // more would hold on to freed memory, one for each thread
+    65'536;                          // for proxies and servers; lower if the process's hard limit is
+constexpr int kMaxMallocArenas = 2;  // with more, each thread's arena would retain freed memory
 
-// An address on the command line is none.
+// An argument that should be an address is not one.
 class AddressError final : public std::runtime_error {
  public:
-  explicit AddressError(const std::string& text) : std::runtime_error("not an address: '" + text + "'") {}
+  explicit AddressError(const std::string& text) : std::runtime_error("invalid address: '" + text + "'") {}
 };
 
-// Options of "serve" that exclude each other, or need each other.
+// Options of "serve" that exclude or require each other.
 class OptionsError final : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -64,14 +64,14 @@
 
 void check_fleet(const std::string& path) {
   fleet::Fleet fleet = fleet::read_fleet(path);
-  std::printf("%s: good: %zu nodes, %zu endpoint groups, %zu shards\n", path.c_str(), fleet.nodes.size(),
+  std::printf("%s: valid: %zu nodes, %zu endpoint groups, %zu shards\n", path.c_str(), fleet.nodes.size(),
               fleet.request_classes.size(), fleet.shards());
 }
 
 void check_plan(const std::string& path) {
   agreement::Plan plan = releases::read_plan(path);
-  std::printf("%s: good: '%s' to version %u in %u waves\n", path.c_str(), plan.name().c_str(), plan.version(),
-              releases::wave_count(plan));
+  std::printf("%s: valid: '%s' to version %u in %u waves\n", path.c_str(), plan.name().c_str(),
+              plan.version(), releases::wave_count(plan));
 }
 
 ControlOptions control_options(const ServeArguments& arguments) {
@@ -79,7 +79,7 @@
   bool any_given = agreement.id != 0 || !agreement.address.empty() || !agreement.folder.empty();
   bool all_given = agreement.id != 0 && !agreement.address.empty() && !agreement.folder.empty();
   if (any_given && (!all_given || !arguments.state_folder.empty())) {
-    throw OptionsError("--instance, --peer and --log go together, and without --state");
+    throw OptionsError("--instance, --peer and --log must be given together and exclude --state");
   }
   agreement.bootstrap = parse_instances(arguments.bootstrap);
   agreement.address_overrides = parse_instances(arguments.address_overrides);
@@ -92,12 +92,13 @@
           .agreement = std::move(agreement)};
 }
 
-// Runs until SIGTERM or SIGINT. A leader transfers leadership first, so that nobody waits for an election.
+// Runs the control service until SIGTERM or SIGINT. A leader transfers leadership before it stops, so that
+// the cluster need not wait for an election. SIGHUP reloads the fleet file.
 void serve(ControlOptions options) {
   std::signal(SIGPIPE, SIG_IGN);
   mallopt(M_ARENA_MAX, kMaxMallocArenas);
-  google::protobuf::SetLogHandler(nullptr);   // malformed input is logged by this program itself
-  net::reserve_descriptors(kMaxDescriptors);  // before any thread
+  google::protobuf::SetLogHandler(nullptr);   // the program logs malformed input itself
+  net::reserve_descriptors(kMaxDescriptors);  // must precede the first thread
   net::Loop loop;
   net::Log log(loop);
   ControlService control(loop, log, std::move(options));
@@ -116,13 +117,14 @@
   log.line("stopped");
 }
 
-// Offline, on the folder of an instance that does not run.
+// Works on the log folder of an instance that is not running.
 void force_new_cluster(const NewClusterArguments& arguments) {
   consensus::StoreRaftStorage storage(
       arguments.folder, [] { return net::Loop::unix_now(); }, [] {});
   consensus::RaftNode::force_new_cluster(storage, parse_instances(arguments.instances));
   std::printf(
-      "%s is the log of a new cluster: %s\nWhat only the lost instances had agreed on is lost. Start it "
+      "%s is the log of a new cluster: %s\nDecisions that only the lost instances had committed are lost. "
+      "Start it "
       "without "
       "--begin.\n",
       arguments.folder.c_str(), arguments.instances.c_str());
@@ -138,17 +140,19 @@
   return kExitOk;
 }
 
-// Sends a query or a command and prints the answer.
+// Sends a query or a command and prints the answer. Throws AnswerError and AdminClientError.
 int call(const ClientArguments& arguments, const std::string& line) {
-  AdminAnswer answer = AdminClient(parse_address(arguments.admin)).call(line + arguments.rows.text());
+  AdminAnswer answer = AdminClient(parse_address(arguments.admin)).call(line + arguments.rows.query_suffix());
   if (!answer.error().empty()) throw AnswerError(answer.error());
   if (arguments.as_json) return print_json(answer);
   if (!answer.done().empty()) std::puts(answer.done().c_str());
-  if (!AdminCommands::is_command(line)) print_table(answer, answer.done().empty() ? line : "instances");
+  if (!AdminCommands::is_maintenance_command(line))
+    print_table(answer, answer.done().empty() ? line : "instances");
   return kExitOk;
 }
 
-std::string line_of(const CommandLine& command_line) {
+// The query or command to send.
+std::string admin_line(const CommandLine& command_line) {
   std::string line = command_line.name();
   for (const std::string& operand : command_line.client().operands) line += " " + operand;
   return line;
@@ -165,7 +169,7 @@
       force_new_cluster(command_line.new_cluster());
       return kExitOk;
     case Command::kCheckFleet:
-      check_fleet(command_line.checked_path());
+      check_fleet(command_line.checked_fleet_path());
       return kExitOk;
     case Command::kCheckPlan:
       check_plan(command_line.plan_path());
@@ -176,7 +180,7 @@
     case Command::kStartRelease:
       return call(client, releases::release_start_command(releases::read_plan(command_line.plan_path())));
     case Command::kCall:
-      return call(client, line_of(command_line));
+      return call(client, admin_line(command_line));
   }
   return kExitFailed;
 }
@@ -186,14 +190,14 @@
 
 int main(int argc, char** argv) {
   using namespace myrtlecroft;
-  // Debian's gRPC is built with deadlock detection on: each lock that is taken then costs a search in a graph
-  // of all locks, a sixth of the time while thousands of callers connect.
+  // Debian builds gRPC with deadlock detection enabled, so each lock taken costs a search in a graph of all
+  // locks: a sixth of the CPU time while thousands of callers connect.
   absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore);
   control::CommandLine command_line;
   try {
     command_line.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return command_line.print(error) == 0 ? control::kExitOk : control::kExitUsage;
+    return command_line.print_error(error) == 0 ? control::kExitOk : control::kExitUsage;
   }
   try {
     return control::run(command_line);
--- a/src/control/maintenance_rows.cpp
+++ b/src/control/maintenance_rows.cpp
@@ -10,9 +10,9 @@
 namespace myrtlecroft::control {
 namespace {
 
-constexpr double kUnknownTimeLeft = -1;  // in ReleaseRow.left_s
+constexpr double kUnknownTimeLeft = -1;  // value of ReleaseRow.left_s
 
-double seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
+double to_seconds(Nanos time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
 
 void add_lease_rows(const agreement::ReplicatedState& state, AdminAnswer& answer) {
   for (const auto& [server, lease] : state.maintenance().leases()) {
@@ -21,27 +21,27 @@
     row.set_why(name_of(lease.reason));
     row.set_place(agreement::name_of(lease.phase));
     row.set_version(lease.version);
-    row.set_in_place_s(seconds(state.time() - lease.since));
-    row.set_permit_s(seconds(lease.until - state.time()));
+    row.set_in_place_s(to_seconds(state.time() - lease.since));
+    row.set_permit_s(to_seconds(lease.until - state.time()));
   }
 }
 
 void add_budget_rows(const agreement::ControlReplica& replica, AdminAnswer& answer) {
-  std::set<std::string> leased;
-  for (const auto& [server, lease] : replica.agreed().maintenance().leases()) leased.insert(server);
+  std::set<std::string> leased_servers;
+  for (const auto& [server, lease] : replica.agreed().maintenance().leases()) leased_servers.insert(server);
   const routing::Router& router = replica.router();
-  const releases::DisruptionBudget budget(router.fleet(), router.registry().all(), leased);
-  for (const releases::DisruptionBudget::Usage& part : budget.usage()) {
+  const releases::DisruptionBudget budget(router.fleet(), router.registry().all(), leased_servers);
+  for (const releases::DisruptionBudget::Usage& usage : budget.usage()) {
     BudgetRow& row = *answer.add_budgets();
-    row.set_name(part.name);
-    row.set_most(part.max);
-    row.set_out(part.out);
-    row.set_chosen(part.voluntarily_unavailable);
-    row.set_all(part.all);
+    row.set_name(usage.name);
+    row.set_most(usage.max);
+    row.set_out(usage.out);
+    row.set_chosen(usage.voluntarily_unavailable);
+    row.set_all(usage.all);
   }
 }
 
-// How far the release has come, by the version that each server reports.
+// Sets how many servers, and which share of the capacity, report the release's version.
 void set_progress(const std::vector<routing::ServerStatus>& servers, ReleaseRow& row) {
   double capacity = 0;
   double updated_capacity = 0;
@@ -57,14 +57,14 @@
   row.set_reached(capacity > 0 ? updated_capacity / capacity : 0);
 }
 
-// By its rate so far; not known before the first server is updated.
+// Extrapolates the rate so far. Unknown before the first server is updated.
 double time_left_s(const ReleaseRow& row, bool rolling_back) {
   if (row.reached() <= 0) return kUnknownTimeLeft;
-  double remaining = rolling_back ? row.reached() : 1 - row.reached();
-  double done = rolling_back ? 1 - row.reached() : row.reached();
-  if (done <= 0) return kUnknownTimeLeft;
+  double remaining_share = rolling_back ? row.reached() : 1 - row.reached();
+  double completed_share = rolling_back ? 1 - row.reached() : row.reached();
+  if (completed_share <= 0) return kUnknownTimeLeft;
   double elapsed_s = rolling_back ? row.in_phase_s() : row.age_s();
-  return elapsed_s * remaining / done;
+  return elapsed_s * remaining_share / completed_share;
 }
 
 void set_release_row(const ReplicatedControl& control, AdminAnswer& answer) {
@@ -79,16 +79,16 @@
   row.set_wave(release.wave() + 1);
   row.set_waves(releases::wave_count(release.plan()));
   row.set_reason(release.reason());
-  row.set_age_s(seconds(state.time() - release.started_ns()));
-  row.set_in_phase_s(seconds(state.time() - release.since_ns()));
+  row.set_age_s(to_seconds(state.time() - release.started_ns()));
+  row.set_in_phase_s(to_seconds(state.time() - release.since_ns()));
   set_progress(control.replica().router().registry().all(), row);
   for (const agreement::UpdatedServer& server : release.taken()) {
     if (!server.failed().empty()) row.add_failed(server.node() + ": " + server.failed());
   }
-  bool under_way = state.maintenance().release_in_progress();
-  row.set_outlook(under_way ? control.rollout().status_detail() : "");
-  row.set_left_s(under_way ? time_left_s(row, release.phase() == agreement::PHASE_ROLLING_BACK)
-                           : kUnknownTimeLeft);
+  bool in_progress = state.maintenance().release_in_progress();
+  row.set_outlook(in_progress ? control.rollout().status_detail() : "");
+  row.set_left_s(in_progress ? time_left_s(row, release.phase() == agreement::PHASE_ROLLING_BACK)
+                             : kUnknownTimeLeft);
 }
 
 }  // namespace
--- a/src/control/maintenance_rows.h
+++ b/src/control/maintenance_rows.h
@@ -1,5 +1,5 @@
-// The rows of an admin answer on maintenance: leases, drains, disruption budgets and the release. Called by
-// AdminQueries on the loop's thread. No I/O, no state.
+// The rows of an admin answer about maintenance: leases, drains, disruption budgets and the release. Called
+// by AdminQueries on the loop's thread. No I/O, no state.
 #pragma once
 
 #include "control.pb.h"
@@ -7,7 +7,8 @@
 
 namespace myrtlecroft::control {
 
-// Adds what the fleet has agreed on, and the budgets as this replica measures them.
+// Adds the replicated state of leases, drains and the release, and the use of the budgets as this replica
+// measures it.
 void add_maintenance_rows(const ReplicatedControl& control, AdminAnswer& answer);
 
 }  // namespace myrtlecroft::control
--- a/src/control/peer_links.cpp
+++ b/src/control/peer_links.cpp
@@ -13,36 +13,37 @@
 using consensus::PeerMessage;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kMaxInbox = 4'096;           // messages that the loop has not handled
-constexpr std::size_t kMaxQueued = 512;            // messages of one link
-constexpr std::size_t kMaxQueuedBytes = 16 << 20;  // of one link
+constexpr std::size_t kMaxInboxMessages = 4'096;   // received messages not yet handled by the loop
+constexpr std::size_t kMaxQueuedMessages = 512;    // unsent messages per link
+constexpr std::size_t kMaxQueuedBytes = 16 << 20;  // unsent bytes per link
 constexpr int kMaxMessageBytes = 32 << 20;
 constexpr int kMinBackoffMs = 100;
 constexpr int kMaxBackoffMs = 500;
-constexpr auto kReopenDelay = std::chrono::milliseconds(100);  // a call that ended
-// A write that takes longer: the link is taken for dead, though TCP has not noticed.
+constexpr auto kReopenDelay = std::chrono::milliseconds(100);  // after a call has ended
+// A longer write means that the connection is dead, even if TCP has not detected it yet.
 constexpr auto kWriteTimeout = std::chrono::milliseconds(2'000);
 
 }  // namespace
 
-// One other replica. Its calls may outlive the PeerLinks, so that they share it.
+// The link to one other replica. Shared with its calls, which may outlive PeerLinks.
 struct PeerLinks::Link {
   std::mutex mutex;
   std::unique_ptr<consensus::Peers::Stub> stub;
   std::deque<PeerMessage> queue;
   std::size_t queued_bytes = 0;
-  OutboundCall* call = nullptr;  // that is open
-  Clock::time_point ended_at{};
-  Clock::time_point writing_since{};
+  OutboundCall* call = nullptr;  // nullptr: no call is open
+  Clock::time_point last_call_ended_at{};
+  Clock::time_point write_started_at{};
   bool closing = false;
   std::uint64_t dropped = 0;
 };
 
+// The open call of a link. It writes one message at a time from the link's queue; OnDone deletes it.
 class PeerLinks::OutboundCall final : public grpc::ClientWriteReactor<PeerMessage> {
  public:
   explicit OutboundCall(std::shared_ptr<Link> link) : link_(std::move(link)) {}
-  // With the link's mutex locked. Writes begin on the loop's thread too, not only in gRPC's callbacks: the
-  // hold keeps OnDone from being called meanwhile.
+  // The methods before OnWriteDone require the link's mutex. Writes are started on the loop's thread as well
+  // as in gRPC's callbacks; the hold prevents gRPC from calling OnDone in the meantime.
   void begin() {
     link_->stub->async()->Tell(&context_, &acknowledgement_, this);
     AddHold();
@@ -50,25 +51,25 @@
     StartCall();
   }
   void write_next() {
-    if (writing_ || released_ || link_->queue.empty()) return;
-    out_ = std::move(link_->queue.front());
+    if (write_pending_ || hold_released_ || link_->queue.empty()) return;
+    message_being_written_ = std::move(link_->queue.front());
     link_->queue.pop_front();
-    link_->queued_bytes -= out_.ByteSizeLong();
-    writing_ = true;
-    link_->writing_since = Clock::now();
-    StartWrite(&out_);
+    link_->queued_bytes -= message_being_written_.ByteSizeLong();
+    write_pending_ = true;
+    link_->write_started_at = Clock::now();
+    StartWrite(&message_being_written_);
   }
   bool is_stalled(Clock::time_point now) const {
-    return writing_ && !released_ && now - link_->writing_since > kWriteTimeout;
+    return write_pending_ && !hold_released_ && now - link_->write_started_at > kWriteTimeout;
   }
   void cancel() {
     context_.TryCancel();
-    if (!writing_) release_hold();  // else OnWriteDone does
+    if (!write_pending_) release_hold();  // otherwise OnWriteDone releases it
   }
 
   void OnWriteDone(bool ok) override {
     std::lock_guard lock(link_->mutex);
-    writing_ = false;
+    write_pending_ = false;
     if (ok) {
       write_next();
     } else {
@@ -79,46 +80,47 @@
     {
       std::lock_guard lock(link_->mutex);
       link_->call = nullptr;
-      link_->ended_at = Clock::now();
+      link_->last_call_ended_at = Clock::now();
     }
     delete this;
   }
 
  private:
   void release_hold() {
-    if (!std::exchange(released_, true)) RemoveHold();
+    if (!std::exchange(hold_released_, true)) RemoveHold();
   }
 
   std::shared_ptr<Link> link_;
   grpc::ClientContext context_;
   Acknowledgement acknowledgement_;
-  PeerMessage out_;
-  bool writing_ = false;
-  bool released_ = false;
+  PeerMessage message_being_written_;
+  bool write_pending_ = false;
+  bool hold_released_ = false;
 };
 
+// A call from another replica. OnDone deletes it.
 class PeerLinks::InboundCall final : public grpc::ServerReadReactor<PeerMessage> {
  public:
-  explicit InboundCall(PeerLinks& links) : links_(links) { StartRead(&in_); }
+  explicit InboundCall(PeerLinks& links) : links_(links) { StartRead(&message_being_read_); }
   void OnReadDone(bool ok) override {
     if (!ok) {
       end();
       return;
     }
-    links_.enqueue(std::move(in_));
-    in_ = {};
-    StartRead(&in_);
+    links_.enqueue(std::move(message_being_read_));
+    message_being_read_ = {};
+    StartRead(&message_being_read_);
   }
   void OnCancel() override { end(); }
   void OnDone() override { delete this; }
 
  private:
   void end() {
-    if (!ending_.exchange(true)) Finish(grpc::Status::OK);
+    if (!finish_called_.exchange(true)) Finish(grpc::Status::OK);
   }
   PeerLinks& links_;
-  PeerMessage in_;
-  std::atomic<bool> ending_ = false;
+  PeerMessage message_being_read_;
+  std::atomic<bool> finish_called_ = false;
 };
 
 class PeerLinks::Service final : public consensus::Peers::CallbackService {
@@ -133,10 +135,10 @@
 };
 
 PeerLinks::PeerLinks(net::Loop& loop, const std::string& address,
-                     std::map<consensus::ReplicaId, std::string> address_overrides, MessageHandler received)
-    : received_(std::move(received)),
+                     std::map<consensus::ReplicaId, std::string> address_overrides, MessageHandler on_message)
+    : on_message_(std::move(on_message)),
       address_overrides_(std::move(address_overrides)),
-      inbox_wakeup_(loop.base(), [this] { deliver(); }),
+      inbox_wakeup_(loop.base(), [this] { deliver_inbox(); }),
       service_(std::make_unique<Service>(*this)) {
   grpc::ServerBuilder builder;
   builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &port_);
@@ -159,7 +161,7 @@
 void PeerLinks::enqueue(PeerMessage message) {
   {
     std::lock_guard lock(mutex_);
-    if (inbox_.size() >= kMaxInbox) {
+    if (inbox_.size() >= kMaxInboxMessages) {
       inbox_.pop_front();
       ++dropped_;
     }
@@ -168,13 +170,13 @@
   inbox_wakeup_.notify();
 }
 
-void PeerLinks::deliver() {
+void PeerLinks::deliver_inbox() {
   std::deque<PeerMessage> messages;
   {
     std::lock_guard lock(mutex_);
     messages.swap(inbox_);
   }
-  for (const PeerMessage& message : messages) received_(message);
+  for (const PeerMessage& message : messages) on_message_(message);
 }
 
 std::uint64_t PeerLinks::dropped() const {
@@ -187,9 +189,9 @@
   return out + dropped_;
 }
 
-// With the link's mutex locked.
-void PeerLinks::open(const std::shared_ptr<Link>& link) {
-  if (link->closing || link->call || Clock::now() - link->ended_at < kReopenDelay) return;
+// Requires the link's mutex.
+void PeerLinks::open_call(const std::shared_ptr<Link>& link) {
+  if (link->closing || link->call || Clock::now() - link->last_call_ended_at < kReopenDelay) return;
   link->call = new OutboundCall(link);
   link->call->begin();
 }
@@ -207,11 +209,12 @@
   return link;
 }
 
-// With the link's mutex locked.
+// Requires the link's mutex.
 void PeerLinks::enqueue(Link& link, const PeerMessage& message) {
   link.queued_bytes += message.ByteSizeLong();
   link.queue.push_back(message);
-  while (link.queue.size() > kMaxQueued || (link.queued_bytes > kMaxQueuedBytes && link.queue.size() > 1)) {
+  while (link.queue.size() > kMaxQueuedMessages ||
+         (link.queued_bytes > kMaxQueuedBytes && link.queue.size() > 1)) {
     link.queued_bytes -= link.queue.front().ByteSizeLong();
     link.queue.pop_front();
     ++link.dropped;
@@ -226,7 +229,7 @@
   std::lock_guard lock(link->mutex);
   enqueue(*link, message);
   if (!link->call) {
-    open(link);
+    open_call(link);
   } else if (link->call->is_stalled(Clock::now())) {
     link->call->cancel();
   } else {
--- a/src/control/proxy_monitor.cpp
+++ b/src/control/proxy_monitor.cpp
@@ -5,7 +5,7 @@
 namespace myrtlecroft::control {
 namespace {
 
-google::protobuf::RepeatedPtrField<consensus::ProxyStatus> status_of(
+google::protobuf::RepeatedPtrField<consensus::ProxyStatus> to_proxy_statuses(
     const std::vector<xds::ProxyView>& proxies) {
   google::protobuf::RepeatedPtrField<consensus::ProxyStatus> out;
   for (const xds::ProxyView& proxy : proxies) {
@@ -21,34 +21,34 @@
 }  // namespace
 
 void ProxyMonitor::step(Nanos now) {
-  pass_load(now);
-  pass_applied();
+  forward_load(now);
+  forward_applied_publication();
 }
 
-void ProxyMonitor::pass_load(Nanos now) {
-  for (const ProxyLoad& load : load_reporting_.take()) {
+void ProxyMonitor::forward_load(Nanos now) {
+  for (const ProxyLoad& load : load_reporting_.take_loads()) {
     std::string server = load.node;
-    const routing::ServerStatus* listening =
+    const routing::ServerStatus* server_by_address =
         server.empty() ? router_.registry().server_at_address(load.address) : nullptr;
-    if (listening) server = listening->node.name;
+    if (server_by_address) server = server_by_address->node.name;
     router_.handle_proxy_counts({server, load.issued, load.succeeded, load.failed}, now);
   }
 }
 
-void ProxyMonitor::pass_applied() {
+void ProxyMonitor::forward_applied_publication() {
   if (!replica_) {
     applied_by_all_ = discovery_.applied_by_all(router_.fleet().bounds.disconnected_proxy_expiry);
     router_.set_applied_by_all_proxies(applied_by_all_);
     return;
   }
-  // Read before the proxies are, so that a change meanwhile is seen by the next step.
+  // Read before the proxies, so that the next step sees a change made in the meantime.
   std::uint64_t changes = discovery_.changes();
-  if (seen_changes_ == changes) {
+  if (last_seen_changes_ == changes) {
     replica_->refresh_local_proxies();
   } else {
-    replica_->set_local_proxies(status_of(discovery_.view()));
+    replica_->set_local_proxies(to_proxy_statuses(discovery_.view()));
   }
-  seen_changes_ = changes;
+  last_seen_changes_ = changes;
   applied_by_all_ = replica_->applied_by_all();
 }
 
--- a/src/control/proxy_monitor.h
+++ b/src/control/proxy_monitor.h
@@ -1,5 +1,6 @@
-// Passes on what proxies have applied and counted: to the router, and where several replicas agree to the
-// replica. Owned by Control; used on the loop's thread.
+// Forwards to the router which publication the proxies have applied and the requests they counted; when the
+// control service is replicated, forwards the proxies' status to the replica. Owned by ControlService, used
+// on the loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +13,29 @@
 
 namespace myrtlecroft::control {
 
+// Polls the discovery and load reporting services.
 class ProxyMonitor {
  public:
-  // `replica` is nullptr where this control service decides alone. All outlive this.
+  // `replica` is nullptr for a standalone control service. All arguments must outlive this object.
   ProxyMonitor(DiscoveryService& discovery, LoadReportingService& load_reporting, routing::Router& router,
                agreement::ControlReplica* replica)
       : discovery_(discovery), load_reporting_(load_reporting), router_(router), replica_(replica) {}
 
-  // To be called several times a second.
+  // Must be called several times a second.
   void step(Nanos now);
-  // The publication that every proxy which may still route had applied at the last step().
+  // The newest publication that, at the last step(), every proxy that may still route had applied.
   std::uint64_t applied_by_all() const { return applied_by_all_; }
 
  private:
-  void pass_load(Nanos now);
-  void pass_applied();
+  void forward_load(Nanos now);
+  void forward_applied_publication();
 
   DiscoveryService& discovery_;
   LoadReportingService& load_reporting_;
   routing::Router& router_;
   agreement::ControlReplica* replica_;
   std::optional<std::uint64_t>
-      seen_changes_;  // of the discovery service, when all proxies were last passed on
+      last_seen_changes_;  // DiscoveryService::changes() when the proxies' status was last forwarded
   std::uint64_t applied_by_all_ = 0;
 };
 
--- a/src/control/publisher.h
+++ b/src/control/publisher.h
@@ -1,5 +1,5 @@
-// Makes resource sets of what was decided and passes them to the discovery service, with the proxies that may
-// have them. Owned by Control; used on the loop's thread. Owns the sets that are served.
+// Builds resource sets from routing decisions and passes them to the discovery service, together with the
+// proxies that may receive them. Owned by ControlService, used on the loop's thread. Owns the served sets.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,24 @@
 
 namespace myrtlecroft::control {
 
+// Serves one publication at a time.
 class Publisher {
  public:
-  // All outlive this.
+  // All arguments must outlive this object.
   Publisher(net::Loop& loop, service::Logger& log, DiscoveryService& discovery)
       : loop_(loop), log_(log), discovery_(discovery) {}
 
-  // Serves this publication from now on. One that fails the consistency check is logged and not served.
+  // Serves this publication from now on. An inconsistent publication is logged and not served.
   void publish(const routing::PublishedSnapshot& published);
-  // Serves what the replicas have agreed on, to the proxies they have agreed on. To be called after each
-  // change of the agreed state, and several times a second.
+  // Serves the publication that the replicas have agreed on to the proxies in the replicated state. Without a
+  // leader lease, new streams are sent the same publication with all shards closed. Must be called after
+  // each change of the replicated state and several times a second.
   void publish_agreed(const agreement::ControlReplica& replica);
 
-  // False for some time after a publication that took long.
+  // False during the pause that PublicationPacer requires after a publication.
   bool may_publish() const { return pacer_.may_publish(loop_.now()); }
-  // The publication that is served; 0: none.
-  std::uint64_t number() const { return served_ ? served_->number : 0; }
+  // Number of the publication that is served; 0: none.
+  std::uint64_t number() const { return served_set_ ? served_set_->number : 0; }
 
  private:
   void make_closed_set(const routing::PublishedSnapshot& published);
@@ -39,9 +41,9 @@
   service::Logger& log_;
   DiscoveryService& discovery_;
   PublicationPacer pacer_;
-  std::shared_ptr<const xds::ResourceSet> served_;
-  std::shared_ptr<const xds::ResourceSet> closed_;  // the same without an open shard
-  std::optional<agreement::Epoch> gate_epoch_;      // of the proxies that the gate admits
+  std::shared_ptr<const xds::ResourceSet> served_set_;
+  std::shared_ptr<const xds::ResourceSet> closed_set_;  // the same publication with all shards closed
+  std::optional<agreement::Epoch> gate_epoch_;          // epoch of the list of proxies in the gate
 };
 
 }  // namespace myrtlecroft::control
--- a/src/control/release_watch.cpp
+++ b/src/control/release_watch.cpp
@@ -17,13 +17,13 @@
 constexpr int kMinProgressWidth = 10;   // characters
 constexpr int kProgressTextWidth = 40;  // characters after the bar
 
-// Thrown where standard output is no terminal.
+// Thrown if standard output is not a terminal.
 class NoTerminalError final : public std::runtime_error {
  public:
   NoTerminalError() : std::runtime_error("--watch needs a terminal") {}
 };
 
-// Restores the terminal on destruction.
+// Takes over the terminal with curses; restores it on destruction.
 class Screen {
  public:
   Screen() {
@@ -36,7 +36,7 @@
   Screen(const Screen&) = delete;
   Screen& operator=(const Screen&) = delete;
   ~Screen() { ::endwin(); }
-  // Writes the next line from the top, as far as it fits.
+  // Writes the next line from the top, cut to the terminal's width.
   void add_line(const std::string& text) {
     mvaddnstr(next_row_, 0, text.c_str(), COLS);
     ++next_row_;
@@ -53,12 +53,12 @@
   int next_row_ = 0;
 };
 
-bool is_over(const AdminAnswer& answer) {
+bool is_finished(const AdminAnswer& answer) {
   return !answer.has_release() || answer.release().phase() == "done" ||
          answer.release().phase() == "taken back";
 }
 
-std::string capacity(double value) {
+std::string format_capacity(double value) {
   char out[32];
   std::snprintf(out, sizeof out, "%8.2f", value);
   return out;
@@ -84,7 +84,8 @@
   screen.add_empty_line();
   for (const BudgetRow& budget : answer.budgets()) {
     if (budget.out() <= 0 || screen.lines_left() <= 1) continue;
-    screen.add_line(capacity(budget.out()) + " of " + capacity(budget.most()) + " out of " + budget.name());
+    screen.add_line(format_capacity(budget.out()) + " of " + format_capacity(budget.most()) + " out of " +
+                    budget.name());
   }
   screen.add_empty_line();
   for (const MaintenanceLeaseRow& lease : answer.trips()) {
@@ -92,7 +93,7 @@
     screen.add_line(lease.node() + ": " + lease.why() + ", " + lease.place() + " for " +
                     std::to_string(static_cast<int>(lease.in_place_s())) + " s");
   }
-  screen.write_bottom_line("q: leave; the release goes on");
+  screen.write_bottom_line("q: quit; the release continues");
   ::refresh();
 }
 
@@ -105,7 +106,7 @@
     do {
       last = poll_status();
       draw(screen, last);
-    } while (!is_over(last) && ::getch() != 'q');
+    } while (!is_finished(last) && ::getch() != 'q');
   }
   print_table(last, "release status");
 }
--- a/src/control/release_watch.h
+++ b/src/control/release_watch.h
@@ -1,4 +1,4 @@
-// Shows a release on the terminal while it runs. Called by main.cpp.
+// Shows the progress of a release on the terminal. Called by main.cpp.
 #pragma once
 
 #include <functional>
@@ -7,9 +7,9 @@
 
 namespace myrtlecroft::control {
 
-// Calls `poll_status` twice a second and redraws, until the release is over or 'q' is pressed; prints the
-// last answer as a table then. Throws std::runtime_error where there is no terminal, and what `poll_status`
-// throws.
+// Calls `poll_status` twice a second and redraws until the release ends or 'q' is pressed, then prints the
+// last answer as a table. Throws std::runtime_error if standard output is not a terminal, and rethrows the
+// exceptions of `poll_status`.
 void watch_release(const std::function<AdminAnswer()>& poll_status);
 
 }  // namespace myrtlecroft::control
--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -13,7 +13,7 @@
 
 constexpr Nanos kTickInterval = 25 * kMs;
 
-// "1=127.0.0.1:7401"
+// Parses "1=127.0.0.1:7401". Nothing if the text is invalid.
 std::optional<consensus::Server> parse_instance(const std::string& text) {
   std::size_t equals = text.find('=');
   if (equals == std::string::npos) return std::nullopt;
@@ -30,15 +30,15 @@
 }
 
 agreement::ReplicaOptions replica_options(const AgreementOptions& options,
-                                          const ReplicatedControl::Start& start) {
+                                          const ReplicatedControl::InitialFleet& initial_fleet) {
   agreement::ReplicaOptions out;
   out.id = options.id;
   out.address = options.address;
-  out.raft.fleet = start.fleet.listener;
+  out.raft.fleet = initial_fleet.fleet.listener;
   out.raft.snapshot_threshold = options.snapshot_threshold;
   out.raft.snapshot_trailing = std::min(out.raft.snapshot_trailing, options.snapshot_threshold / 4);
   out.format = options.max_entry_format;
-  out.fleet_file_hash = start.fleet_file_hash;
+  out.fleet_file_hash = initial_fleet.fleet_file_hash;
   return out;
 }
 
@@ -48,9 +48,9 @@
   std::vector<consensus::Server> out;
   for (std::size_t begin = 0; begin < list.size();) {
     std::size_t end = std::min(list.find(',', begin), list.size());
-    std::string part = list.substr(begin, end - begin);
-    std::optional<consensus::Server> server = parse_instance(part);
-    if (!server) throw InstanceListError(part);
+    std::string entry = list.substr(begin, end - begin);
+    std::optional<consensus::Server> server = parse_instance(entry);
+    if (!server) throw InstanceListError(entry);
     out.push_back(*std::move(server));
     begin = end + 1;
   }
@@ -58,7 +58,7 @@
 }
 
 ReplicatedControl::ReplicatedControl(net::Loop& loop, service::Logger& log, const AgreementOptions& options,
-                                     Start start, StateChanged state_changed)
+                                     InitialFleet initial_fleet, StateChanged state_changed)
     : log_(log),
       state_changed_(std::move(state_changed)),
       disk_wakeup_(loop.base(), [this] { storage_->run_completions(); }),
@@ -67,10 +67,10 @@
       rollout_([&log](const std::string& line) { log.line(line); }),
       tick_timer_(loop.base(), [this] { tick(); }) {
   open_log(options);
-  connect(loop, options);
+  open_links(loop, options);
   replica_ = std::make_unique<agreement::ControlReplica>(
-      replica_options(options, start), *storage_, *links_, std::move(start.fleet), start.first_start,
-      [&loop] { return loop.now(); }, std::random_device()(),
+      replica_options(options, initial_fleet), *storage_, *links_, std::move(initial_fleet.fleet),
+      initial_fleet.first_start, [&loop] { return loop.now(); }, std::random_device()(),
       [&log](const std::string& line) { log.line(line); });
   replica_->set_decision_contributor(&rollout_);
   replica_->start();
@@ -86,9 +86,9 @@
   using Kind = LogFolderError::Kind;
   if (storage_->owner() != 0 && storage_->owner() != options.id) {
     throw LogFolderError(
-        Kind::kOfAnotherInstance,
+        Kind::kOwnedByAnotherInstance,
         options.folder + " is the log of instance " + std::to_string(storage_->owner()) +
-            "; two must never use one: a replaced instance gets a new id and an empty folder");
+            "; instances must not share a log: a replaced instance gets a new id and an empty folder");
   }
   bool empty = storage_->load().term == 0;
   if (empty && options.bootstrap.empty() && !options.join) {
@@ -97,15 +97,15 @@
                                            "instance of one");
   }
   if (!empty && !options.bootstrap.empty()) {
-    throw LogFolderError(Kind::kHasALog,
-                         options.folder + " holds a log already: --begin is for the first start only");
+    throw LogFolderError(Kind::kNotEmpty,
+                         options.folder + " already holds a log: --begin is for the first start only");
   }
   if (!empty) return;
   storage_->set_owner(options.id);
   if (!options.bootstrap.empty()) consensus::RaftNode::bootstrap(*storage_, options.bootstrap);
 }
 
-void ReplicatedControl::connect(net::Loop& loop, const AgreementOptions& options) {
+void ReplicatedControl::open_links(net::Loop& loop, const AgreementOptions& options) {
   std::map<consensus::ReplicaId, std::string> address_overrides;
   for (const consensus::Server& other : options.address_overrides)
     address_overrides[other.id()] = other.address();
--- a/src/control/replicated_control.h
+++ b/src/control/replicated_control.h
@@ -1,6 +1,6 @@
-// One control replica of several, with its adapters: the raft log's folder, the links to the other replicas
-// and the timer. Made by Control, which asks it for what is agreed instead of deciding alone; used on the
-// loop's thread. Owns the storage, the links, the rollout controller and the replica.
+// One control replica with its adapters: the storage of the raft log, the links to the other replicas and the
+// timer. Created by ControlService, which then serves the replicated state instead of its own decisions. Used
+// on the loop's thread. Owns the storage, the links, the rollout controller and the replica.
 #pragma once
 
 #include <functional>
@@ -18,34 +18,36 @@
 
 namespace myrtlecroft::control {
 
+// Options of a replica, from the command line.
 struct AgreementOptions {
-  consensus::ReplicaId id = 0;  // 0: this control service decides alone
-  std::string address;          // where the other replicas reach this one
-  std::string folder;           // of the raft log
-  // The members of a new cluster, this one among them; empty where the folder has a log.
+  consensus::ReplicaId id = 0;  // 0: the control service is standalone
+  std::string address;          // at which the other replicas reach this one
+  std::string folder;           // that holds the raft log
+  // The members of a new cluster, including this one. Empty if the folder already holds a log.
   std::vector<consensus::Server> bootstrap;
-  // Replicas that are reached from here at another address than the cluster knows.
+  // Replicas that this one reaches at another address than the cluster knows.
   std::vector<consensus::Server> address_overrides;
-  bool join = false;  // a new replica: it waits until the leader adds it
-  std::uint32_t max_entry_format = agreement::kEntryFormat;  // the newest that it accepts and writes
-  unsigned snapshot_threshold = 512;                         // log entries
+  bool join = false;  // a new replica that waits until the leader adds it
+  std::uint32_t max_entry_format = agreement::kEntryFormat;  // newest format that it accepts and writes
+  unsigned snapshot_threshold = 512;                         // log entries between two snapshots
 };
 
-// The text of an option is no list of instances; what() names the part that is wrong.
+// An option's text is not a list of instances. what() names the invalid entry.
 class InstanceListError final : public std::runtime_error {
  public:
-  explicit InstanceListError(const std::string& part)
-      : std::runtime_error("not an instance like 1=127.0.0.1:7401: '" + part + "'"), part_(part) {}
-  const std::string& part() const { return part_; }
+  explicit InstanceListError(const std::string& entry)
+      : std::runtime_error("invalid instance, expected one such as 1=127.0.0.1:7401: '" + entry + "'"),
+        entry_(entry) {}
+  const std::string& entry() const { return entry_; }
 
  private:
-  std::string part_;
+  std::string entry_;
 };
 
-// The folder of the raft log does not fit the options; what() says what to do.
+// The content of the raft log's folder contradicts the options. what() says how to resolve it.
 class LogFolderError final : public std::runtime_error {
  public:
-  enum class Kind { kOfAnotherInstance, kEmpty, kHasALog };
+  enum class Kind { kOwnedByAnotherInstance, kEmpty, kNotEmpty };
   LogFolderError(Kind kind, const std::string& message) : std::runtime_error(message), kind_(kind) {}
   Kind kind() const { return kind_; }
 
@@ -56,31 +58,33 @@
 // Parses "1=127.0.0.1:7401,2=127.0.0.1:7402". Throws InstanceListError.
 std::vector<consensus::Server> parse_instances(const std::string& list);
 
+// Runs a ControlReplica on the event loop.
 class ReplicatedControl {
  public:
   using StateChanged = std::function<void()>;
-  struct Start {
+  // The fleet as read at the start.
+  struct InitialFleet {
     fleet::Fleet fleet;
     bool first_start = false;           // no proxy was ever served for this fleet
-    std::uint64_t fleet_file_hash = 0;  // of the fleet file, so that replicas see whether theirs differ
+    std::uint64_t fleet_file_hash = 0;  // replicas compare it to detect different fleet files
   };
-  // `state_changed` is called on the loop's thread after a decision was applied here. Throws LogFolderError,
-  // and std::runtime_error where the folder can't be used or the address can't be listened on.
-  ReplicatedControl(net::Loop& loop, service::Logger& log, const AgreementOptions& options, Start start,
-                    StateChanged state_changed);
+  // `state_changed` is called on the loop's thread after this replica has applied a decision. Throws
+  // LogFolderError, ListenError, and std::runtime_error if the folder cannot be used.
+  ReplicatedControl(net::Loop& loop, service::Logger& log, const AgreementOptions& options,
+                    InitialFleet initial_fleet, StateChanged state_changed);
   ~ReplicatedControl();
 
   agreement::ControlReplica& replica() { return *replica_; }
   const agreement::ControlReplica& replica() const { return *replica_; }
   const PeerLinks& links() const { return *links_; }
   const releases::RolloutController& rollout() const { return rollout_; }
-  // Where this replica leads and there are others, another takes the lead, so that none waits for an
-  // election. `done` is called in any case.
+  // Transfers leadership if this replica leads and there are other voters, so that the cluster need not wait
+  // for an election. `done` is called in every case.
   void transfer_leadership(std::function<void()> done);
 
  private:
   void open_log(const AgreementOptions& options);
-  void connect(net::Loop& loop, const AgreementOptions& options);
+  void open_links(net::Loop& loop, const AgreementOptions& options);
   void tick();
 
   service::Logger& log_;
--- a/src/control/report_receiver.cpp
+++ b/src/control/report_receiver.cpp
@@ -10,10 +10,10 @@
 
 using Verdict = routing::ServerRegistry::Verdict;
 
-constexpr std::size_t kSpareReporters = 32;       // beyond two connections for each server of the fleet file
-constexpr std::size_t kMaxLoggedNameLength = 64;  // characters
+constexpr std::size_t kExtraReporterConnections = 32;  // in addition to two for each server of the fleet file
+constexpr std::size_t kMaxLoggedNameLength = 64;       // characters of a reporter's server name
 
-const char* reason_of(Verdict verdict) {
+const char* rejection_reason(Verdict verdict) {
   switch (verdict) {
     case Verdict::kAccepted:
       return "";
@@ -36,23 +36,23 @@
     : loop_(loop),
       log_(log),
       targets_(std::move(targets)),
-      server_(loop, log, address, "reporter", max_reporters(),
+      server_(loop, log, address, "reporter", max_reporter_connections(),
               {.received = [this](FrameServer::Id id, net::Connection& connection,
                                   std::string_view bytes) { return received(id, connection, bytes); },
                .closed = [this](FrameServer::Id id) { closed(id); }}) {}
 
-std::size_t ReportReceiver::max_reporters() const {
-  return 2 * targets_.router.fleet().nodes.size() + kSpareReporters;
+std::size_t ReportReceiver::max_reporter_connections() const {
+  return 2 * targets_.router.fleet().nodes.size() + kExtraReporterConnections;
 }
 
 std::size_t ReportReceiver::received(FrameServer::Id id, net::Connection& connection,
                                      std::string_view bytes) {
-  report::FrameError malformed{};
+  report::FrameError frame_error{};
   std::size_t consumed = report::decode(
-      bytes, [&](const report::LoadReport& report) { handle(id, connection, report); }, malformed);
-  if (malformed != report::FrameError::kNone) {
+      bytes, [&](const report::LoadReport& report) { handle(id, connection, report); }, frame_error);
+  if (frame_error != report::FrameError::kNone) {
     log_.write_rate_limited("reporter " + std::to_string(id) +
-                            " sent a malformed report: " + report::name_of(malformed));
+                            " sent a malformed report: " + report::name_of(frame_error));
     connection.end(net::CloseReason::kMalformed);
   }
   return consumed;
@@ -62,47 +62,48 @@
                             const report::LoadReport& report) {
   Verdict verdict = targets_.router.handle_report(report, loop_.now(), net::Loop::unix_now());
   if (verdict == Verdict::kAccepted) {
-    accepted(id, report);
+    handle_accepted(id, report);
     if (targets_.replica && report.accepts_assignments) send_assignment(connection, report);
     return;
   }
-  rejected(report, reason_of(verdict));
+  log_rejection(report, rejection_reason(verdict));
   if (verdict == Verdict::kUnknownNode) connection.end(net::CloseReason::kMalformed);
 }
 
-void ReportReceiver::accepted(FrameServer::Id id, const report::LoadReport& report) {
-  rejection_reasons_.erase(report.node);
+void ReportReceiver::handle_accepted(FrameServer::Id id, const report::LoadReport& report) {
+  last_rejection_reasons_.erase(report.node);
   if (links_.assign(id, report.node))
     targets_.router.handle_report_connection(report.node, true, loop_.now());
   std::string mode = std::string(name_of(report.mode)) + (report.draining ? " draining" : "");
-  std::string& last_mode = modes_[report.node];
+  std::string& last_mode = last_modes_[report.node];
   if (last_mode == mode) return;
   last_mode = std::move(mode);
   targets_.mode_changed();
 }
 
-// Logged once for each server and reason. Names are the reporters' own, so that what is held of them is
-// bounded.
-void ReportReceiver::rejected(const report::LoadReport& report, const std::string& reason) {
-  if (modes_.size() > max_reporters()) modes_.clear();
-  if (rejection_reasons_.size() > max_reporters()) rejection_reasons_.clear();
-  std::string& last_reason = rejection_reasons_[report.node];
+// Logs each server and reason once. Reporters choose the names they send, so the number of remembered names
+// is limited.
+void ReportReceiver::log_rejection(const report::LoadReport& report, const std::string& reason) {
+  if (last_modes_.size() > max_reporter_connections()) last_modes_.clear();
+  if (last_rejection_reasons_.size() > max_reporter_connections()) last_rejection_reasons_.clear();
+  std::string& last_reason = last_rejection_reasons_[report.node];
   if (last_reason == reason) return;
   last_reason = reason;
   log_.line("reports of server " + report.node.substr(0, kMaxLoggedNameLength) + " are rejected: " + reason);
 }
 
 void ReportReceiver::closed(FrameServer::Id id) {
-  std::optional<std::string> server = links_.closed(id);
+  std::optional<std::string> server = links_.remove_connection(id);
   if (server) targets_.router.handle_report_connection(*server, false, loop_.now());
 }
 
-// To a server that acts on an older assignment, or on none.
+// Sends the assignment to a server that has an older one or none.
 void ReportReceiver::send_assignment(net::Connection& connection, const report::LoadReport& report) {
   fencing::ShardAssignment assignment = targets_.replica->assignment_for(report.node);
   if (assignment.epoch.number == 0 || assignment.incarnation != report.incarnation) return;
   if (report.epoch >= assignment.epoch) return;
-  // No server restarts by a replica that does not know whether its lease still holds.
+  // A replica without a quorum cannot know whether the maintenance lease is still valid, so it must not tell
+  // a server to restart.
   if (assignment.restart_version && !targets_.replica->has_quorum()) return;
   assignment.report_sequence = report.sequence;
   connection.write(report::encode(assignment));
--- a/src/control/report_receiver.h
+++ b/src/control/report_receiver.h
@@ -1,5 +1,5 @@
-// Receives servers' load reports and answers them with shard assignments. Owned by Control; used on the
-// loop's thread. Owns the listener and what is known of each connection.
+// Receives servers' load reports and answers them with shard assignments. Owned by ControlService, used on
+// the loop's thread. Owns the listener and the state of each connection.
 #pragma once
 
 #include <functional>
@@ -14,16 +14,18 @@
 
 namespace myrtlecroft::control {
 
+// Passes reports to the router. Each rejected server is logged once per reason.
 class ReportReceiver {
  public:
   struct Targets {
     routing::Router& router;
-    // Gives servers their shard assignments; nullptr where this control service decides alone.
+    // The source of shard assignments. nullptr for a standalone control service, which sends none.
     agreement::ControlReplica* replica = nullptr;
-    // A server reported another mode, or that it drains: the next decision should not wait for its interval.
+    // Called when a server reports another mode or that it drains. The next decision should not wait for its
+    // interval.
     std::function<void()> mode_changed;
   };
-  // What the targets name outlives this. Throws ListenError.
+  // The objects in `targets` must outlive this one. Throws ListenError.
   ReportReceiver(net::Loop& loop, service::Logger& log, const sockaddr_in& address, Targets targets);
 
   std::uint16_t port() const { return server_.port(); }
@@ -31,18 +33,18 @@
  private:
   std::size_t received(FrameServer::Id id, net::Connection& connection, std::string_view bytes);
   void handle(FrameServer::Id id, net::Connection& connection, const report::LoadReport& report);
-  void accepted(FrameServer::Id id, const report::LoadReport& report);
-  void rejected(const report::LoadReport& report, const std::string& reason);
+  void handle_accepted(FrameServer::Id id, const report::LoadReport& report);
+  void log_rejection(const report::LoadReport& report, const std::string& reason);
   void closed(FrameServer::Id id);
   void send_assignment(net::Connection& connection, const report::LoadReport& report);
-  std::size_t max_reporters() const;
+  std::size_t max_reporter_connections() const;
 
   net::Loop& loop_;
   service::Logger& log_;
   Targets targets_;
   ReporterLinks links_;
-  std::map<std::string, std::string> modes_;              // by server, as reported last
-  std::map<std::string, std::string> rejection_reasons_;  // by server, as logged last
+  std::map<std::string, std::string> last_modes_;              // by server, as last reported
+  std::map<std::string, std::string> last_rejection_reasons_;  // by server, as last logged
   FrameServer server_;
 };
 
--- a/src/control/state_store.cpp
+++ b/src/control/state_store.cpp
@@ -10,7 +10,7 @@
 
 const std::string kStateKey = "state";
 
-const std::string& checked_folder(const std::string& path) {
+const std::string& require_folder(const std::string& path) {
   struct stat status {};
   if (::stat(path.c_str(), &status) == 0 && !S_ISDIR(status.st_mode)) throw StateFolderError(path);
   return path;
@@ -19,7 +19,7 @@
 }  // namespace
 
 StateStore::StateStore(const std::string& folder, net::Loop& loop, SaveDone save_done)
-    : disk_(checked_folder(folder)),
+    : disk_(require_folder(folder)),
       store_(
           disk_, {}, [&loop] { return loop.now(); }, std::random_device()()),
       save_done_(std::move(save_done)),
--- a/src/control/state_store.h
+++ b/src/control/state_store.h
@@ -1,5 +1,5 @@
-// The saved state of a control service that decides alone, as one record of a store. Owned by
-// DurablePublication; used on the loop's thread, while a thread of the store's committer writes.
+// The saved state of a standalone control service, stored as one record of a store. Owned by
+// DurablePublication and used on the loop's thread; the store's committer writes on a thread of its own.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,17 @@
 
 namespace myrtlecroft::control {
 
+// kDurable: the record is synced to disk.
 enum class SaveResult { kDurable, kFailed };
 
-// The path of the state folder is a file, as versions before 0.7 had it.
+// The path of the state folder is a file: versions before 0.7 saved the state in a file.
 class StateFolderError final : public std::runtime_error {
  public:
   explicit StateFolderError(const std::string& path)
-      : std::runtime_error(
-            path +
-            " is a file of an earlier version, and a folder is wanted: move it away; without it "
-            "keyed request classes are closed for one window"),
+      : std::runtime_error(path +
+                           " is a state file of an earlier version, but a folder is required: move the file "
+                           "away; without it "
+                           "keyed request classes are closed for one deduplication window"),
         path_(path) {}
   const std::string& path() const { return path_; }
 
@@ -30,16 +31,17 @@
   std::string path_;
 };
 
+// Loads the record when constructed and replaces it on request.
 class StateStore {
  public:
   using SaveDone = std::function<void(SaveResult)>;
   // `save_done` is called on the loop's thread once for each save(). Throws StateFolderError, and
-  // std::runtime_error where the folder can't be used.
+  // std::runtime_error if the folder cannot be used.
   StateStore(const std::string& folder, net::Loop& loop, SaveDone save_done);
 
-  // What the folder had at the start; empty: nothing.
+  // The record as found in the folder at construction; empty if there was none.
   const std::string& loaded() const { return loaded_; }
-  // Replaces the record. Not while one is being saved.
+  // Replaces the record. Must not be called while is_saving().
   void save(const std::string& bytes);
   bool is_saving() const { return saving_; }
 
@@ -50,7 +52,8 @@
   bool saving_ = false;
   SaveDone save_done_;
   net::CrossThreadWakeup wakeup_;
-  std::unique_ptr<store::GroupCommitter> committer_;  // last: its thread ends before the members it uses
+  std::unique_ptr<store::GroupCommitter>
+      committer_;  // last member: its thread must end before the members it uses
 };
 
 }  // namespace myrtlecroft::control
--- a/src/control/tables.cpp
+++ b/src/control/tables.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::size_t kProgressWidth = 40;  // characters
 
-// As printf has it.
-unsigned long long wide(std::uint64_t value) { return value; }
+// The type that printf's %llu expects.
+unsigned long long as_unsigned_long_long(std::uint64_t value) { return value; }
 
 void print_release(const AdminAnswer& answer) {
   if (!answer.has_release()) return;
   const ReleaseRow& row = answer.release();
   std::printf("release %llu '%s' to version %u: %s for %.1f s, wave %u of %u, %u of %u nodes have it\n",
-              wide(row.id()), row.name().c_str(), row.version(), row.phase().c_str(), row.in_phase_s(),
-              row.wave(), row.waves(), row.nodes_with(), row.nodes());
+              as_unsigned_long_long(row.id()), row.name().c_str(), row.version(), row.phase().c_str(),
+              row.in_phase_s(), row.wave(), row.waves(), row.nodes_with(), row.nodes());
   std::printf("%s\n", progress_line(row, kProgressWidth).c_str());
   if (!row.reason().empty()) std::printf("why: %s\n", row.reason().c_str());
   if (!row.outlook().empty()) std::printf("now: %s\n", row.outlook().c_str());
@@ -47,39 +47,42 @@
   print_maintenance(answer);
 }
 
-// Which rows a long answer has, and how to get the others.
+// Says which rows of a long answer are shown and how to get the others.
 std::string page_line(const AdminAnswer& answer) {
-  std::string of = std::to_string(answer.rows()) + " rows, page " + std::to_string(answer.page()) + " of " +
-                   std::to_string(answer.pages());
-  if (answer.first_row() == 0) return "no row here: there are " + of;
+  std::string page_position = std::to_string(answer.rows()) + " rows, page " + std::to_string(answer.page()) +
+                              " of " + std::to_string(answer.pages());
+  if (answer.first_row() == 0) return "no rows on this page; the answer has " + page_position;
   std::uint32_t last = answer.first_row() + (answer.rows() - answer.rows_left_out()) - 1;
-  return "rows " + std::to_string(answer.first_row()) + " to " + std::to_string(last) + " of " + of +
-         "; the others with --page, or fewer with --name, --zone or --state where the question takes them";
+  return "rows " + std::to_string(answer.first_row()) + " to " + std::to_string(last) + " of " +
+         page_position +
+         "; see other rows with --page, or filter with --name, --zone or --state where the query supports it";
 }
 
 void print_summary(const AdminAnswer& answer) {
   std::printf("view %s, published %llu, applied by all %llu, shards closed %u, proxies gone %u%s\n",
-              answer.view().c_str(), wide(answer.published()), wide(answer.applied_by_all()),
-              answer.shards_closed(), answer.proxies_gone(), answer.disk_fails() ? ", DISK FAILS" : "");
+              answer.view().c_str(), as_unsigned_long_long(answer.published()),
+              as_unsigned_long_long(answer.applied_by_all()), answer.shards_closed(), answer.proxies_gone(),
+              answer.disk_fails() ? ", DISK FAILS" : "");
 }
 
 void print_replica_summary(const AdminAnswer& answer) {
   std::printf(
       "instance %llu: %s, leader %llu, term %llu, epoch %llu, agreed time %.1f s, %s; refused %llu, left "
       "out %llu\n",
-      wide(answer.instance()), answer.role().c_str(), wide(answer.leader()), wide(answer.term()),
-      wide(answer.epoch()), answer.agreed_time_s(),
-      answer.in_touch() ? "in touch" : "OUT OF TOUCH with a majority", wide(answer.refused()),
-      wide(answer.left_out()));
+      as_unsigned_long_long(answer.instance()), answer.role().c_str(), as_unsigned_long_long(answer.leader()),
+      as_unsigned_long_long(answer.term()), as_unsigned_long_long(answer.epoch()), answer.agreed_time_s(),
+      answer.in_touch() ? "in touch" : "OUT OF TOUCH with a majority",
+      as_unsigned_long_long(answer.refused()), as_unsigned_long_long(answer.left_out()));
 }
 
 void print_instances(const AdminAnswer& answer) {
   std::printf("%-4s %-22s %-10s %-6s %10s %8s %6s  %s\n", "id", "address", "part", "leads", "applied",
               "heard s", "format", "settings");
   for (const InstanceRow& row : answer.instances()) {
-    std::printf("%-4llu %-22s %-10s %-6s %10llu %8.1f %6u  %s%s\n", wide(row.id()), row.address().c_str(),
-                row.part().c_str(), row.leads() ? "yes" : "no", wide(row.applied()), row.heard_s_ago(),
-                row.format(), row.settings().c_str(), row.here() ? "  (here)" : "");
+    std::printf("%-4llu %-22s %-10s %-6s %10llu %8.1f %6u  %s%s\n", as_unsigned_long_long(row.id()),
+                row.address().c_str(), row.part().c_str(), row.leads() ? "yes" : "no",
+                as_unsigned_long_long(row.applied()), row.heard_s_ago(), row.format(), row.settings().c_str(),
+                row.here() ? "  (here)" : "");
   }
 }
 
@@ -103,14 +106,14 @@
     std::string nacks;
     for (const std::string& nack : row.refused()) nacks += (nacks.empty() ? "" : "; ") + nack;
     std::printf("%-24s %-8s %-24s %-5s %8llu %8llu %6llu  %s\n", row.id().c_str(), row.zone().c_str(),
-                row.peer().c_str(), row.form().c_str(), wide(row.applied()), wide(row.acks()),
-                wide(row.nacks()), nacks.c_str());
+                row.peer().c_str(), row.form().c_str(), as_unsigned_long_long(row.applied()),
+                as_unsigned_long_long(row.acks()), as_unsigned_long_long(row.nacks()), nacks.c_str());
   }
 }
 
 void print_snapshot(const AdminAnswer& answer) {
   const routing_state::Snapshot& snapshot = answer.snapshot();
-  std::printf("snapshot %llu of %s\n", wide(snapshot.number()), snapshot.listener().c_str());
+  std::printf("snapshot %llu of %s\n", as_unsigned_long_long(snapshot.number()), snapshot.listener().c_str());
   for (const routing_state::NodeRoute& node : snapshot.nodes()) {
     std::printf("  node %-16s %-8s weight %u, in flight for each proxy %u\n", node.name().c_str(),
                 node.health().c_str(), node.weight(), node.in_flight());
@@ -141,15 +144,15 @@
 }  // namespace
 
 std::string progress_line(const ReleaseRow& row, std::size_t width) {
-  auto full = static_cast<std::size_t>(std::lround(row.reached() * static_cast<double>(width)));
-  full = std::min(full, width);
-  char rest[80];
+  auto filled = static_cast<std::size_t>(std::lround(row.reached() * static_cast<double>(width)));
+  filled = std::min(filled, width);
+  char suffix[80];
   if (row.left_s() >= 0) {
-    std::snprintf(rest, sizeof rest, " %.0f%%, about %.0f s left", 100 * row.reached(), row.left_s());
+    std::snprintf(suffix, sizeof suffix, " %.0f%%, about %.0f s left", 100 * row.reached(), row.left_s());
   } else {
-    std::snprintf(rest, sizeof rest, " %.0f%%", 100 * row.reached());
+    std::snprintf(suffix, sizeof suffix, " %.0f%%", 100 * row.reached());
   }
-  return "[" + std::string(full, '#') + std::string(width - full, '.') + "]" + rest;
+  return "[" + std::string(filled, '#') + std::string(width - filled, '.') + "]" + suffix;
 }
 
 void print_table(const AdminAnswer& answer, const std::string& query) {
--- a/src/control/tables.h
+++ b/src/control/tables.h
@@ -1,5 +1,5 @@
-// What the program prints of an admin answer. Called by main.cpp and release_watch.cpp. Column titles and
-// words are read by operators' scripts and stay as they are.
+// Prints admin answers as tables. Called by main.cpp and release_watch.cpp. Operators' scripts read the
+// column titles and the words in the rows, so they stay unchanged.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,11 @@
 
 namespace myrtlecroft::control {
 
-// Prints the summary and the table of the query to standard output. `query` is the line that was sent,
-// without its options.
+// Prints the summary and the table of the query to standard output. `query` is the query line without its
+// options.
 void print_table(const AdminAnswer& answer, const std::string& query);
 
-// A line of progress: "[#####.....] 52%, about 40 s left". `width` is the bar's, in characters.
+// Formats a progress bar: "[#####.....] 52%, about 40 s left". `width` is the width of the bar in characters.
 std::string progress_line(const ReleaseRow& row, std::size_t width);
 
 }  // namespace myrtlecroft::control
--- a/tests/admin_queries_test.cpp
+++ b/tests/admin_queries_test.cpp
@@ -1,4 +1,5 @@
-// Operators' queries to a control service of a large fleet: each answer is complete and quick.
+// Tests admin queries to a control service of a large fleet: every answer is complete and takes less than a
+// second. Also tests which queries are rejected.
 #include "control/admin_queries.h"
 
 #include <gtest/gtest.h>
@@ -13,13 +14,13 @@
 TEST(LargeFleetTest, EveryQueryIsAnsweredCompletelyWithinASecond) {
   LargeControl large;
   ASSERT_TRUE(large.published);
-  for (const char* question : {"nodes", "proxies", "snapshot", "instances", "outings", "release status"})
-    EXPECT_EQ(large.answer(question).error(), "") << question;
+  for (const char* query : {"nodes", "proxies", "snapshot", "instances", "outings", "release status"})
+    EXPECT_EQ(large.answer(query).error(), "") << query;
   EXPECT_EQ(large.answer("nodes").rows(), static_cast<unsigned>(kServers));
   EXPECT_EQ(large.answer("instances").instances_size(), 1);
 }
 
-TEST(LargeFleetTest, PagesHaveEveryServerAndEveryRequestClassOnce) {
+TEST(LargeFleetTest, PagesListEveryServerAndEveryRequestClassOnce) {
   LargeControl large;
   ASSERT_TRUE(large.published);
   std::set<std::string> nodes;
@@ -45,8 +46,9 @@
   EXPECT_EQ(routes.size(), static_cast<std::size_t>(kServers + kRequestClasses));
 }
 
-// The lists of servers alone were longer than an answer may be: it was refused, whichever page was asked for.
-TEST(LargeFleetTest, SnapshotIsAnsweredWhereServicesNameTheirServers) {
+// The lists of servers per service alone exceeded the size limit of an answer, so that every page of the
+// snapshot was rejected.
+TEST(LargeFleetTest, SnapshotIsAnsweredWhenServicesListTheirServers) {
   constexpr int kServices = 800;
   LargeControl large(large_fleet_with_subsets(kServices, 200));
   ASSERT_TRUE(large.published);
@@ -71,7 +73,7 @@
   EXPECT_EQ(route.snapshot().groups_size(), 0);
 }
 
-TEST(LargeFleetTest, FilterWithoutMatchesAndPageBeyondTheEndHaveNoRowsButTheirCount) {
+TEST(LargeFleetTest, FilterWithoutMatchesAndPageBeyondTheEndReturnNoRowsAndTheRowCount) {
   LargeControl large;
   ASSERT_TRUE(large.published);
   AdminAnswer none = large.answer("nodes zone=nowhere");
@@ -85,24 +87,24 @@
   EXPECT_EQ(beyond.rows_left_out(), static_cast<unsigned>(kServers));
 }
 
-TEST(SmallFleetTest, InvalidFilterIsRejectedWithAnErrorThatNamesIt) {
+TEST(SmallFleetTest, InvalidOptionIsRejectedWithAnErrorThatNamesIt) {
   LargeControl small(3);
   EXPECT_EQ(small.answer("nodes state=asleep").error(),
-            "state 'asleep' is none of presumed, ramping, serving, leaving, sick, mute, silent");
+            "state 'asleep' is not one of presumed, ramping, serving, leaving, sick, mute, silent");
   EXPECT_EQ(small.answer("snapshot state=serving").error(),
-            "state 'serving' is none of healthy, draining, out");
+            "state 'serving' is not one of healthy, draining, out");
   EXPECT_EQ(small.answer("nodes colour=red").error(),
-            "nodes takes no 'colour'; there are zone, state, name, page");
+            "nodes has no option 'colour'; available are zone, state, name, page");
   EXPECT_EQ(small.answer("nodes zone=").error(), "zone has no value");
   for (const char* page : {"0", "-1", "two", "1x", "99999999999999999999"}) {
     EXPECT_EQ(small.answer(std::string("nodes page=") + page).error(),
-              std::string("page '") + page + "' is no number from 1");
+              std::string("page '") + page + "' is not a valid page number; pages start at 1");
   }
-  EXPECT_EQ(small.answer("instances page=1").error(), "instances takes no 'page'");
-  EXPECT_NE(small.answer("nodesque").error().find("unknown question"), std::string::npos);
+  EXPECT_EQ(small.answer("instances page=1").error(), "instances has no option 'page'");
+  EXPECT_NE(small.answer("nodesque").error().find("unknown query"), std::string::npos);
 }
 
-TEST(SmallFleetTest, QueryWithoutOptionsHasAllRows) {
+TEST(SmallFleetTest, QueryWithoutOptionsReturnsAllRows) {
   LargeControl small(3);
   AdminAnswer answer = small.answer("nodes");
   EXPECT_EQ(answer.nodes_size(), 3);
--- a/tests/control_harness.h
+++ b/tests/control_harness.h
@@ -1,5 +1,5 @@
-// A control service on loopback with the real clock, and reporters that stand in for servers. Used by tests
-// that await what they expect, with a limit, instead of sleeping.
+// Test support: a control service on loopback with the real clock, and reporters that stand in for servers.
+// Tests poll with a time limit for what they expect instead of sleeping.
 #pragma once
 
 #include <arpa/inet.h>
@@ -26,7 +26,7 @@
 
 namespace myrtlecroft::control {
 
-// Retains all lines, from any thread.
+// Records all log lines. Thread-safe.
 class RecordingLogger final : public service::Logger {
  public:
   void line(const std::string& text) override {
@@ -35,10 +35,10 @@
   }
   void write_rate_limited(const std::string& text) override { line(text); }
   void write_routine(const std::string&) override {}
-  bool has(const std::string& part) const {
+  bool has(const std::string& text) const {
     std::lock_guard lock(mutex_);
-    for (const std::string& text : lines_) {
-      if (text.find(part) != std::string::npos) return true;
+    for (const std::string& line : lines_) {
+      if (line.find(text) != std::string::npos) return true;
     }
     return false;
   }
@@ -48,7 +48,7 @@
   std::vector<std::string> lines_;
 };
 
-// Removed on destruction.
+// A new folder in /tmp, removed with its content on destruction.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
@@ -62,10 +62,10 @@
   std::string path_;
 };
 
-// Polls until `expected` holds; false where it does not within the limit.
+// Polls until `expected` returns true. Returns false if it does not within the limit.
 inline bool await(const std::function<bool()>& expected, int limit_ms = 15'000) {
-  auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(limit_ms);
-  while (std::chrono::steady_clock::now() < until) {
+  auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(limit_ms);
+  while (std::chrono::steady_clock::now() < deadline) {
     if (expected()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
@@ -74,7 +74,7 @@
 
 using net::loopback;
 
-// A control service in a thread of its own.
+// A control service that runs in its own thread until destruction.
 class RunningControl {
  public:
   explicit RunningControl(ControlOptions options)
@@ -95,6 +95,7 @@
     }
     return result.get_future().get();
   }
+  // The stored name of the server's state; "unknown" if the fleet has no such server.
   std::string state_of(const std::string& node) {
     return run_in_loop([&](ControlService& control) -> std::string {
       for (const routing::ServerStatus& server : control.router().registry().all()) {
@@ -146,7 +147,8 @@
   std::thread thread_;
 };
 
-// Sends load reports of many servers ten times a second, as a test sets them, and reconnects where it must.
+// Sends load reports for many servers ten times a second and after each change, and reconnects when a
+// connection is closed.
 class Reporters {
  public:
   explicit Reporters(std::uint16_t port) : port_(port), thread_([this] { run(); }) {}
@@ -156,6 +158,7 @@
     thread_.join();
     for (auto& [name, socket] : sockets_) ::close(socket);
   }
+  // Changes the server's next report.
   void set(const std::string& node, const std::function<void(report::LoadReport&)>& change) {
     {
       std::lock_guard lock(mutex_);
@@ -164,6 +167,7 @@
     }
     wakeup_.notify_one();
   }
+  // Starts reports of a server that serves normally.
   void add(const std::string& node, const std::string& address) {
     set(node, [&](report::LoadReport& report) {
       report.node = node;
@@ -174,7 +178,7 @@
       report.limit = 8;
     });
   }
-  // While paused no report of the server is sent.
+  // While paused, no reports are sent for the server.
   void pause(const std::string& node, bool paused) {
     std::lock_guard lock(mutex_);
     paused_[node] = paused;
--- a/tests/control_program_test.cpp
+++ b/tests/control_program_test.cpp
@@ -1,4 +1,4 @@
-// The control program: exit codes, and what it prints.
+// Tests the control program's exit codes and its output.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -12,7 +12,7 @@
 
 using standin::ChildProcess;
 
-TEST(ControlProgramTest, UsageErrorsAreNamedAndExitWithTwo) {
+TEST(ControlProgramTest, UsageErrorsExitWithTwoAndInvalidFilesAreNamed) {
   TemporaryFolder folder;
   std::ofstream(folder.file("bad.conf")) << "version = 1;\nnodes = 3;\n";
   auto run = [&](std::vector<std::string> words) {
@@ -30,7 +30,7 @@
   EXPECT_NE(log.find("bad.conf:2: nodes: is not a list in parentheses"), std::string::npos) << log;
 }
 
-TEST(ControlProgramTest, PrintsTheRequestedPageAndHowToGetTheOthers) {
+TEST(ControlProgramTest, PrintsTheRequestedPageAndHowToRequestOthers) {
   LargeControl large;
   ASSERT_TRUE(large.published);
   auto shown = [&](std::vector<std::string> words) {
@@ -48,8 +48,9 @@
   EXPECT_EQ(first.find("server-6100 "), std::string::npos);
   std::string one = shown({"nodes", "--zone", "a", "--name", "server-6100"});
   EXPECT_NE(one.find("server-6100 "), std::string::npos);
-  EXPECT_EQ(one.find("page"), std::string::npos) << "nothing is left out";
-  EXPECT_NE(shown({"nodes", "--page", "900"}).find("no row here: there are 6100 rows"), std::string::npos);
+  EXPECT_EQ(one.find("page"), std::string::npos) << "all rows are on one page";
+  EXPECT_NE(shown({"nodes", "--page", "900"}).find("no rows on this page; the answer has 6100 rows"),
+            std::string::npos);
 }
 
 }  // namespace
--- a/tests/control_restart_test.cpp
+++ b/tests/control_restart_test.cpp
@@ -1,4 +1,5 @@
-// The control program, killed while it publishes and started again.
+// Tests that a control program killed during a publication and started again leaves proxies with complete
+// sets.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -11,7 +12,7 @@
 
 using standin::ChildProcess;
 
-TEST(ControlRestartTest, ProxiesRetainTheLastSetWhenControlIsKilledDuringPublication) {
+TEST(ControlRestartTest, ProxiesKeepACompleteSetWhenControlIsKilledDuringPublication) {
   Site site(40);
   auto port = [](int offset) { return std::to_string(21'000 + getpid() % 3000 * 3 + offset); };
   std::vector<std::string> command = {MYRTLECROFT_CONTROL,
@@ -36,16 +37,16 @@
   for (int i = 0; i < 8; ++i) {
     links.push_back(std::make_unique<AdsLink>("127.0.0.1:" + port(0), i % 2 == 0, "p" + std::to_string(i)));
   }
-  auto all_have = [&](int count) {
+  auto all_have_servers = [&](int count) {
     return std::all_of(links.begin(), links.end(),
                        [&](const auto& link) { return has_servers(*link, count); });
   };
-  ASSERT_TRUE(await([&] { return all_have(40); }));
+  ASSERT_TRUE(await([&] { return all_have_servers(40); }));
   for (int round = 0; round < 4; ++round) {
     for (int i = 1; i <= 10; ++i) {
       reporters.set("n" + std::to_string(i), [&](auto& report) { report.draining = round % 2 == 0; });
     }
-    // As soon as the first of them has it, the service is gone.
+    // Kill the control service as soon as the first proxy has applied the change.
     ASSERT_TRUE(await([&] {
       return std::any_of(links.begin(), links.end(),
                          [&](const auto& link) { return has_servers(*link, round % 2 == 0 ? 30 : 40); });
@@ -56,14 +57,14 @@
       EXPECT_GE(link->applied()->endpoints.at("group/read")->endpoints_size(), 30);
       EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
     }
-    if (round == 3) {  // it comes back with a changed fleet file, and no server reports
+    if (round == 3) {  // restart with another fleet file and without reports
       for (int i = 1; i <= 40; ++i) reporters.pause("n" + std::to_string(i), true);
       site.write(fleet_text(38));
     }
     control = ChildProcess(command, site.folder.file("log"));
-    if (round < 3) ASSERT_TRUE(await([&] { return all_have(round % 2 == 0 ? 30 : 40); }));
+    if (round < 3) ASSERT_TRUE(await([&] { return all_have_servers(round % 2 == 0 ? 30 : 40); }));
   }
-  ASSERT_TRUE(await([&] { return all_have(38); }));
+  ASSERT_TRUE(await([&] { return all_have_servers(38); }));
   for (auto& link : links) EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
   EXPECT_EQ(control.end(SIGTERM), 0);
 }
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1,4 +1,4 @@
-// A control service on loopback: a disk that fails, a reload, malformed input, many proxies.
+// Tests a control service on loopback: failing disk, reload, malformed input, many proxies.
 #include "control/control.h"
 
 #include <gtest/gtest.h>
@@ -12,19 +12,19 @@
 namespace myrtlecroft::control {
 namespace {
 
-// No file of this process may grow while it lives.
+// While it exists, no file of this process can grow, as on a full disk.
 struct FullDisk {
   FullDisk() {
     std::signal(SIGXFSZ, SIG_IGN);
-    getrlimit(RLIMIT_FSIZE, &before);
-    rlimit none{.rlim_cur = 0, .rlim_max = before.rlim_max};
-    setrlimit(RLIMIT_FSIZE, &none);
+    getrlimit(RLIMIT_FSIZE, &previous_limit);
+    rlimit no_growth{.rlim_cur = 0, .rlim_max = previous_limit.rlim_max};
+    setrlimit(RLIMIT_FSIZE, &no_growth);
   }
-  ~FullDisk() { setrlimit(RLIMIT_FSIZE, &before); }
-  rlimit before{};
+  ~FullDisk() { setrlimit(RLIMIT_FSIZE, &previous_limit); }
+  rlimit previous_limit{};
 };
 
-TEST(ControlTest, LastPublicationIsServedAndLoggedWhileTheDiskFails) {
+TEST(ControlTest, LastPublicationStaysServedAndTheFailureIsLoggedWhileTheDiskFails) {
   Site site;
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
@@ -48,17 +48,17 @@
   AdsLink link(target(control.discovery_port()), false, "p1");
   ASSERT_TRUE(await([&] { return has_servers(link, 3); }));
   site.write("version = 1; nodes = ( { name = \"n1\" } );");
-  control.run_in_loop([](ControlService& one) { return one.reload(), 0; });
+  control.run_in_loop([](ControlService& service) { return service.reload(), 0; });
   EXPECT_TRUE(control.log().has("the previous fleet file stays in use"));
   EXPECT_TRUE(control.log().has("nodes[0].address: is missing"));
   EXPECT_TRUE(has_servers(link, 3));
   site.write(fleet_text(2));
-  control.run_in_loop([](ControlService& one) { return one.reload(), 0; });
+  control.run_in_loop([](ControlService& service) { return service.reload(), 0; });
   EXPECT_TRUE(await([&] { return has_servers(link, 2); }));
   EXPECT_EQ(link.half_applied(), 0);
 }
 
-TEST(ControlTest, MalformedReportClosesItsConnectionAndNoOther) {
+TEST(ControlTest, MalformedReportClosesOnlyItsOwnConnection) {
   Site site;
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
@@ -72,7 +72,7 @@
     ASSERT_EQ(::connect(socket, reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
     EXPECT_GT(::send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL), 0);
     char byte = 0;
-    EXPECT_LE(::recv(socket, &byte, 1, 0), 0) << "it is closed";
+    EXPECT_LE(::recv(socket, &byte, 1, 0), 0) << "the connection is closed";
     ::close(socket);
   }
   EXPECT_TRUE(control.log().has("frame too large"));
@@ -85,42 +85,42 @@
   EXPECT_EQ(control.state_of("n1"), "serving");
 }
 
-TEST(ControlTest, MalformedDiscoveryRequestClosesItsStreamWithAStatusAndNoOther) {
+TEST(ControlTest, MalformedDiscoveryRequestClosesOnlyItsOwnStreamWithAStatus) {
   Site site;
   RunningControl control(site.options());
-  AdsLink good(target(control.discovery_port()), false, "good");
-  ASSERT_TRUE(await([&] { return has_servers(good, 3); }));
+  AdsLink well_behaved(target(control.discovery_port()), false, "good");
+  ASSERT_TRUE(await([&] { return has_servers(well_behaved, 3); }));
   auto channel = grpc::CreateChannel(target(control.discovery_port()), grpc::InsecureChannelCredentials());
   grpc::GenericStub stub(channel);
-  struct Once final : grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer> {
-    void OnDone(const grpc::Status& status) override { over.set_value(status); }
-    std::promise<grpc::Status> over;
+  struct SingleRequestStream final : grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer> {
+    void OnDone(const grpc::Status& status) override { final_status.set_value(status); }
+    std::promise<grpc::Status> final_status;
     grpc::ByteBuffer in;
   };
   for (const std::string& bytes : {std::string("\xff\xff\xff"), std::string()}) {
     grpc::ClientContext context;
-    Once once;
+    SingleRequestStream stream;
     stub.PrepareBidiStreamingCall(
         &context, "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources", {},
-        &once);
-    // Nothing in it, but of a type that is served: it names no server.
-    envoy::service::discovery::v3::DiscoveryRequest nameless;
-    nameless.set_type_url(xds::type_url_of(xds::ResourceType::kClusters));
-    std::string body = bytes.empty() ? nameless.SerializeAsString() : bytes;
+        &stream);
+    // An otherwise valid request without a node id.
+    envoy::service::discovery::v3::DiscoveryRequest without_node_id;
+    without_node_id.set_type_url(xds::type_url_of(xds::ResourceType::kClusters));
+    std::string body = bytes.empty() ? without_node_id.SerializeAsString() : bytes;
     grpc::Slice slice(body);
     grpc::ByteBuffer out(&slice, 1);
-    once.StartRead(&once.in);
-    once.StartWrite(&out);
-    once.StartCall();
-    auto over = once.over.get_future();
-    ASSERT_EQ(over.wait_for(std::chrono::seconds(10)), std::future_status::ready);
-    EXPECT_EQ(over.get().error_code(), grpc::StatusCode::INVALID_ARGUMENT);
+    stream.StartRead(&stream.in);
+    stream.StartWrite(&out);
+    stream.StartCall();
+    auto status = stream.final_status.get_future();
+    ASSERT_EQ(status.wait_for(std::chrono::seconds(10)), std::future_status::ready);
+    EXPECT_EQ(status.get().error_code(), grpc::StatusCode::INVALID_ARGUMENT);
   }
-  EXPECT_TRUE(good.connected());
+  EXPECT_TRUE(well_behaved.connected());
   EXPECT_TRUE(control.log().has("malformed request"));
 }
 
-TEST(ControlTest, ManyProxiesAreServedBesideOneThatReadsNothingAndOneThatRejectsAll) {
+TEST(ControlTest, ProxiesAreServedWhileOneReadsNothingAndOneRejectsAllResources) {
   Site site(20);
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
@@ -134,22 +134,22 @@
   }
   links[0]->nack_matching("");
   links[1]->stop_reading();
-  auto others_have = [&](int count) {
+  auto others_have_servers = [&](int count) {
     return std::all_of(links.begin() + 2, links.end(),
                        [&](const auto& link) { return has_servers(*link, count); });
   };
-  ASSERT_TRUE(await([&] { return others_have(20); }));
+  ASSERT_TRUE(await([&] { return others_have_servers(20); }));
   reporters.set("n7", [](auto& report) { report.draining = true; });
-  ASSERT_TRUE(await([&] { return others_have(19); }));
-  for (auto& link : links) link->reset_stream();  // all at once, and all come back
+  ASSERT_TRUE(await([&] { return others_have_servers(19); }));
+  for (auto& link : links) link->reset_stream();  // all proxies reconnect at once
   reporters.set("n8", [](auto& report) { report.draining = true; });
-  ASSERT_TRUE(await([&] { return others_have(18); }));
+  ASSERT_TRUE(await([&] { return others_have_servers(18); }));
   for (auto& link : links) EXPECT_EQ(link->half_applied(), 0) << link->half_applied_last();
   EXPECT_TRUE(await([&] {
     AdminAnswer answer = AdminClient(loopback(control.admin_port())).call("proxies");
-    bool shown = false;
-    for (const ProxyRow& row : answer.proxies()) shown = shown || row.refused_size() > 0;
-    return answer.proxies_size() >= 100 && shown;
+    bool nack_is_listed = false;
+    for (const ProxyRow& row : answer.proxies()) nack_is_listed = nack_is_listed || row.refused_size() > 0;
+    return answer.proxies_size() >= 100 && nack_is_listed;
   }));
 }
 
--- a/tests/large_control.h
+++ b/tests/large_control.h
@@ -1,4 +1,5 @@
-// A control service of a large fleet on loopback, and how long its answers may take.
+// Test support: a control service of a large fleet on loopback. Its answers must not take longer than
+// kMaxAnswerSeconds.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,12 +16,12 @@
 namespace myrtlecroft::control {
 
 constexpr int kServers = 6100;
-// Each new publication lists every server once for each class: with 200, that alone delays an answer by
-// seconds.
+// Each new publication lists every server once for each class. With 200 classes, that alone would delay an
+// answer by seconds.
 constexpr int kRequestClasses = 20;
-constexpr double kMaxSeconds = 1;
+constexpr double kMaxAnswerSeconds = 1;
 
-// Every third server is in zone c, the others in zone a.
+// A fleet file. Every third server is in zone c, the others are in zone a.
 inline std::string large_fleet(int servers) {
   std::string nodes;
   for (int i = 1; i <= servers; ++i) {
@@ -38,7 +39,7 @@
          request_classes + "); bounds = { shard_digits = 3; };\n";
 }
 
-// Each service runs on servers that are neighbours in the list, and callers get a subset of them.
+// Request classes that each list `servers` consecutive servers of the fleet.
 inline std::string services_with_servers(int services, int servers) {
   std::string out;
   for (int service = 1; service <= services; ++service) {
@@ -53,6 +54,7 @@
   return out;
 }
 
+// A large fleet with these services and subsets of 20 servers per caller.
 inline std::string large_fleet_with_subsets(int services, int servers) {
   std::string fleet = large_fleet(kServers);
   const std::string request_classes = "groups = (";
@@ -71,7 +73,7 @@
   return ntohs(address.sin_port);
 }
 
-// A cluster of one replica, so that every query has an answer.
+// A cluster of one replica, because only replicas answer every query.
 struct LargeControl {
   explicit LargeControl(int servers = kServers) : LargeControl(large_fleet(servers)) {}
   explicit LargeControl(const std::string& fleet) {
@@ -89,17 +91,18 @@
     published = await([&] { return AdminClient(admin()).call("instances").published() > 0; });
   }
   sockaddr_in admin() const { return loopback(control->admin_port()); }
+  // Sends a query and checks that the answer takes less than kMaxAnswerSeconds.
   AdminAnswer answer(const std::string& query) const {
-    auto begin = std::chrono::steady_clock::now();
+    auto started_at = std::chrono::steady_clock::now();
     AdminAnswer out = AdminClient(admin()).call(query);
-    std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
-    EXPECT_LT(took.count(), kMaxSeconds) << query;
+    std::chrono::duration<double> duration = std::chrono::steady_clock::now() - started_at;
+    EXPECT_LT(duration.count(), kMaxAnswerSeconds) << query;
     return out;
   }
 
   TemporaryFolder folder;
   std::unique_ptr<RunningControl> control;
-  bool published = false;
+  bool published = false;  // the first publication was made within the time limit
 };
 
 }  // namespace myrtlecroft::control
--- a/tests/pager_test.cpp
+++ b/tests/pager_test.cpp
@@ -1,4 +1,4 @@
-// Which rows stand on a page.
+// Tests how rows are split into pages.
 #include "control/pager.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace myrtlecroft::control {
 namespace {
 
-TEST(PagerTest, RowLargerThanAPageHasAPageOfItsOwn) {
+TEST(PagerTest, RowLargerThanAPageGetsAPageOfItsOwn) {
   Pager pager(2);
   EXPECT_FALSE(pager.add_row(10));
   EXPECT_TRUE(pager.add_row(Pager::kMaxBytes + 1));
--- a/tests/publication_pacer_test.cpp
+++ b/tests/publication_pacer_test.cpp
@@ -1,4 +1,4 @@
-// How soon a publication may follow the one before.
+// Tests the pause between publications.
 #include "control/publication_pacer.h"
 
 #include <gtest/gtest.h>
@@ -6,13 +6,13 @@
 namespace myrtlecroft::control {
 namespace {
 
-TEST(PublicationPacerTest, NextPublicationIsDelayedByTwiceTheDurationOfTheLast) {
+TEST(PublicationPacerTest, NextPublicationWaitsTwiceTheDurationOfTheLast) {
   PublicationPacer pacer;
   EXPECT_TRUE(pacer.may_publish(0));
-  pacer.published(400 * kMs, kSecond);
+  pacer.record_publication(400 * kMs, kSecond);
   EXPECT_FALSE(pacer.may_publish(kSecond + 799 * kMs));
   EXPECT_TRUE(pacer.may_publish(kSecond + 800 * kMs));
-  pacer.published(0, 2 * kSecond);
+  pacer.record_publication(0, 2 * kSecond);
   EXPECT_TRUE(pacer.may_publish(2 * kSecond));
 }
 
--- a/tests/reporter_links_test.cpp
+++ b/tests/reporter_links_test.cpp
@@ -1,4 +1,4 @@
-// Which server reports over which connection.
+// Tests which server a report connection belongs to, and when a server has no connection left.
 #include "control/reporter_links.h"
 
 #include <gtest/gtest.h>
@@ -6,17 +6,17 @@
 namespace myrtlecroft::control {
 namespace {
 
-TEST(ReporterLinksTest, ServerLosesItsLinkWhenItsLastConnectionCloses) {
+TEST(ReporterLinksTest, ServerIsDisconnectedWhenItsLastConnectionCloses) {
   ReporterLinks links;
   EXPECT_TRUE(links.assign(1, "n1"));
   EXPECT_FALSE(links.assign(1, "n1"));
   EXPECT_TRUE(links.assign(2, "n1"));
   EXPECT_TRUE(links.assign(3, "n2"));
-  EXPECT_EQ(links.closed(1), std::nullopt);
-  EXPECT_EQ(links.closed(2), "n1");
-  EXPECT_EQ(links.closed(2), std::nullopt);
-  EXPECT_TRUE(links.assign(3, "n1")) << "the connection names another server now";
-  EXPECT_EQ(links.closed(3), "n1");
+  EXPECT_EQ(links.remove_connection(1), std::nullopt);
+  EXPECT_EQ(links.remove_connection(2), "n1");
+  EXPECT_EQ(links.remove_connection(2), std::nullopt);
+  EXPECT_TRUE(links.assign(3, "n1")) << "the connection now belongs to another server";
+  EXPECT_EQ(links.remove_connection(3), "n1");
 }
 
 }  // namespace
