--- a/src/control/admin_client.cpp
+++ b/src/control/admin_client.cpp
@@ -47,7 +47,7 @@
   int socket_;
 };
 
-// Nothing if the bytes are incomplete or not a valid message.
+// Returns nothing if the bytes are incomplete or not a valid message.
 std::optional<AdminAnswer> decode_answer(const std::string& bytes) {
   if (bytes.size() < kLengthBytes) return std::nullopt;
   std::size_t size = 0;
@@ -59,9 +59,10 @@
 }
 
 std::string error_message(AdminClientError::Kind kind, std::uint16_t port) {
-  std::string at = " at port " + std::to_string(port);
-  return kind == AdminClientError::Kind::kUnreachable ? "cannot reach a control service" + at
-                                                      : "incomplete answer from the control service" + at;
+  std::string at_port = " at port " + std::to_string(port);
+  return kind == AdminClientError::Kind::kUnreachable
+             ? "cannot reach a control service" + at_port
+             : "incomplete answer from the control service" + at_port;
 }
 
 }  // namespace
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -112,9 +112,9 @@
   if (!publisher_.may_publish()) {
     router_.observe(loop_.now());
   } else if (auto published = router_.step(loop_.now())) {
-    durable_publication_.set_pending(std::move(published));
+    durable_publication_.set_pending_publication(std::move(published));
   }
-  if (!durable_publication_.has_pending() && loop_.now() - last_trim_at_ > kHeapTrimInterval) {
+  if (!durable_publication_.has_pending_publication() && loop_.now() - last_trim_at_ > kHeapTrimInterval) {
     last_trim_at_ = loop_.now();
     malloc_trim(0);
   }
--- a/src/control/durable_publication.cpp
+++ b/src/control/durable_publication.cpp
@@ -35,14 +35,14 @@
 
 void DurablePublication::step() {
   if (!store_) {
-    if (pending_) targets_.publisher.publish(*std::exchange(pending_, nullptr));
+    if (pending_publication_) targets_.publisher.publish(*std::exchange(pending_publication_, nullptr));
     return;
   }
   if (store_->is_saving()) return;
-  bool save_now = pending_ && !disk_fails_;
+  bool save_now = pending_publication_ && !disk_fails_;
   if (!save_now && loop_.now() - last_attempt_at_ < kSaveInterval) return;
   last_attempt_at_ = loop_.now();
-  publication_being_saved_ = pending_;
+  publication_being_saved_ = pending_publication_;
   state_being_saved_ = routing_state::serialize({targets_.state(), targets_.discovery.known_proxies()});
   if (state_being_saved_ == last_saved_state_) {
     handle_save_result(SaveResult::kDurable);
@@ -58,18 +58,18 @@
   last_saved_state_ = std::move(state_being_saved_);
   if (!publication_being_saved_) return;
   targets_.publisher.publish(*publication_being_saved_);
-  if (pending_ == publication_being_saved_) pending_.reset();
+  if (pending_publication_ == publication_being_saved_) pending_publication_.reset();
   publication_being_saved_.reset();
-  if (pending_) step();
+  if (pending_publication_) step();
 }
 
 void DurablePublication::log_disk_change(SaveResult result) {
-  bool fails = result == SaveResult::kFailed;
-  if (fails == disk_fails_) return;
+  bool failing = result == SaveResult::kFailed;
+  if (failing == disk_fails_) return;
   std::string served_number = std::to_string(targets_.publisher.number());
-  log_.line(fails ? "state folder " + folder_ + ": a write failed; publication " + served_number +
-                        " is served until a write succeeds"
-                  : "state folder " + folder_ + ": writes succeed again");
+  log_.line(failing ? "state folder " + folder_ + ": a write failed; publication " + served_number +
+                          " is served until a write succeeds"
+                    : "state folder " + folder_ + ": writes succeed again");
 }
 
 }  // namespace myrtlecroft::control
--- a/src/control/durable_publication.h
+++ b/src/control/durable_publication.h
@@ -31,10 +31,10 @@
   // saved proxies to the discovery service.
   std::optional<routing::PersistedState> restore();
   // Sets the publication to save and publish next; replaces one that is still waiting.
-  void set_pending(std::shared_ptr<const routing::PublishedSnapshot> published) {
-    pending_ = std::move(published);
+  void set_pending_publication(std::shared_ptr<const routing::PublishedSnapshot> published) {
+    pending_publication_ = std::move(published);
   }
-  bool has_pending() const { return pending_ != nullptr; }
+  bool has_pending_publication() const { return pending_publication_ != nullptr; }
   // Starts a save if one is due, and publishes. Must be called several times a second.
   void step();
   // True if the last save failed.
@@ -48,8 +48,8 @@
   service::Logger& log_;
   std::string folder_;
   Targets targets_;
-  std::unique_ptr<StateStore> store_;                          // nullptr if no state is saved
-  std::shared_ptr<const routing::PublishedSnapshot> pending_;  // decided, not yet saved
+  std::unique_ptr<StateStore> store_;                                      // nullptr if no state is saved
+  std::shared_ptr<const routing::PublishedSnapshot> pending_publication_;  // decided, not yet saved
   std::shared_ptr<const routing::PublishedSnapshot>
       publication_being_saved_;  // covered by the state being saved
   std::string state_being_saved_;
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -76,9 +76,9 @@
 
 ControlOptions control_options(const ServeArguments& arguments) {
   AgreementOptions agreement = arguments.agreement;
-  bool any_given = agreement.id != 0 || !agreement.address.empty() || !agreement.folder.empty();
-  bool all_given = agreement.id != 0 && !agreement.address.empty() && !agreement.folder.empty();
-  if (any_given && (!all_given || !arguments.state_folder.empty())) {
+  bool any_option_given = agreement.id != 0 || !agreement.address.empty() || !agreement.folder.empty();
+  bool all_options_given = agreement.id != 0 && !agreement.address.empty() && !agreement.folder.empty();
+  if (any_option_given && (!all_options_given || !arguments.state_folder.empty())) {
     throw OptionsError("--instance, --peer and --log must be given together and exclude --state");
   }
   agreement.bootstrap = parse_instances(arguments.bootstrap);
@@ -141,7 +141,7 @@
 }
 
 // Sends a query or a command and prints the answer. Throws AnswerError and AdminClientError.
-int call(const ClientArguments& arguments, const std::string& line) {
+int call_and_print(const ClientArguments& arguments, const std::string& line) {
   AdminAnswer answer = AdminClient(parse_address(arguments.admin)).call(line + arguments.rows.query_suffix());
   if (!answer.error().empty()) throw AnswerError(answer.error());
   if (arguments.as_json) return print_json(answer);
@@ -178,9 +178,10 @@
       watch_release([&] { return AdminClient(parse_address(client.admin)).call("release status"); });
       return kExitOk;
     case Command::kStartRelease:
-      return call(client, releases::release_start_command(releases::read_plan(command_line.plan_path())));
+      return call_and_print(client,
+                            releases::release_start_command(releases::read_plan(command_line.plan_path())));
     case Command::kCall:
-      return call(client, admin_line(command_line));
+      return call_and_print(client, admin_line(command_line));
   }
   return kExitFailed;
 }
--- a/src/control/peer_links.cpp
+++ b/src/control/peer_links.cpp
@@ -44,7 +44,7 @@
   explicit OutboundCall(std::shared_ptr<Link> link) : link_(std::move(link)) {}
   // The methods before OnWriteDone require the link's mutex. Writes are started on the loop's thread as well
   // as in gRPC's callbacks; the hold prevents gRPC from calling OnDone in the meantime.
-  void begin() {
+  void start() {
     link_->stub->async()->Tell(&context_, &acknowledgement_, this);
     AddHold();
     write_next();
@@ -193,7 +193,7 @@
 void PeerLinks::open_call(const std::shared_ptr<Link>& link) {
   if (link->closing || link->call || Clock::now() - link->last_call_ended_at < kReopenDelay) return;
   link->call = new OutboundCall(link);
-  link->call->begin();
+  link->call->start();
 }
 
 std::shared_ptr<PeerLinks::Link> PeerLinks::make_link(const std::string& address) {
--- a/src/control/publisher.cpp
+++ b/src/control/publisher.cpp
@@ -23,12 +23,12 @@
   auto published = replica.published();
   if (published && (!served_set_ || served_set_->number != published->number)) publish(*published);
   Nanos lease_remaining = replica.lease_remaining();
-  if (lease_remaining == 0 && published) make_closed_set(*published);
+  if (lease_remaining == 0 && published) build_closed_set(*published);
   update_gate(replica.agreed(), lease_remaining > 0 ? loop_.now() + lease_remaining : 0);
 }
 
 // Built only when the leader lease has expired. Until the set exists, a new stream is sent nothing.
-void Publisher::make_closed_set(const routing::PublishedSnapshot& published) {
+void Publisher::build_closed_set(const routing::PublishedSnapshot& published) {
   if (closed_set_ && closed_set_->number == published.number) return;
   routing::PublishedSnapshot closed = published;
   closed.snapshot.shards.assign(closed.snapshot.shards.size(), routing::kClosed);
--- a/src/control/publisher.h
+++ b/src/control/publisher.h
@@ -34,7 +34,7 @@
   std::uint64_t number() const { return served_set_ ? served_set_->number : 0; }
 
  private:
-  void make_closed_set(const routing::PublishedSnapshot& published);
+  void build_closed_set(const routing::PublishedSnapshot& published);
   void update_gate(const agreement::ReplicatedState& state, Nanos fresh_until);
 
   net::Loop& loop_;
--- a/src/control/replicated_control.cpp
+++ b/src/control/replicated_control.cpp
@@ -13,7 +13,7 @@
 
 constexpr Nanos kTickInterval = 25 * kMs;
 
-// Parses "1=127.0.0.1:7401". Nothing if the text is invalid.
+// Parses "1=127.0.0.1:7401". Returns nothing if the text is invalid.
 std::optional<consensus::Server> parse_instance(const std::string& text) {
   std::size_t equals = text.find('=');
   if (equals == std::string::npos) return std::nullopt;
