--- a/src/control/discovery_server.cpp
+++ b/src/control/discovery_server.cpp
@@ -11,8 +11,8 @@
 constexpr int kMaxRequestBytes = 1 << 20;
 constexpr int kMaxStreams = 64;  // per connection
 constexpr int kMaxThreads = 16;
-constexpr int kKeepaliveMs =
-    10'000;  // detects a proxy whose host has vanished without closing the connection
+// Keep-alive pings detect a proxy whose host has vanished without closing the connection.
+constexpr int kKeepaliveMs = 10'000;
 constexpr int kKeepaliveTimeoutMs = 5'000;
 constexpr int kMinPingIntervalMs = 5'000;  // of a proxy's keep-alive pings
 constexpr int kReadChunkBytes = 4096;
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -30,8 +30,8 @@
 constexpr int kExitFailed = 1;
 constexpr int kExitUsage = 2;                         // invalid command line, fleet file or plan
 constexpr Nanos kMaxLeadershipTransfer = 1500 * kMs;  // the service stops then in any case
-constexpr std::size_t kMaxDescriptors =
-    65'536;                          // for proxies and servers; lower if the process's hard limit is
+// For proxies and servers; lower if the process's hard limit is.
+constexpr std::size_t kMaxDescriptors = 65'536;
 constexpr int kMaxMallocArenas = 2;  // with more, each thread's arena would retain freed memory
 
 // An argument that should be an address is not one.
--- a/src/control/proxy_monitor.h
+++ b/src/control/proxy_monitor.h
@@ -34,8 +34,8 @@
   LoadReportingService& load_reporting_;
   routing::Router& router_;
   agreement::ControlReplica* replica_;
-  std::optional<std::uint64_t>
-      last_seen_changes_;  // DiscoveryService::changes() when the proxies' status was last forwarded
+  // DiscoveryService::changes() when the proxies' status was last forwarded.
+  std::optional<std::uint64_t> last_seen_changes_;
   std::uint64_t applied_by_all_ = 0;
 };
 
--- a/src/control/publication_pacer.h
+++ b/src/control/publication_pacer.h
@@ -16,8 +16,8 @@
   bool may_publish(Nanos now) const { return now >= pause_until_; }
 
  private:
-  static constexpr Nanos kPauseFactor =
-      2;  // the pause is this many times the duration of the last publication
+  // The pause is this many times the duration of the last publication.
+  static constexpr Nanos kPauseFactor = 2;
   Nanos pause_until_ = 0;
 };
 
