--- a/src/arguments.h
+++ b/src/arguments.h
@@ -1,21 +1,23 @@
-// The command line of the server. Few words, read without a library: the platform's build has no package for
-// them.
+// Parses the server's command line. It has few options and uses no library, because the platform's build has
+// no package for command line parsing.
 #pragma once
 
 #include <string>
 
 namespace myrtlecroft {
 
-enum class Asked { kServe, kHelp, kVersion, kCheck, kUnknown };
+// What the command line tells the program to do.
+enum class Action { kServe, kHelp, kVersion, kCheck, kUnknown };
 
 struct Arguments {
-  Asked asked = Asked::kServe;
-  std::string unknown;  // the word that is not known, or is one too many
+  Action action = Action::kServe;
+  std::string unknown_argument;  // the unknown option or the extra argument; set with kUnknown
 };
 
-// No word at all asks to serve.
-Arguments read_arguments(int count, const char* const* words);
+// Without an argument the action is kServe.
+Arguments parse_arguments(int argc, const char* const* argv);
 
+// The text that --help prints.
 const char* help_text();
 
 }  // namespace myrtlecroft
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,31 +16,34 @@
 
 namespace {
 
-constexpr int kUsageError = 2;  // exit code: an unknown option, or a file that --check finds wrong
+constexpr int kUsageError = 2;  // exit code: an unknown option, or an invalid file found by --check
 
-// The version that whoever starts us says that we are. Throws std::runtime_error.
-std::uint8_t own_version() {
-  const char* given = std::getenv("MYRTLECROFT_RELEASE");
-  if (!given || !*given) return 0;
+// Reads the version of this program that the supervisor passes in MYRTLECROFT_RELEASE; 0 if it is not set.
+// Throws std::runtime_error if it is not a number from 0 to 99.
+std::uint8_t read_release_version() {
+  const char* release = std::getenv("MYRTLECROFT_RELEASE");
+  if (!release || !*release) return 0;
   int version = 0;
-  const char* end = given + std::strlen(given);
-  auto [past, error] = std::from_chars(given, end, version);
-  if (error != std::errc() || past != end || version < 0 || version > myrtlecroft::fencing::kMaxVersion)
-    throw std::runtime_error(std::string("MYRTLECROFT_RELEASE is no number from 0 to 99: '") + given + "'");
+  const char* end = release + std::strlen(release);
+  auto [parsed_end, error] = std::from_chars(release, end, version);
+  if (error != std::errc() || parsed_end != end || version < 0 || version > myrtlecroft::fencing::kMaxVersion)
+    throw std::runtime_error(std::string("MYRTLECROFT_RELEASE is not a number from 0 to 99: '") + release +
+                             "'");
   return static_cast<std::uint8_t>(version);
 }
 
+// Blocks or unblocks, by `how`, the signals that the server program handles.
 void mask_signals(int how) {
-  sigset_t all;
-  sigemptyset(&all);
-  for (int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&all, signal);
-  pthread_sigmask(how, &all, nullptr);
+  sigset_t signals;
+  sigemptyset(&signals);
+  for (int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, signal);
+  pthread_sigmask(how, &signals, nullptr);
 }
 
-// Says of each file whether it is good; 2 where one is not.
+// Prints for each file whether it is valid. Returns the exit code: kUsageError if any file is invalid.
 int check(const char* path, const char* settings_path) {
   int code = 0;
-  auto look = [&](const char* file, auto read) {
+  auto check_file = [&](const char* file, auto read) {
     try {
       read(file);
       if (file && *file) std::printf("%s: good\n", file);
@@ -49,18 +52,18 @@
       code = kUsageError;
     }
   };
-  look(path, [](const char* file) { myrtlecroft::read_launch(file); });
-  look(settings_path, [](const char* file) { myrtlecroft::settings::read_node_settings(file); });
+  check_file(path, [](const char* file) { myrtlecroft::read_launch_config(file); });
+  check_file(settings_path, [](const char* file) { myrtlecroft::settings::read_node_settings(file); });
   return code;
 }
 
 int start(const char* path, const char* settings_path) {
   std::signal(SIGPIPE, SIG_IGN);
-  mask_signals(SIG_BLOCK);  // until they are handled: a signal before then waits
+  mask_signals(SIG_BLOCK);  // a signal that arrives before the handlers exist stays pending
   try {
-    myrtlecroft::Launch launch = myrtlecroft::read_launch(path);
+    myrtlecroft::LaunchConfig launch = myrtlecroft::read_launch_config(path);
     myrtlecroft::ServerProgram program({.config = path, .settings = settings_path}, std::move(launch),
-                                       own_version());
+                                       read_release_version());
     mask_signals(SIG_UNBLOCK);
     return program.run();
   } catch (const std::exception& error) {
@@ -71,25 +74,25 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   using namespace myrtlecroft;
-  Arguments arguments = read_arguments(count, words);
+  Arguments arguments = parse_arguments(argc, argv);
   const char* path = std::getenv("LB_CONFIG");
   const char* settings_path = std::getenv("MYRTLECROFT_SETTINGS");
-  switch (arguments.asked) {
-    case Asked::kHelp:
+  switch (arguments.action) {
+    case Action::kHelp:
       std::fputs(help_text(), stdout);
       return 0;
-    case Asked::kVersion:
+    case Action::kVersion:
       std::puts("myrtlecroft " MYRTLECROFT_VERSION);
       return 0;
-    case Asked::kCheck:
+    case Action::kCheck:
       return check(path, settings_path);
-    case Asked::kUnknown:
-      std::fprintf(stderr, "myrtlecroft: not known here: %s; --help lists the options\n",
-                   arguments.unknown.c_str());
+    case Action::kUnknown:
+      std::fprintf(stderr, "myrtlecroft: unknown option or extra argument: %s; --help lists the options\n",
+                   arguments.unknown_argument.c_str());
       return kUsageError;
-    case Asked::kServe:
+    case Action::kServe:
       break;
   }
   return start(path, settings_path);
--- a/src/reload.cpp
+++ b/src/reload.cpp
@@ -5,51 +5,52 @@
 
 namespace myrtlecroft {
 
-Reload::Reload(net::Loop& loop, const char* path, const char* settings_path,
-               std::function<void(ReadAgain)> taken)
+FileReloader::FileReloader(net::Loop& loop, const char* path, const char* settings_path,
+                           std::function<void(ReloadResult)> on_read)
     : path_(path),
       settings_path_(settings_path),
-      taken_(std::move(taken)),
-      done_(loop.base(), [this] { finish(); }) {}
+      on_read_(std::move(on_read)),
+      read_done_(loop.base(), [this] { finish(); }) {}
 
-Reload::~Reload() {
+FileReloader::~FileReloader() {
   if (thread_.joinable()) thread_.join();
 }
 
-void Reload::ask() {
+void FileReloader::request_reload() {
   if (thread_.joinable()) {
-    again_ = true;
+    repeat_ = true;
     return;
   }
-  begin();
+  start_thread();
 }
 
-void Reload::begin() {
+void FileReloader::start_thread() {
   result_ = {};
   try {
-    thread_ = std::thread([this] { read(); });
-  } catch (const std::exception& error) {  // the system has no further thread
+    thread_ = std::thread([this] { read_files(); });
+  } catch (const std::exception& error) {  // the system can't create another thread
     result_.error = error.what();
-    taken_(std::move(result_));
+    on_read_(std::move(result_));
   }
 }
 
-void Reload::read() {
+void FileReloader::read_files() {
   try {
-    result_.launch = read_launch(path_);
-    result_.own = settings::read_node_settings(settings_path_);
-    // Fixed for the incarnation of a server. Freed here, since the loop would stand still for it.
+    result_.launch = read_launch_config(path_);
+    result_.node_settings = settings::read_node_settings(settings_path_);
+    // The configuration does not change during an incarnation. It is freed on this thread, because freeing it
+    // would block the loop.
     result_.launch.start.config = {};
   } catch (const std::exception& error) {
     result_.error = error.what();
   }
-  done_.notify();
+  read_done_.notify();
 }
 
-void Reload::finish() {
+void FileReloader::finish() {
   thread_.join();
-  taken_(std::move(result_));
-  if (std::exchange(again_, false)) begin();
+  on_read_(std::move(result_));
+  if (std::exchange(repeat_, false)) start_thread();
 }
 
 }  // namespace myrtlecroft
--- a/src/reload.h
+++ b/src/reload.h
@@ -1,4 +1,5 @@
-// Reads a server's files again beside the loop: settings of a large deployment take hundreds of milliseconds.
+// Rereads a server's files on a thread of its own, because reading the settings of a large deployment takes
+// hundreds of milliseconds, which would block the loop.
 #pragma once
 
 #include <functional>
@@ -11,32 +12,37 @@
 
 namespace myrtlecroft {
 
-struct ReadAgain {
-  Launch launch;
-  settings::NodeSettings own;
-  std::string error;  // empty where both could be read
+// The files as read by a reload, or the error.
+struct ReloadResult {
+  LaunchConfig launch;
+  settings::NodeSettings node_settings;
+  std::string error;  // empty if both files were read
 };
 
-class Reload {
+// Used on the loop's thread.
+class FileReloader {
  public:
-  // `taken` is told in the loop, once for each reading. The paths must outlive it, and so must the loop.
-  Reload(net::Loop& loop, const char* path, const char* settings_path, std::function<void(ReadAgain)> taken);
-  ~Reload();  // waits for a reading that is under way
-  // A file may have changed after a reading under way had looked at it: then another follows.
-  void ask();
+  // `on_read` is called on the loop's thread once for each read. The paths and the loop must outlive this
+  // object.
+  FileReloader(net::Loop& loop, const char* path, const char* settings_path,
+               std::function<void(ReloadResult)> on_read);
+  ~FileReloader();  // waits for a read in progress
+  // Starts a read. If one is in progress, another follows it, because a file may have changed after the first
+  // read had finished with it.
+  void request_reload();
 
  private:
-  void begin();
-  void read();
+  void start_thread();
+  void read_files();
   void finish();
 
   const char* path_;
   const char* settings_path_;
-  std::function<void(ReadAgain)> taken_;
-  net::CrossThreadWakeup done_;
+  std::function<void(ReloadResult)> on_read_;
+  net::CrossThreadWakeup read_done_;
   std::thread thread_;
-  ReadAgain result_;  // of the thread until it has fired `done_`
-  bool again_ = false;
+  ReloadResult result_;  // written by the thread until it has notified `read_done_`
+  bool repeat_ = false;
 };
 
 }  // namespace myrtlecroft
--- a/src/server_program.h
+++ b/src/server_program.h
@@ -1,5 +1,4 @@
-// One running server: owns the loop, the sockets' clients and servers and the service, and wires them up. One
-// thread, the loop's.
+// One running server: owns and connects the loop, the network clients and servers, and the service.
 #pragma once
 
 #include <cstdint>
@@ -21,57 +20,61 @@
 
 namespace myrtlecroft {
 
-// Where the server's files are. Both must outlive the program; null: none is named.
+// Paths of the server's files. The strings must outlive the program; null if no file is given.
 struct ServerPaths {
   const char* config = nullptr;
   const char* settings = nullptr;
 };
 
+// Used on one thread, which runs the loop.
 class ServerProgram {
  public:
-  // `version`: the one that whoever started the server says it is. Throws std::runtime_error where it can't
-  // start.
-  ServerProgram(const ServerPaths& paths, Launch launch, std::uint8_t version);
+  // `version` is the program's version as given by the supervisor, for load reports. Throws
+  // std::runtime_error if the server can't start.
+  ServerProgram(const ServerPaths& paths, LaunchConfig launch, std::uint8_t version);
 
-  // Serves until it has drained. Returns the exit code.
+  // Serves until the server has drained or the time to stop in has passed. Returns the exit code: 0, or 100 +
+  // V to be started again in version V.
   int run();
 
  private:
-  // Which idempotency keys are this server's, by the assignment with the highest epoch that it has received.
+  // Decides which idempotency keys this server owns, by the shard assignment with the highest epoch that it
+  // has received.
   struct KeyOwnership final : service::ShardOwnership {
     bool admits(std::string_view key) const override { return guard.admits(key); }
     fencing::FencingGuard guard;
   };
 
-  static settings::NodeSettings prepare(const ServerPaths& paths, const Launch& launch);
-  static service::Service::Start take_start(Launch& launch);
+  static settings::NodeSettings read_settings_and_reserve_descriptors(const ServerPaths& paths,
+                                                                      const LaunchConfig& launch);
+  static service::Service::Start extract_start(LaunchConfig& launch);
 
   void restore_assignment();
-  void take_assignment(const fencing::ShardAssignment& assignment);
-  void apply_reload(ReadAgain read);
+  void apply_assignment(const fencing::ShardAssignment& assignment);
+  void apply_reload(ReloadResult result);
   void begin_drain();
 
   const ServerPaths paths_;
   settings::NodeSettings settings_;
-  Launch launch_;
-  const std::size_t reserved_descriptors_;  // not for balancers' connections
+  LaunchConfig launch_;
+  const std::size_t reserved_descriptors_;  // not available to balancers' connections
   net::Loop loop_;
   net::Log log_;
-  net::FastCgiServer front_;
+  net::FastCgiServer fastcgi_server_;
   net::EngineClient engine_;
   net::DatabaseClient database_;
   net::MembershipClient membership_;
-  std::unique_ptr<recovery::DurableIdempotencyLog> idempotency_log_;  // null: nothing is stored
-  KeyOwnership keys_;
+  std::unique_ptr<recovery::DurableIdempotencyLog> idempotency_log_;  // null if no store is configured
+  KeyOwnership key_ownership_;
   service::Service service_;
   net::LoadReporter reporter_;
   int exit_code_ = 0;
-  std::string end_ = "stopped";
+  std::string end_message_ = "stopped";
   net::Timer stop_timer_;
-  net::Timer terminated_;
-  net::Timer interrupted_;
-  Reload reload_;
-  net::Timer reload_signal_;
+  net::Timer sigterm_;
+  net::Timer sigint_;
+  FileReloader reloader_;
+  net::Timer sighup_;
 };
 
 }  // namespace myrtlecroft
--- a/src/service_config/error_location.cpp
+++ b/src/service_config/error_location.cpp
@@ -8,54 +8,62 @@
 
 namespace ondemand = simdjson::ondemand;
 
-struct Step {
-  std::string pointer;  // as JSON pointers write it: /settings/classes/0
-  std::string path;     // as people do: settings.classes[0]
+// Place of a value in a JSON document.
+struct JsonLocation {
+  std::string pointer;  // as a JSON pointer: /settings/classes/0
+  std::string path;     // as shown in messages: settings.classes[0]
 };
 
-std::optional<Step> find_object(element here, const char* mark, const Step& at) {
+// Searches `node` and everything in it for the object whose first key is at `key_address`. `location` is the
+// place of `node`.
+std::optional<JsonLocation> locate_object(element node, const char* key_address,
+                                          const JsonLocation& location) {
   simdjson::dom::array entries;
-  if (here.get(entries) == simdjson::SUCCESS) {
-    std::size_t number = 0;
+  if (node.get(entries) == simdjson::SUCCESS) {
+    std::size_t entry_index = 0;
     for (element entry : entries) {
-      std::string index = std::to_string(number++);
-      if (auto found = find_object(entry, mark, {at.pointer + "/" + index, at.path + "[" + index + "]"}))
+      std::string index = std::to_string(entry_index++);
+      if (auto found = locate_object(entry, key_address,
+                                     {location.pointer + "/" + index, location.path + "[" + index + "]"}))
         return found;
     }
     return std::nullopt;
   }
   object fields;
-  if (here.get(fields) != simdjson::SUCCESS) return std::nullopt;
-  if (mark_of(fields) == mark) return at;
+  if (node.get(fields) != simdjson::SUCCESS) return std::nullopt;
+  if (first_key_address(fields) == key_address) return location;
   for (auto [key, value] : fields) {
     std::string name(key);
-    Step next{at.pointer + "/" + name, at.path.empty() ? name : at.path + "." + name};
-    if (auto found = find_object(value, mark, next)) return found;
+    JsonLocation field_location{location.pointer + "/" + name,
+                                location.path.empty() ? name : location.path + "." + name};
+    if (auto found = locate_object(value, key_address, field_location)) return found;
   }
   return std::nullopt;
 }
 
-int line_of(const char* place, const simdjson::padded_string& text) {
-  return 1 + static_cast<int>(std::count(text.data(), place, '\n'));
+// Line number, from 1, of a position in `text`.
+int line_of_position(const char* position, const simdjson::padded_string& text) {
+  return 1 + static_cast<int>(std::count(text.data(), position, '\n'));
 }
 
-std::optional<int> line_at(const std::string& pointer, const simdjson::padded_string& text) {
+// Line of the value at a JSON pointer. Returns no value if there is none.
+std::optional<int> line_of_pointer(const std::string& pointer, const simdjson::padded_string& text) {
   ondemand::parser parser;
   ondemand::document document;
   if (parser.iterate(text).get(document) != simdjson::SUCCESS) return std::nullopt;
-  const char* place = nullptr;
+  const char* position = nullptr;
   if (pointer.empty()) {
-    if (document.current_location().get(place) != simdjson::SUCCESS) return std::nullopt;
-    return line_of(place, text);
+    if (document.current_location().get(position) != simdjson::SUCCESS) return std::nullopt;
+    return line_of_position(position, text);
   }
   ondemand::value value;
   if (document.at_pointer(pointer).get(value) != simdjson::SUCCESS) return std::nullopt;
-  if (value.current_location().get(place) != simdjson::SUCCESS) return std::nullopt;
-  return line_of(place, text);
+  if (value.current_location().get(position) != simdjson::SUCCESS) return std::nullopt;
+  return line_of_position(position, text);
 }
 
-// Reads every value, so that the first fault is met. The depth is bounded by the parser.
-simdjson::error_code walk(ondemand::value value) {
+// Reads every value inside `value` and returns the first error. The parser bounds the depth.
+simdjson::error_code validate_values(ondemand::value value) {
   ondemand::json_type type{};
   if (auto error = value.type().get(type)) return error;
   if (type == ondemand::json_type::array) {
@@ -64,7 +72,7 @@
     for (auto entry : entries) {
       ondemand::value inner;
       if (auto error = entry.get(inner)) return error;
-      if (auto error = walk(inner)) return error;
+      if (auto error = validate_values(inner)) return error;
     }
     return simdjson::SUCCESS;
   }
@@ -74,7 +82,7 @@
     for (auto field : fields) {
       ondemand::value inner;
       if (auto error = field.value().get(inner)) return error;
-      if (auto error = walk(inner)) return error;
+      if (auto error = validate_values(inner)) return error;
     }
     return simdjson::SUCCESS;
   }
@@ -89,27 +97,28 @@
 }  // namespace
 
 std::string format_with_location(const FieldError& error, element root, const simdjson::padded_string& text) {
-  std::optional<Step> in = error.object_mark ? find_object(root, error.object_mark, {}) : std::nullopt;
-  if (!in) return std::string(" ") + error.what();
-  std::optional<int> line = line_at(in->pointer + "/" + error.field, text);
-  if (!line) line = line_at(in->pointer, text);
-  std::string path = in->path.empty() ? error.field : in->path + "." + error.field;
-  return (line ? std::to_string(*line) + ": " : " ") + path + ": " + error.fault;
+  std::optional<JsonLocation> object_location =
+      error.object_key_address ? locate_object(root, error.object_key_address, {}) : std::nullopt;
+  if (!object_location) return std::string(" ") + error.what();
+  std::optional<int> line = line_of_pointer(object_location->pointer + "/" + error.field, text);
+  if (!line) line = line_of_pointer(object_location->pointer, text);
+  std::string path = object_location->path.empty() ? error.field : object_location->path + "." + error.field;
+  return (line ? std::to_string(*line) + ": " : " ") + path + ": " + error.message;
 }
 
 std::string format_with_location(simdjson::error_code error, const simdjson::padded_string& text) {
   ondemand::parser parser;
   ondemand::document document;
-  const char* place = nullptr;
+  const char* position = nullptr;
   if (parser.iterate(text).get(document) == simdjson::SUCCESS) {
     ondemand::value value;
-    auto met = document.get_value().get(value);
-    if (met == simdjson::SUCCESS) met = walk(value);
-    if (met != simdjson::SUCCESS && document.current_location().get(place) != simdjson::SUCCESS)
-      place = nullptr;
+    auto parse_error = document.get_value().get(value);
+    if (parse_error == simdjson::SUCCESS) parse_error = validate_values(value);
+    if (parse_error != simdjson::SUCCESS && document.current_location().get(position) != simdjson::SUCCESS)
+      position = nullptr;
   }
-  // A fault that is found only at the end, as a bracket that is never closed, has no line.
-  return (place ? std::to_string(line_of(place, text)) + ": " : " ") +
+  // An error that is found only at the end of the text, such as a bracket that is never closed, has no line.
+  return (position ? std::to_string(line_of_position(position, text)) + ": " : " ") +
          std::string(simdjson::error_message(error));
 }
 
--- a/src/service_config/error_location.h
+++ b/src/service_config/error_location.h
@@ -1,5 +1,5 @@
-// Finds the line and path of a faulty field in a JSON file, for messages to operators. Called only after a
-// reader has failed, on its thread. Owns nothing.
+// Finds the line and path of an invalid field in a JSON file, for messages to operators. Called only after a
+// reader has failed, on the reader's thread.
 #pragma once
 
 #include <string>
@@ -8,11 +8,13 @@
 
 namespace myrtlecroft::config {
 
-// "LINE: PATH: what is wrong" of a field error: the line of the field, or of the object that lacks it. `root`
-// is the document that was read out of `text`.
+// Formats a field error as "LINE: PATH: ERROR", with the line of the field, or of the object in which the
+// field is missing; as " PATH: ERROR" or " ERROR" if the place is not found. `root` is the document parsed
+// from `text`.
 std::string format_with_location(const FieldError& error, element root, const simdjson::padded_string& text);
 
-// "LINE: what is wrong" of a text that is not JSON: the line of the first fault.
+// Formats the error of a text that is not JSON as "LINE: ERROR", with the line of the first error, or as
+// " ERROR" if no line is known.
 std::string format_with_location(simdjson::error_code error, const simdjson::padded_string& text);
 
 }  // namespace myrtlecroft::config
--- a/src/service_config/json_fields.cpp
+++ b/src/service_config/json_fields.cpp
@@ -4,17 +4,19 @@
 
 namespace myrtlecroft::config {
 
-const char* mark_of(object fields) {
+const char* first_key_address(object fields) {
   return fields.begin() == fields.end() ? nullptr : fields.begin().key().data();
 }
 
-FieldError::FieldError(object in, std::string_view name, const std::string& what)
+FieldError::FieldError(object parent, std::string_view name, const std::string& what)
     : std::runtime_error("field '" + std::string(name) + "' " + what),
       field(name),
-      fault(what),
-      object_mark(mark_of(in)) {}
+      message(what),
+      object_key_address(first_key_address(parent)) {}
 
-void fail(object in, std::string_view field, const std::string& what) { throw FieldError(in, field, what); }
+void fail(object parent, std::string_view field, const std::string& what) {
+  throw FieldError(parent, field, what);
+}
 
 std::optional<element> find(object fields, std::string_view name) {
   element value;
@@ -24,16 +26,17 @@
 
 namespace {
 
-std::int64_t integer(object in, std::string_view name, element value) {
+std::int64_t integer(object parent, std::string_view name, element value) {
   std::int64_t number = 0;
   if (value.get(number) == simdjson::SUCCESS) return number;
   std::uint64_t large = 0;
   if (value.get(large) == simdjson::SUCCESS) return static_cast<std::int64_t>(large);
-  double real = 0;
-  if (value.get(real) == simdjson::SUCCESS && real == std::floor(real) && std::fabs(real) < 9e18) {
-    return static_cast<std::int64_t>(real);
+  double floating = 0;
+  if (value.get(floating) == simdjson::SUCCESS && floating == std::floor(floating) &&
+      std::fabs(floating) < 9e18) {
+    return static_cast<std::int64_t>(floating);
   }
-  fail(in, name, "is not a whole number");
+  fail(parent, name, "is not a whole number");
 }
 
 }  // namespace
@@ -44,15 +47,15 @@
   return integer(fields, name, *value);
 }
 
-std::int64_t integer_or(object fields, std::string_view name, std::int64_t absent) {
+std::int64_t integer_or(object fields, std::string_view name, std::int64_t default_value) {
   std::optional<element> value = find(fields, name);
-  return value ? integer(fields, name, *value) : absent;
+  return value ? integer(fields, name, *value) : default_value;
 }
 
-double number(object in, std::string_view name, element value) {
-  double real = 0;
-  if (value.get(real) != simdjson::SUCCESS) fail(in, name, "is not a number");
-  return real;
+double number(object parent, std::string_view name, element value) {
+  double floating = 0;
+  if (value.get(floating) != simdjson::SUCCESS) fail(parent, name, "is not a number");
+  return floating;
 }
 
 double number(object fields, std::string_view name) {
@@ -61,9 +64,9 @@
   return number(fields, name, *value);
 }
 
-double number_or(object fields, std::string_view name, double absent) {
+double number_or(object fields, std::string_view name, double default_value) {
   std::optional<element> value = find(fields, name);
-  return value ? number(fields, name, *value) : absent;
+  return value ? number(fields, name, *value) : default_value;
 }
 
 bool boolean(object fields, std::string_view name) {
@@ -74,9 +77,9 @@
   return out;
 }
 
-std::string text_or(object fields, std::string_view name, std::string_view absent) {
+std::string text_or(object fields, std::string_view name, std::string_view default_value) {
   std::optional<element> value = find(fields, name);
-  if (!value) return std::string(absent);
+  if (!value) return std::string(default_value);
   std::string_view text;
   if (value->get(text) != simdjson::SUCCESS) fail(fields, name, "is not a text");
   return std::string(text);
--- a/src/service_config/json_fields.h
+++ b/src/service_config/json_fields.h
@@ -1,6 +1,6 @@
 // Reads fields of a JSON object. Called by the readers of a server's start parameters and of the wire host's
-// messages, on the thread that reads. Owns nothing. Each reader throws FieldError for a field of another
-// kind, and where no value for an absent field is given, for a missing one.
+// messages, on the reader's thread. Each function that reads a field throws FieldError for a field of another
+// type, and also for a missing field if it has no default value. A null field counts as missing.
 #pragma once
 
 #include <simdjson.h>
@@ -17,40 +17,43 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// A field that can't be used. `object_mark` identifies the object that holds or lacks it for as long as the
-// document lives (error_location.h).
+// An invalid or missing field. `object_key_address` is first_key_address() of the object that the field
+// belongs to; it identifies the object as long as the document exists (error_location.h).
 class FieldError : public std::runtime_error {
  public:
-  FieldError(object in, std::string_view name, const std::string& what);
+  FieldError(object parent, std::string_view name, const std::string& what);
 
   std::string field;
-  std::string fault;
-  const char* object_mark = nullptr;
+  std::string message;  // without the field's name
+  const char* object_key_address = nullptr;
 };
 
-// Throws FieldError.
-[[noreturn]] void fail(object in, std::string_view field, const std::string& what);
+// Throws FieldError; the field's name and `what` make up the message.
+[[noreturn]] void fail(object parent, std::string_view field, const std::string& what);
 // The address of the object's first key, which no other object shares; nullptr for an object without keys.
-const char* mark_of(object fields);
-// No value where the field is missing or null.
+const char* first_key_address(object fields);
+// Returns no value if the field is missing or null.
 std::optional<element> find(object fields, std::string_view name);
-// A number without a fraction, however it is written.
+// Accepts any number without a fraction, also in the forms 3.0 and 3e2.
 std::int64_t integer(object fields, std::string_view name);
-std::int64_t integer_or(object fields, std::string_view name, std::int64_t absent);
-double number(object in, std::string_view name, element value);
+std::int64_t integer_or(object fields, std::string_view name, std::int64_t default_value);
+// Converts `value`, an entry of the list `name` in `parent`. Throws FieldError if it is not a number.
+double number(object parent, std::string_view name, element value);
 double number(object fields, std::string_view name);
-double number_or(object fields, std::string_view name, double absent);
-// False where the field is missing.
+double number_or(object fields, std::string_view name, double default_value);
+// False if the field is missing.
 bool boolean(object fields, std::string_view name);
 std::string text(object fields, std::string_view name);
-std::string text_or(object fields, std::string_view name, std::string_view absent);
+std::string text_or(object fields, std::string_view name, std::string_view default_value);
 object object_field(object fields, std::string_view name);
 
-// A string that is one of the names of `values`.
+// Reads a string and returns the value that `values` has for it. A missing field counts as the string
+// `default_value`.
 template <class Value>
 Value enum_value(object fields, std::string_view name,
-                 std::initializer_list<std::pair<std::string_view, Value>> values, std::string_view absent) {
-  std::string given = text_or(fields, name, absent);
+                 std::initializer_list<std::pair<std::string_view, Value>> values,
+                 std::string_view default_value) {
+  std::string given = text_or(fields, name, default_value);
   for (const auto& [known, value] : values) {
     if (known == given) return value;
   }
--- a/src/service_config/service_config_reader.cpp
+++ b/src/service_config/service_config_reader.cpp
@@ -5,6 +5,7 @@
 namespace myrtlecroft::config {
 namespace {
 
+// Appends the entries of the list `name` to `items`, each converted by `read`. A missing list is empty.
 template <class Item, class Read>
 void read_list(object fields, std::string_view name, std::vector<Item>& items, Read read) {
   std::optional<element> value = find(fields, name);
@@ -14,9 +15,9 @@
   for (element entry : list) items.push_back(read(fields, name, entry));
 }
 
-RequestClass read_request_class(object in, std::string_view name, element entry) {
+RequestClass read_request_class(object parent, std::string_view name, element entry) {
   object fields;
-  if (entry.get(fields) != simdjson::SUCCESS) fail(in, name, "has an entry that is not an object");
+  if (entry.get(fields) != simdjson::SUCCESS) fail(parent, name, "has an entry that is not an object");
   RequestClass request_class;
   request_class.name = text(fields, "name");
   request_class.idempotency = enum_value<Idempotency>(fields, "effect",
@@ -32,21 +33,22 @@
   return request_class;
 }
 
-Tenant read_tenant(object in, std::string_view name, element entry) {
+Tenant read_tenant(object parent, std::string_view name, element entry) {
   object fields;
-  if (entry.get(fields) != simdjson::SUCCESS) fail(in, name, "has an entry that is not an object");
+  if (entry.get(fields) != simdjson::SUCCESS) fail(parent, name, "has an entry that is not an object");
   Tenant tenant;
   tenant.name = text(fields, "name");
   tenant.quota_per_s = number_or(fields, "quotaPerS", 0);
   return tenant;
 }
 
-int at_least_one(object fields, std::string_view name) {
+// Reads an integer; 1 if it is missing or lower.
+int read_positive_count(object fields, std::string_view name) {
   return static_cast<int>(std::max<std::int64_t>(1, integer_or(fields, name, 1)));
 }
 
-void read_machine(object family, ServiceConfig& config) {
-  config.callers = at_least_one(family, "senders");
+void read_server_fields(object family, ServiceConfig& config) {
+  config.callers = read_positive_count(family, "senders");
   config.cores = static_cast<int>(integer(family, "nCores"));
   if (config.cores < 1) fail(family, "nCores", "is under 1");
   config.memory_kb = number(family, "ramKb");
@@ -67,27 +69,27 @@
                                      "off");
 }
 
-void read_dependency(object family, ServiceConfig& config) {
+void read_dependency_fields(object family, ServiceConfig& config) {
   config.has_dependency = text_or(family, "downstream", "off") != "off";
   config.dependency_share = number_or(family, "callsOut", 0);
   config.dependency_window = integer_or(family, "depWindowNs", 0);
   config.abandoned_call_lifetime = integer_or(family, "staysForNs", 0);
   std::vector<bool> calls;
-  read_list(family, "classCalls", calls, [](object in, std::string_view name, element entry) {
+  read_list(family, "classCalls", calls, [](object parent, std::string_view name, element entry) {
     bool out = false;
-    if (entry.get(out) != simdjson::SUCCESS) fail(in, name, "has an entry that is not true or false");
+    if (entry.get(out) != simdjson::SUCCESS) fail(parent, name, "has an entry that is not true or false");
     return out;
   });
   std::vector<double> degraded_shares;
   read_list(family, "classSkipWorth", degraded_shares,
-            [](object in, std::string_view name, element entry) { return number(in, name, entry); });
+            [](object parent, std::string_view name, element entry) { return number(parent, name, entry); });
   for (std::size_t i = 0; i < config.request_classes.size(); ++i) {
     config.request_classes[i].makes_calls = i < calls.size() && calls[i];
     config.request_classes[i].degraded_weight_share = i < degraded_shares.size() ? degraded_shares[i] : 0;
   }
 }
 
-void read_rules(object rules, ServiceConfig& config) {
+void read_rule_fields(object rules, ServiceConfig& config) {
   config.answer_slack = integer_or(rules, "answerSlackNs", 0);
   config.warm_up_initial_speed = number_or(rules, "coldFrom", 1);
   config.warm_up_time = integer_or(rules, "warmWithinNs", 0);
@@ -98,30 +100,31 @@
 
 }  // namespace
 
-ServiceConfig read_service_config(object env) {
+ServiceConfig read_service_config(object settings) {
   ServiceConfig config;
-  read_list(env, "classes", config.request_classes, read_request_class);
-  if (config.request_classes.empty()) fail(env, "classes", "is missing or empty");
-  read_list(env, "tenants", config.tenants, read_tenant);
-  config.servers = at_least_one(env, "servers");
-  config.over_quota_weight = number_or(env, "overShareWorth", 1);
-  config.weight_is_per_core_second = text_or(env, "worthBy", "request") == "work";
-  config.tick = integer_or(env, "tickNs", 0);
-  object family = object_field(env, "familyInfo");
-  read_machine(family, config);
-  read_dependency(family, config);
-  read_rules(object_field(env, "rules"), config);
-  object limits = object_field(env, "limits");
+  read_list(settings, "classes", config.request_classes, read_request_class);
+  if (config.request_classes.empty()) fail(settings, "classes", "is missing or empty");
+  read_list(settings, "tenants", config.tenants, read_tenant);
+  config.servers = read_positive_count(settings, "servers");
+  config.over_quota_weight = number_or(settings, "overShareWorth", 1);
+  config.weight_is_per_core_second = text_or(settings, "worthBy", "request") == "work";
+  config.tick = integer_or(settings, "tickNs", 0);
+  object family = object_field(settings, "familyInfo");
+  read_server_fields(family, config);
+  read_dependency_fields(family, config);
+  read_rule_fields(object_field(settings, "rules"), config);
+  object limits = object_field(settings, "limits");
   if (boolean(limits, "retryAfter")) config.max_retry_after = integer_or(limits, "maxRetryAfterNs", 0);
   return config;
 }
 
-std::vector<std::string> read_gauge_names(object env) {
+std::vector<std::string> read_gauge_names(object settings) {
   std::vector<std::string> names;
-  read_list(object_field(env, "familyInfo"), "meters", names,
-            [](object in, std::string_view name, element entry) {
+  read_list(object_field(settings, "familyInfo"), "meters", names,
+            [](object parent, std::string_view name, element entry) {
               std::string_view gauge;
-              if (entry.get(gauge) != simdjson::SUCCESS) fail(in, name, "has an entry that is not a text");
+              if (entry.get(gauge) != simdjson::SUCCESS)
+                fail(parent, name, "has an entry that is not a text");
               return std::string(gauge);
             });
   return names;
--- a/src/service_config/service_config_reader.h
+++ b/src/service_config/service_config_reader.h
@@ -1,5 +1,5 @@
-// Reads the settings that a server is given at its start into a ServiceConfig. Called by the server program
-// and the wire host, on the thread that starts a server. Owns nothing.
+// Reads the settings that a server gets at its start into a ServiceConfig. Called by the server program and
+// the wire host, on the thread that starts a server.
 #pragma once
 
 #include <string>
@@ -10,9 +10,10 @@
 
 namespace myrtlecroft::config {
 
-// Throws FieldError.
-ServiceConfig read_service_config(object env);
-// The names of the gauges, in the order in which an engine lists them. Throws FieldError.
-std::vector<std::string> read_gauge_names(object env);
+// Reads the settings of a deployment. Throws FieldError for a missing or invalid field.
+ServiceConfig read_service_config(object settings);
+// Returns the names of the engine's gauges, in the order in which an engine lists their values. Throws
+// FieldError.
+std::vector<std::string> read_gauge_names(object settings);
 
 }  // namespace myrtlecroft::config
--- a/src/settings/document.cpp
+++ b/src/settings/document.cpp
@@ -10,7 +10,7 @@
 namespace myrtlecroft::settings {
 namespace {
 
-std::string formatted(double value) {
+std::string format_number(double value) {
   char out[32];
   std::snprintf(out, sizeof out, "%g", value);
   return out;
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-Document::Document(const std::string& path) : path_(path), config_(std::make_unique<libconfig::Config>()) {
+Document::Document(const std::string& path) : path_(path), libconfig_(std::make_unique<libconfig::Config>()) {
   try {
-    config_->readFile(path.c_str());
+    libconfig_->readFile(path.c_str());
   } catch (const libconfig::FileIOException&) {
     throw DocumentError(path + ": can't be read");
   } catch (const libconfig::ParseException& error) {
@@ -29,14 +29,14 @@
 }
 
 const libconfig::Setting& Section::field(const std::string& name) {
-  known_.push_back(name);
+  read_names_.push_back(name);
   if (!has(name)) fail(name, "is missing");
   return (*fields_)[name.c_str()];
 }
 
 void Section::fail(const std::string& name, const std::string& what) const {
   unsigned line = has(name) ? (*fields_)[name.c_str()].getSourceLine() : fields_->getSourceLine();
-  throw DocumentError(file_ + ":" + std::to_string(line) + ": " + path_of(name) + ": " + what);
+  throw DocumentError(file_ + ":" + std::to_string(line) + ": " + field_path(name) + ": " + what);
 }
 
 bool Section::is_integer(const std::string& name) const {
@@ -54,7 +54,7 @@
 }
 
 std::string Section::text_or(const std::string& name, const std::string& default_value) {
-  known_.push_back(name);
+  read_names_.push_back(name);
   return has(name) ? text(name) : default_value;
 }
 
@@ -76,7 +76,7 @@
 
 std::int64_t Section::integer_or(const std::string& name, std::int64_t default_value, std::int64_t min,
                                  std::int64_t max) {
-  known_.push_back(name);
+  read_names_.push_back(name);
   return has(name) ? integer(name, min, max) : default_value;
 }
 
@@ -99,45 +99,46 @@
     out = static_cast<double>(static_cast<long long>(value));
   }
   if (!std::isfinite(out) || out < min || out > max) {
-    fail(name, "is not from " + formatted(min) + " to " + formatted(max));
+    fail(name, "is not from " + format_number(min) + " to " + format_number(max));
   }
   return out;
 }
 
 double Section::number_or(const std::string& name, double default_value, double min, double max) {
-  known_.push_back(name);
+  read_names_.push_back(name);
   return has(name) ? number(name, min, max) : default_value;
 }
 
 std::optional<Section> Section::optional_section(const std::string& name) {
-  known_.push_back(name);
+  read_names_.push_back(name);
   if (!has(name)) return std::nullopt;
   const libconfig::Setting& value = field(name);
   if (!value.isGroup()) fail(name, "is not a group in braces");
-  return Section(value, path_of(name), file_);
+  return Section(value, field_path(name), file_);
 }
 
 std::vector<Section> Section::list(const std::string& name) {
-  known_.push_back(name);
+  read_names_.push_back(name);
   std::vector<Section> out;
   if (!has(name)) return out;
   const libconfig::Setting& value = field(name);
   if (!value.isList()) fail(name, "is not a list in parentheses");
   for (int i = 0; i < value.getLength(); ++i) {
-    if (!value[i].isGroup()) fail(name, "holds something that is not a group in braces");
-    out.emplace_back(value[i], path_of(name) + "[" + std::to_string(i) + "]", file_);
+    if (!value[i].isGroup()) fail(name, "has an entry that is not a group in braces");
+    out.emplace_back(value[i], field_path(name) + "[" + std::to_string(i) + "]", file_);
   }
   return out;
 }
 
 std::vector<std::string> Section::text_list(const std::string& name) {
-  known_.push_back(name);
+  read_names_.push_back(name);
   std::vector<std::string> out;
   if (!has(name)) return out;
   const libconfig::Setting& value = field(name);
   if (!value.isAggregate() || value.isGroup()) fail(name, "is not a list in parentheses");
   for (int i = 0; i < value.getLength(); ++i) {
-    if (value[i].getType() != libconfig::Setting::TypeString) fail(name, "holds something that is not text");
+    if (value[i].getType() != libconfig::Setting::TypeString)
+      fail(name, "has an entry that is not text in quotes");
     out.emplace_back(value[i].c_str());
   }
   return out;
@@ -146,7 +147,8 @@
 void Section::reject_unknown_fields() const {
   for (int i = 0; i < fields_->getLength(); ++i) {
     std::string name = (*fields_)[i].getName();
-    if (std::find(known_.begin(), known_.end(), name) == known_.end()) fail(name, "is not known here");
+    if (std::find(read_names_.begin(), read_names_.end(), name) == read_names_.end())
+      fail(name, "is not known here");
   }
 }
 
@@ -158,8 +160,8 @@
   std::string_view digits = text.substr(colon + 1);
   auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), out.port);
   if (error != std::errc() || end != digits.data() + digits.size() || out.port == 0) return std::nullopt;
-  in_addr ignored{};
-  if (inet_pton(AF_INET, out.host.c_str(), &ignored) != 1) return std::nullopt;
+  in_addr unused_address{};
+  if (inet_pton(AF_INET, out.host.c_str(), &unused_address) != 1) return std::nullopt;
   return out;
 }
 
--- a/src/settings/node_settings.cpp
+++ b/src/settings/node_settings.cpp
@@ -8,23 +8,24 @@
 namespace {
 
 constexpr std::size_t kMaxControlServices = 8;
-constexpr std::size_t kKilobyte = 1024;
+constexpr std::size_t kBytesPerKb = 1024;
 
 ReportSettings read_reports(Section section) {
   ReportSettings out;
-  for (const std::string& given : section.text_list("to")) {
-    std::optional<HostAndPort> parsed = parse_address(given);
-    if (!parsed) section.fail("to", "holds what is not an address: '" + given + "'");
+  for (const std::string& entry : section.text_list("to")) {
+    std::optional<HostAndPort> parsed = parse_address(entry);
+    if (!parsed) section.fail("to", "has an entry that is not an address: '" + entry + "'");
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(parsed->port);
     inet_pton(AF_INET, parsed->host.c_str(), &address.sin_addr);
     out.to.push_back(address);
   }
-  if (out.to.size() > kMaxControlServices) section.fail("to", "holds more than 8 addresses");
+  if (out.to.size() > kMaxControlServices) section.fail("to", "has more than 8 addresses");
   out.report_interval = section.milliseconds_or("every_ms", out.report_interval, 50, 10'000);
   out.follows_control_service = section.boolean_or("obey", out.follows_control_service);
-  if (out.follows_control_service && out.to.empty()) section.fail("obey", "needs control services to obey");
+  if (out.follows_control_service && out.to.empty())
+    section.fail("obey", "requires at least one address in reports.to");
   section.reject_unknown_fields();
   return out;
 }
@@ -37,7 +38,7 @@
   out.final_warning_time = section.milliseconds_or("hurry_ms", out.final_warning_time, 10, 60'000);
   out.max_request_read_time =
       section.milliseconds_or("whole_within_ms", out.max_request_read_time, 100, 600'000);
-  out.max_unread_bytes = static_cast<std::size_t>(section.number_or("unread_kb", 64, 1, 192)) * kKilobyte;
+  out.max_unread_bytes = static_cast<std::size_t>(section.number_or("unread_kb", 64, 1, 192)) * kBytesPerKb;
   out.balancer_share = section.number_or("balancer_share", out.balancer_share, 0.01, 1);
   section.reject_unknown_fields();
   return out;
--- a/src/settings/node_settings.h
+++ b/src/settings/node_settings.h
@@ -1,5 +1,5 @@
-// A server's settings beside those that the platform gives it, from a file of its own in which every field is
-// optional. Called by the server program at start and at a reload, on its loop's thread.
+// Reads a server's own settings file, which adds to the settings of the deployment. Every field but `version`
+// is optional. Called by the server program at start and on the thread that reloads the files.
 #pragma once
 
 #include <netinet/in.h>
@@ -12,15 +12,18 @@
 
 namespace myrtlecroft::settings {
 
+// Load reports to control services.
 struct ReportSettings {
-  std::vector<sockaddr_in> to;        // control services; none: no load reports
+  std::vector<sockaddr_in> to;        // control services; empty: no load reports are sent
   Nanos report_interval = 250 * kMs;  // between two load reports
-  // Run only keys of shards that the control services have assigned to this server, and follow their orders.
+  // If true, the server runs only keyed requests of shards that the control services have assigned to it, and
+  // it restarts when they order it to.
   bool follows_control_service = false;
 };
 
+// The durable store of idempotency records.
 struct StoreSettings {
-  // On a persistent disk; empty: idempotency records last as long as the process.
+  // Folder on a persistent disk; empty: idempotency records are lost when the process ends.
   std::string folder;
 };
 
@@ -30,8 +33,8 @@
   StoreSettings store;
 };
 
-// No path or an empty one gives the defaults. Throws std::runtime_error with a message for the operators,
-// also for any path in a build without libconfig.
+// Reads the file at `path`; returns the defaults if `path` is null or empty. Throws std::runtime_error with a
+// message for the operators, also for any path in a build without libconfig.
 NodeSettings read_node_settings(const char* path);
 
 }  // namespace myrtlecroft::settings
--- a/src/settings/node_settings_none.cpp
+++ b/src/settings/node_settings_none.cpp
@@ -1,4 +1,4 @@
-// Stands in for node_settings.cpp in builds without libconfig: there are only the defaults.
+// Replaces node_settings.cpp in builds without libconfig, which have only the defaults.
 #include <stdexcept>
 
 #include "settings/node_settings.h"
@@ -7,7 +7,9 @@
 
 NodeSettings read_node_settings(const char* path) {
   if (path && *path)
-    throw std::runtime_error(std::string(path) + ": this build reads no settings of its own");
+    throw std::runtime_error(
+        std::string(path) +
+        ": this build can't read a settings file, because it was built without libconfig");
   return {};
 }
 
