--- a/src/control/maintenance_rows.cpp
+++ b/src/control/maintenance_rows.cpp
@@ -69,7 +69,7 @@
 }
 
 void set_release_row(const ReplicatedControl& control, AdminAnswer& answer) {
-  const agreement::ReplicatedState& state = control.replica().agreed();
+  const agreement::ReplicatedState& state = control.replica().committed_state();
   const agreement::Release& release = state.maintenance().release();
   if (release.id() == 0) return;
   ReleaseRow& row = *answer.mutable_release();
@@ -95,7 +95,7 @@
 }  // namespace
 
 void add_maintenance_rows(const ReplicatedControl& control, AdminAnswer& answer) {
-  const agreement::ReplicatedState& state = control.replica().agreed();
+  const agreement::ReplicatedState& state = control.replica().committed_state();
   add_lease_rows(state, answer);
   for (const std::string& server : state.maintenance().drains()) answer.add_drains(server);
   add_budget_rows(control.replica(), answer);
--- a/src/reload.cpp
+++ b/src/reload.cpp
@@ -5,18 +5,18 @@
 
 namespace myrtlecroft {
 
-Reload::Reload(net::Loop& loop, const char* path, const char* settings_path,
-               std::function<void(ReloadResult)> on_read)
+FileReloader::FileReloader(net::Loop& loop, const char* path, const char* settings_path,
+                           std::function<void(ReloadResult)> on_read)
     : path_(path),
       settings_path_(settings_path),
       on_read_(std::move(on_read)),
       read_done_(loop.base(), [this] { finish(); }) {}
 
-Reload::~Reload() {
+FileReloader::~FileReloader() {
   if (thread_.joinable()) thread_.join();
 }
 
-void Reload::request_reload() {
+void FileReloader::request_reload() {
   if (thread_.joinable()) {
     repeat_ = true;
     return;
@@ -24,7 +24,7 @@
   start_thread();
 }
 
-void Reload::start_thread() {
+void FileReloader::start_thread() {
   result_ = {};
   try {
     thread_ = std::thread([this] { read_files(); });
@@ -34,7 +34,7 @@
   }
 }
 
-void Reload::read_files() {
+void FileReloader::read_files() {
   try {
     result_.launch = read_launch_config(path_);
     result_.node_settings = settings::read_node_settings(settings_path_);
@@ -47,7 +47,7 @@
   read_done_.notify();
 }
 
-void Reload::finish() {
+void FileReloader::finish() {
   thread_.join();
   on_read_(std::move(result_));
   if (std::exchange(repeat_, false)) start_thread();
--- a/src/reload.h
+++ b/src/reload.h
@@ -20,13 +20,13 @@
 };
 
 // Used on the loop's thread.
-class Reload {
+class FileReloader {
  public:
   // `on_read` is called on the loop's thread once for each read. The paths and the loop must outlive this
   // object.
-  Reload(net::Loop& loop, const char* path, const char* settings_path,
-         std::function<void(ReloadResult)> on_read);
-  ~Reload();  // waits for a read in progress
+  FileReloader(net::Loop& loop, const char* path, const char* settings_path,
+               std::function<void(ReloadResult)> on_read);
+  ~FileReloader();  // waits for a read in progress
   // Starts a read. If one is in progress, another follows it, because a file may have changed after the first
   // read had finished with it.
   void request_reload();
--- a/src/server_program.h
+++ b/src/server_program.h
@@ -73,7 +73,7 @@
   net::Timer stop_timer_;
   net::Timer sigterm_;
   net::Timer sigint_;
-  Reload reloader_;
+  FileReloader reloader_;
   net::Timer sighup_;
 };
 
--- a/tests/control_restart_test.cpp
+++ b/tests/control_restart_test.cpp
@@ -13,7 +13,7 @@
 using standin::ChildProcess;
 
 TEST(ControlRestartTest, ProxiesKeepACompleteSetWhenControlIsKilledDuringPublication) {
-  Site site(40);
+  ControlSite site(40);
   auto port = [](int offset) { return std::to_string(21'000 + getpid() % 3000 * 3 + offset); };
   std::vector<std::string> command = {MYRTLECROFT_CONTROL,
                                       "serve",
--- a/tests/control_site.h
+++ b/tests/control_site.h
@@ -28,8 +28,8 @@
 }
 
 // The folder of one control service, with its fleet file and its saved state.
-struct Site {
-  explicit Site(int nodes = 3, const std::string& bounds = "") { write(fleet_text(nodes, bounds)); }
+struct ControlSite {
+  explicit ControlSite(int nodes = 3, const std::string& bounds = "") { write(fleet_text(nodes, bounds)); }
   void write(const std::string& text) const { std::ofstream(folder.file("fleet.conf")) << text; }
   ControlOptions options() const {
     return {.fleet_path = folder.file("fleet.conf"),
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -25,7 +25,7 @@
 };
 
 TEST(ControlTest, LastPublicationStaysServedAndTheFailureIsLoggedWhileTheDiskFails) {
-  Site site;
+  ControlSite site;
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
   for (int i = 1; i <= 3; ++i)
@@ -43,7 +43,7 @@
 }
 
 TEST(ControlTest, ReloadOfAnInvalidFileChangesNothing) {
-  Site site;
+  ControlSite site;
   RunningControl control(site.options());
   AdsLink link(target(control.discovery_port()), false, "p1");
   ASSERT_TRUE(await([&] { return has_servers(link, 3); }));
@@ -59,7 +59,7 @@
 }
 
 TEST(ControlTest, MalformedReportClosesOnlyItsOwnConnection) {
-  Site site;
+  ControlSite site;
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
   for (int i = 1; i <= 3; ++i)
@@ -86,7 +86,7 @@
 }
 
 TEST(ControlTest, MalformedDiscoveryRequestClosesOnlyItsOwnStreamWithAStatus) {
-  Site site;
+  ControlSite site;
   RunningControl control(site.options());
   AdsLink well_behaved(target(control.discovery_port()), false, "good");
   ASSERT_TRUE(await([&] { return has_servers(well_behaved, 3); }));
@@ -121,7 +121,7 @@
 }
 
 TEST(ControlTest, ProxiesAreServedWhileOneReadsNothingAndOneRejectsAllResources) {
-  Site site(20);
+  ControlSite site(20);
   RunningControl control(site.options());
   Reporters reporters(control.reports_port());
   for (int i = 1; i <= 20; ++i)
--- a/tests/saved_state_test.cpp
+++ b/tests/saved_state_test.cpp
@@ -28,7 +28,7 @@
 }
 
 TEST(SavedStateTest, ControlDoesNotStartWhereTheStateFolderIsAFile) {
-  Site site;
+  ControlSite site;
   std::ofstream(site.folder.file("state")) << "MYRTCTRL";
   net::Loop loop;
   RecordingLogger log;
