--- a/src/launch.h
+++ b/src/launch.h
@@ -18,23 +18,13 @@
   sockaddr_in engine{};
   sockaddr_in members{};
   sockaddr_in database{};
-<<<<<<< HEAD
-  std::size_t descriptors = 0;
-  std::size_t memory = 0;  // bytes
-  service::Service::Options start;
-  // Digests, to see whether they differ in a file read again. The settings of a large deployment are as long
-  // as all that is read from them.
-  std::uint64_t limits = 0;
-  std::uint64_t settings = 0;
-=======
   std::size_t descriptors = 0;  // limit on open descriptors
   std::size_t memory_bytes = 0;
-  service::Service::Start start;
+  service::Service::Options start;
   // Digests of the file's `limits` and `settings`, to detect changes at a reload. The settings of a large
   // deployment are as long as everything that is read from them, so they are not kept.
   std::uint64_t limits_digest = 0;
   std::uint64_t settings_digest = 0;
->>>>>>> 3cc58efe8858da44a39ed708222756693ac37339
 };
 
 // Names of the fields that differ in a reloaded file and take effect only after a restart, separated by
--- a/src/server_program.cpp
+++ b/src/server_program.cpp
@@ -86,14 +86,9 @@
   return settings;
 }
 
-<<<<<<< HEAD
-// The configuration of a large deployment is held once, by the service.
-service::Service::Options ServerProgram::take_start(Launch& launch) {
-=======
 // Moves the start parameters out of `launch` and leaves it the seed and `stop_after`, so that the
 // configuration of a large deployment is in memory once, in the service.
-service::Service::Start ServerProgram::extract_start(LaunchConfig& launch) {
->>>>>>> 3cc58efe8858da44a39ed708222756693ac37339
+service::Service::Options ServerProgram::extract_start(LaunchConfig& launch) {
   return std::exchange(launch.start, {.seed = launch.start.seed, .stop_after = launch.start.stop_after});
 }
 
@@ -104,12 +99,8 @@
   report::decode(
       idempotency_log_->saved_assignment(),
       {.report = {},
-<<<<<<< HEAD
-       .assignment = [this](const fencing::ShardAssignment& assignment) { keys_.guard.restore(assignment); }},
-=======
        .order =
            [this](const fencing::ShardAssignment& assignment) { key_ownership_.guard.restore(assignment); }},
->>>>>>> 3cc58efe8858da44a39ed708222756693ac37339
       malformed);
   if (key_ownership_.guard.assignment())
     reporter_.set_assignment_epoch(key_ownership_.guard.assignment()->epoch);
