--- a/measure/agreement_rig.cpp
+++ b/measure/agreement_rig.cpp
@@ -22,7 +22,7 @@
 
 int share_of(double share, double count) { return static_cast<int>(share * count + 1e-9); }
 
-// One incident: makes the parts, steps them, and collects the result.
+// One run of an incident: creates the components, steps them and collects the result.
 class Rig {
  public:
   explicit Rig(const RigOptions& options)
@@ -32,7 +32,8 @@
         servers_(context_, proxies_, instances_.report_ports(),
                  {.run_started = [this](const standin::ObservedRun& run) { load_.run_started(run); },
                   .release_under_way = [this] { return releases_ && releases_->under_way(); }}),
-        load_(context_, proxies_, [this](const std::string& address) { servers_.connection_cut(address); }),
+        load_(context_, proxies_,
+              [this](const std::string& address) { servers_.handle_connection_lost(address); }),
         faults_(context_, {.instances = instances_,
                            .servers = servers_,
                            .proxies = proxies_,
@@ -88,7 +89,7 @@
     load_.offer_due();
     faults_.play_due();
     if (context_.now() - checked_at_ > kCheckInterval) check();
-    const Nanos faults_end = context_.begun_at() + context_.incident().length;
+    const Nanos faults_end = context_.begin_time() + context_.incident().length;
     if (context_.now() > faults_end + kHealAfter && !healed_) {
       healed_ = true;
       instances_.heal_links();
@@ -104,7 +105,7 @@
     servers_.check_logs();
     instances_.check_logs();
     servers_.restart_exited();
-    servers_.check_budgets(releases_ ? releases_->leased() : std::set<std::string>());
+    servers_.check_budgets(releases_ ? releases_->leased_servers() : std::set<std::string>());
     if (context_.options().fixed_batch_restarts) {
       servers_.restart_next_batch();
     } else if (releases_) {
@@ -114,7 +115,7 @@
 
   void finish() {
     releases_.reset();
-    step_timer_.clear();  // it would end each wait of the check below
+    step_timer_.clear();  // its steps would stop the loop during the waits of the check below
     context_.result().failovers = instances_.failovers();
     context_.result().timeline = context_.timeline();
     if (context_.options().replicated) instances_.check_recovered();
--- a/measure/agreement_rig.h
+++ b/measure/agreement_rig.h
@@ -1,7 +1,7 @@
-// Plays an incident: real control instances, real servers and stand-in proxies on loopback, a relay between
-// any two that speak, under load and under faults that a seed draws. Called by the measurements and by tests;
-// runs in the caller's thread until the incident is over. What is checked is counted from engines, from the
-// sets that proxies have and from logs, not from what the control service says of itself.
+// Plays an incident: real control instances, real servers and stand-in proxies on loopback, with a relay on
+// each link between two processes, under load and under faults drawn from a seed. Used by measurements and
+// tests. The checks rely on the engines, on the sets that proxies have applied and on logs, not on what the
+// control service reports about itself.
 #pragma once
 
 #include <string>
@@ -12,23 +12,24 @@
 namespace myrtlecroft::rehearsal {
 
 struct RigOptions {
-  bool replicated = true;  // false: control services that each decide alone
+  bool replicated = true;  // false: each control instance decides alone
   Incident incident;
-  // False: of the faults that are drawn, only those of servers and their links are played, at the same
-  // moments.
+  // False: of the drawn faults only those of servers and their links are played, at the same times as with
+  // true.
   bool control_faults = true;
   unsigned seed = 1;
-  // No release is agreed on: servers restart in batches of a fixed size, at a fixed interval.
+  // Servers restart in batches of a fixed size at a fixed interval instead of by a release of the control
+  // service.
   bool fixed_batch_restarts = false;
 };
 
-// How one release went.
+// The course of one release.
 struct ReleaseOutcome {
   PlannedRelease planned;
   std::string outcome;           // "done", "taken back", or the phase in which the time ran out
   std::string reason;            // of the first halt or rollback
   bool stopped = false;          // it halted or was rolled back
-  double max_updated_share = 0;  // the largest share of servers that ran it before it stopped
+  double max_updated_share = 0;  // the largest share of servers that ran the version before it stopped
   double duration_s = 0;
   double rollback_s = 0;  // from the halt to the end of the rollback
 };
@@ -41,18 +42,18 @@
   double completed_share() const { return offered > 0 ? static_cast<double>(completed) / offered : 0; }
 };
 
-// Each must be 0.
+// Counts of violated invariants; each must be 0.
 struct RigViolations {
   int duplicate_runs = 0;     // a key ran twice within its window
-  int lost_requests = 0;      // received by a server that lived on, and not answered
+  int lost_requests = 0;      // received by a server that kept running, and not answered
   int split_owners = 0;       // proxies with one shard open at two servers
   int stale_epochs = 0;       // a server acted on an older epoch than before
-  int lost_entries = 0;       // an instance ended with less, or with other than what was agreed on
+  int lost_entries = 0;       // an instance ended with fewer entries or other state than agreed on
   int not_recovered = 0;      // an instance had no quorum, or knew no leader, after all faults had ended
-  int drain_violations = 0;   // received by a server that restarted as told, and not answered
-  int crashes = 0;            // a server exited, and not as told
+  int drain_violations = 0;   // received by a server whose restart was ordered, and not answered
+  int crashes = 0;            // a server exited without an order
   int over_budget = 0;        // moments at which more servers were out by choice than the budgets allow
-  int unpermitted_exits = 0;  // a server restarted as told while no release was under way
+  int unpermitted_exits = 0;  // a server restarted by order while no release was under way
 
   int total() const {
     return duplicate_runs + lost_requests + split_owners + stale_epochs + lost_entries + not_recovered +
@@ -76,18 +77,19 @@
 };
 
 struct RigResult {
-  int faults = 0;  // that were played
+  int faults = 0;  // faults played
   RigLoadCounts load;
   RigViolations violations;
   RigFailovers failovers;
   RigUnavailable unavailable;
   std::vector<ReleaseOutcome> releases;
-  std::string first_violation;  // with its time; empty: none
-  std::string folder;           // of the logs, which remain where something was violated; else empty
-  std::string timeline;         // a line a second
+  std::string first_violation;  // the first violation with its time; empty: none
+  std::string folder;           // folder of the logs, kept only after a violation; else empty
+  std::string timeline;         // one line per second
 };
 
-// Throws std::exception where a process or port can't be had.
+// Plays the incident in the caller's thread and returns when it is over. Throws std::exception if a process
+// can't be started or no port is free.
 RigResult play(const RigOptions& options);
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/incident.cpp
+++ b/measure/incident.cpp
@@ -41,20 +41,20 @@
 constexpr std::array<const char*, 4> kTargetNames = {"leader", "instance", "node", "proxy"};
 
 template <class Table>
-auto value_of(Section& part, const std::string& name, const Table& names) {
-  std::string given = part.text(name);
+auto read_enum(Section& section, const std::string& name, const Table& names) {
+  std::string text = section.text(name);
   std::string all;
-  for (const auto& [known, value] : names) {
-    if (given == known) return value;
-    all += (all.empty() ? "" : ", ") + std::string(known);
+  for (const auto& [known_name, value] : names) {
+    if (text == known_name) return value;
+    all += (all.empty() ? "" : ", ") + std::string(known_name);
   }
-  part.fail(name, "is none of " + all);
+  section.fail(name, "must be one of " + all);
 }
 
 std::optional<int> parse_number(std::string_view text) {
   int number = 0;
-  auto [past, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (error != std::errc() || past != text.data() + text.size()) return std::nullopt;
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return number;
 }
 
@@ -68,17 +68,17 @@
 }
 
 // "leader", "instance 2", "node 3-7", "node all", "proxy 1".
-Target read_target(Section& part, const Incident& of) {
-  std::string given = part.text("who");
-  if (given == "leader") return {};
-  std::size_t space = given.find(' ');
+Target read_target(Section& section, const Incident& incident) {
+  std::string text = section.text("who");
+  if (text == "leader") return {};
+  std::size_t space = text.find(' ');
   for (std::size_t kind = 1; kind < kTargetNames.size(); ++kind) {
-    if (space == std::string::npos || given.substr(0, space) != kTargetNames[kind]) continue;
+    if (space == std::string::npos || text.substr(0, space) != kTargetNames[kind]) continue;
     Target out{.kind = static_cast<Target::Kind>(kind)};
-    int max = out.kind == Target::Kind::kInstance ? of.instances
-              : out.kind == Target::Kind::kServer ? of.nodes
-                                                  : of.proxies;
-    std::string numbers = given.substr(space + 1);
+    int max = out.kind == Target::Kind::kInstance ? incident.instances
+              : out.kind == Target::Kind::kServer ? incident.nodes
+                                                  : incident.proxies;
+    std::string numbers = text.substr(space + 1);
     if (numbers == "all") {
       out.last = max - 1;
       return out;
@@ -89,72 +89,75 @@
     out.last = range->second - 1;
     return out;
   }
-  part.fail("who",
-            "is none of leader, instance N, node N, proxy N, with N a number, A-B or all, and no more than "
-            "there are");
+  section.fail(
+      "who",
+      "must be leader, instance N, node N or proxy N, where N is a number, A-B or all, and no number "
+      "exceeds the count of its kind");
 }
 
-// The instances that "to" names, as bits.
-unsigned read_others(Section& part, const Incident& of) {
+// The instances that "to" lists, as a bit mask.
+unsigned read_other_instances(Section& section, const Incident& incident) {
   unsigned out = 0;
-  for (const std::string& given : part.text_list("to")) {
-    std::optional<int> number = parse_number(given);
-    if (!number || *number < 1 || *number > of.instances)
-      part.fail("to", "holds what is no number of an instance: '" + given + "'");
+  for (const std::string& text : section.text_list("to")) {
+    std::optional<int> number = parse_number(text);
+    if (!number || *number < 1 || *number > incident.instances)
+      section.fail("to", "must list instance numbers, not '" + text + "'");
     out |= 1u << (*number - 1);
   }
   return out;
 }
 
-void read_fault_fields(Section& part, Step& out) {
-  if (out.fault == Fault::kStall) out.direction = value_of(part, "way", kDirections);
+void read_fault_fields(Section& section, Step& out) {
+  if (out.fault == Fault::kStall) out.direction = read_enum(section, "way", kDirections);
   if (out.fault == Fault::kLate || out.fault == Fault::kDiskSlow)
-    out.by = part.milliseconds("by_ms", 1, 60'000);
-  if (out.fault == Fault::kClock) out.by = part.integer("by_ms", -600'000, 600'000) * kMs;
-  if (out.fault == Fault::kNoise) out.times = part.number("times", 1, 100);
-  if (out.fault == Fault::kCommand) out.command = part.text("say");
-  if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(part.integer("sync", 1, 1000));
+    out.by = section.milliseconds("by_ms", 1, 60'000);
+  if (out.fault == Fault::kClock) out.by = section.integer("by_ms", -600'000, 600'000) * kMs;
+  if (out.fault == Fault::kNoise) out.times = section.number("times", 1, 100);
+  if (out.fault == Fault::kCommand) out.command = section.text("say");
+  if (out.fault == Fault::kKillAtSync) out.count = static_cast<int>(section.integer("sync", 1, 1000));
   if (out.fault == Fault::kCutFrame)
-    out.bytes = static_cast<std::size_t>(part.integer("bytes", 0, 10'000'000));
+    out.bytes = static_cast<std::size_t>(section.integer("bytes", 0, 10'000'000));
 }
 
-// Which faults fit which targets.
-void check_target(Section& part, const Step& step) {
-  bool of_servers = step.target.kind == Target::Kind::kServer;
-  if (step.fault == Fault::kNoise && !of_servers) part.fail("what", "is for nodes only");
-  if (step.fault == Fault::kCommand && of_servers) part.fail("what", "is said to instances only");
+// Rejects faults that the target can't have.
+void check_target(Section& section, const Step& step) {
+  bool targets_servers = step.target.kind == Target::Kind::kServer;
+  if (step.fault == Fault::kNoise && !targets_servers) section.fail("what", "is allowed for nodes only");
+  if (step.fault == Fault::kCommand && targets_servers) section.fail("what", "is allowed for instances only");
   if (step.target.kind == Target::Kind::kProxy && step.fault != Fault::kReset)
-    part.fail("what", "is not for proxies: their streams can only be reset");
-  bool of_disk = step.fault == Fault::kLose || step.fault == Fault::kDiskFails ||
-                 step.fault == Fault::kDiskFull || step.fault == Fault::kDiskSlow ||
-                 step.fault == Fault::kKillAtSync;
-  if (of_disk && of_servers) part.fail("what", "is not for nodes: they keep nothing here");
+    section.fail("what", "is not allowed for proxies: their streams can only be reset");
+  bool is_disk_fault = step.fault == Fault::kLose || step.fault == Fault::kDiskFails ||
+                       step.fault == Fault::kDiskFull || step.fault == Fault::kDiskSlow ||
+                       step.fault == Fault::kKillAtSync;
+  if (is_disk_fault && targets_servers)
+    section.fail("what", "is not allowed for nodes: they store nothing in a rehearsal");
 }
 
-Step read_step(Section part, const Incident& of) {
+Step read_step(Section section, const Incident& incident) {
   Step out;
-  out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
-  out.fault = value_of(part, "what", kFaults);
-  out.target = read_target(part, of);
+  out.at = static_cast<Nanos>(section.number("at_s", 0, 600) * static_cast<double>(kSecond));
+  out.fault = read_enum(section, "what", kFaults);
+  out.target = read_target(section, incident);
   bool once = out.fault == Fault::kReset || out.fault == Fault::kCutFrame || out.fault == Fault::kCommand;
-  if (!once) out.length = static_cast<Nanos>(part.number("for_s", 0.05, 600) * static_cast<double>(kSecond));
-  if (part.has("to")) {
-    if (!is_link_fault(out.fault)) part.fail("to", "is only for what fails on links");
-    out.others = read_others(part, of);
+  if (!once)
+    out.length = static_cast<Nanos>(section.number("for_s", 0.05, 600) * static_cast<double>(kSecond));
+  if (section.has("to")) {
+    if (!is_link_fault(out.fault)) section.fail("to", "is allowed only for faults of links");
+    out.others = read_other_instances(section, incident);
   }
-  read_fault_fields(part, out);
-  check_target(part, out);
-  part.reject_unknown_fields();
+  read_fault_fields(section, out);
+  check_target(section, out);
+  section.reject_unknown_fields();
   return out;
 }
 
-PlannedRelease read_release(Section part, const Incident& of) {
+PlannedRelease read_release(Section section, const Incident& incident) {
   PlannedRelease out;
-  out.at = static_cast<Nanos>(part.number("at_s", 0, 600) * static_cast<double>(kSecond));
-  out.version = static_cast<int>(part.integer("to", 1, 99));
-  if (part.has("bad")) out.defect = value_of(part, "bad", kDefectNames);
-  out.instance = static_cast<int>(part.integer_or("by", 1, 1, of.instances)) - 1;
-  part.reject_unknown_fields();
+  out.at = static_cast<Nanos>(section.number("at_s", 0, 600) * static_cast<double>(kSecond));
+  out.version = static_cast<int>(section.integer("to", 1, 99));
+  if (section.has("bad")) out.defect = read_enum(section, "bad", kDefectNames);
+  out.instance = static_cast<int>(section.integer_or("by", 1, 1, incident.instances)) - 1;
+  section.reject_unknown_fields();
   return out;
 }
 
@@ -192,10 +195,10 @@
   out.keys_per_s = root.number_or("keys_per_s", out.keys_per_s, 1, 2000);
   out.length = static_cast<Nanos>(root.number("seconds", 1, 600) * static_cast<double>(kSecond));
   out.faults_per_s = root.number_or("faults_per_s", 0, 0, 20);
-  for (Section& part : root.list("steps")) {
-    out.steps.push_back(read_step(part, out));
+  for (Section& section : root.list("steps")) {
+    out.steps.push_back(read_step(section, out));
     if (out.steps.back().at + out.steps.back().length > out.length)
-      part.fail("at_s", "with for_s ends after the incident");
+      section.fail("at_s", "with for_s ends after the incident");
   }
   std::stable_sort(out.steps.begin(), out.steps.end(),
                    [](const Step& a, const Step& b) { return a.at < b.at; });
@@ -208,23 +211,25 @@
   out.restart = root.milliseconds_or("restart_ms", out.restart, 1, 60'000);
   out.soak = root.milliseconds_or("soak_ms", out.soak, 100, 600'000);
   out.first_nodes = static_cast<int>(root.integer_or("first_nodes", out.first_nodes, 1, 300));
-  for (Section& part : root.list("releases")) out.releases.push_back(read_release(part, out));
+  for (Section& section : root.list("releases")) out.releases.push_back(read_release(section, out));
   root.reject_unknown_fields();
   return out;
 }
 
 namespace {
 
-int pick(std::mt19937& draws, int count) { return static_cast<int>(draws() % static_cast<unsigned>(count)); }
+int draw_index(std::mt19937& draws, int count) {
+  return static_cast<int>(draws() % static_cast<unsigned>(count));
+}
 
-// What was drawn of a step before its fault: each fault takes what it needs.
+// Targets drawn before the kind of fault, of which each fault uses one.
 struct DrawnTargets {
   Target instance;
   Target server;
   Target proxy;
 };
 
-// The kinds of faults of instances and their links.
+// Draws the rest of a fault of an instance or its links.
 void draw_instance_fault(int kind, std::mt19937& draws, const Target& instance, Step& out) {
   out.target = instance;
   switch (kind) {
@@ -234,7 +239,7 @@
     case 3:
     case 4:
       out.fault = Fault::kStall;
-      out.direction = pick(draws, 2) ? Direction::kOutward : Direction::kInward;
+      out.direction = draw_index(draws, 2) ? Direction::kOutward : Direction::kInward;
       out.others = ~0u;
       break;
     case 5:
@@ -248,7 +253,7 @@
       out.fault = Fault::kCutFrame;
       break;
     case 11:
-      out.fault = pick(draws, 2) ? Fault::kDiskFails : Fault::kDiskFull;
+      out.fault = draw_index(draws, 2) ? Fault::kDiskFails : Fault::kDiskFull;
       break;
     case 12:
       out.fault = Fault::kDiskSlow;
@@ -256,12 +261,12 @@
       break;
     default:
       out.fault = Fault::kClock;
-      out.by = (pick(draws, 2) ? 20 : -20) * kSecond;
+      out.by = (draw_index(draws, 2) ? 20 : -20) * kSecond;
       break;
   }
 }
 
-// The kinds of faults of servers and their links; some last long enough to move the server's shards.
+// Draws the rest of a fault of a server or its links. Some last long enough for the server's shards to move.
 void draw_server_fault(int kind, std::mt19937& draws, const Target& server, Step& out) {
   out.target = server;
   switch (kind) {
@@ -270,7 +275,7 @@
       break;
     case 9:
       out.fault = Fault::kStall;
-      out.direction = pick(draws, 2) ? Direction::kOutward : Direction::kBoth;
+      out.direction = draw_index(draws, 2) ? Direction::kOutward : Direction::kBoth;
       out.length *= 3;
       break;
     case 10:
@@ -286,7 +291,7 @@
 
 void draw_kind(std::mt19937& draws, const DrawnTargets& targets, Step& out) {
   constexpr int kKinds = 17;
-  int kind = pick(draws, kKinds);
+  int kind = draw_index(draws, kKinds);
   switch (kind) {
     case 0:
       out.fault = Fault::kKill;
@@ -296,7 +301,7 @@
       break;
     case 14:
       out.fault = Fault::kKillAtSync;
-      out.count = 1 + pick(draws, 6);
+      out.count = 1 + draw_index(draws, 6);
       break;
     case 8:
     case 9:
@@ -317,13 +322,13 @@
 }  // namespace
 
 Step draw_fault(std::mt19937& draws, const ProcessCounts& counts) {
-  int instance = pick(draws, counts.instances);
-  int server = pick(draws, counts.servers);
-  int proxy = pick(draws, counts.proxies);
-  Step out;  // of the leader, unless the kind says otherwise
-  out.length = (300 + pick(draws, 3000)) * kMs;
+  int instance = draw_index(draws, counts.instances);
+  int server = draw_index(draws, counts.servers);
+  int proxy = draw_index(draws, counts.proxies);
+  Step out;  // targets the leader unless draw_kind() sets another target
+  out.length = (300 + draw_index(draws, 3000)) * kMs;
   out.others = static_cast<unsigned>(draws());
-  out.bytes = static_cast<std::size_t>(pick(draws, 2000));
+  out.bytes = static_cast<std::size_t>(draw_index(draws, 2000));
   out.by = kSecond;
   draw_kind(draws,
             {.instance = {Target::Kind::kInstance, instance, instance},
--- a/measure/incident.h
+++ b/measure/incident.h
@@ -1,5 +1,5 @@
-// What fails when in a rehearsal of real processes: read from a file (docs/rehearse.md), or drawn from a
-// seed. Used by the rig and the measurements. No I/O beyond reading the file.
+// The faults of a rehearsal with real processes and their times, read from a file (docs/rehearse.md) or drawn
+// from a seed. Used by the rig and the measurements. No I/O beyond reading the file.
 #pragma once
 
 #include <random>
@@ -11,26 +11,26 @@
 namespace myrtlecroft::rehearsal {
 
 enum class Fault {
-  kKill,        // the process; it starts again on its folder afterwards
+  kKill,        // the process is killed; it starts again afterwards with its folder
   kPause,       // the process gets no CPU time
   kStall,       // bytes are delayed until the fault ends
   kClose,       // no connection is accepted; open ones are reset
   kLate,        // each byte is delayed by Step::by
-  kReset,       // of open connections, once
+  kReset,       // open connections are reset, once
   kCutFrame,    // reset after Step::bytes more outward bytes, once
   kLose,        // killed, and its folder removed
   kDiskFails,   // every sync fails
-  kDiskFull,    // every write does
+  kDiskFull,    // every write fails
   kDiskSlow,    // each sync takes Step::by
   kClock,       // the wall clock is off by Step::by
-  kKillAtSync,  // killed as it begins its Step::count-th sync from now; it starts again afterwards
+  kKillAtSync,  // killed when it begins its Step::count-th sync from now; it starts again afterwards
   kNoise,       // a server's engine takes Step::times its usual time
   kCommand      // an operator sends Step::command to an instance
 };
-// Of bytes, seen from the step's target.
+// Direction of the bytes, as seen from the step's target.
 enum class Direction { kOutward, kInward, kBoth };
 
-// What a step fails: the leader, an instance, a server, a proxy's stream, or several of a kind.
+// The processes that a step's fault hits: the leader, or a range of instances, servers or proxy streams.
 struct Target {
   enum class Kind { kLeader, kInstance, kServer, kProxy };
   Kind kind = Kind::kLeader;
@@ -43,7 +43,7 @@
   Nanos length = 0;
   Fault fault = Fault::kKill;
   Target target;
-  // Of a link: the instances at its other end, as bits.
+  // For faults of links: the instances at the other end, as a bit mask.
   unsigned others = ~0u;
   Direction direction = Direction::kBoth;
   Nanos by = 0;           // late, disk slow, clock
@@ -52,22 +52,22 @@
   double times = 1;       // noise
   std::string command;    // command
 };
-// One line, for the timeline.
+// Describes the step in one line, for the timeline.
 std::string describe(const Step& step);
-// Whether it fails a link between two processes instead of a process.
+// Whether the fault hits a link between two processes instead of a process.
 bool is_link_fault(Fault fault);
 
-// What is wrong with a version of the server's program.
+// The defect that a version of the server's program is given.
 enum class Defect { kNone, kSlow, kSlowUnderLoad, kSlowAfterDelay, kSlowRequestClass, kLost };
 constexpr std::size_t kDefects = 6;
 const char* name_of(Defect defect);
 
-// Starts at its time, and not before the one before it is over.
+// A release that starts at its time, or when the previous one is over if that is later.
 struct PlannedRelease {
   Nanos at = 0;
   int version = 2;
   Defect defect = Defect::kNone;
-  int instance = 0;  // that gets the operators' commands
+  int instance = 0;  // the instance that receives the operators' commands
 };
 
 struct Incident {
@@ -76,12 +76,11 @@
   int proxies = 2;
   double keys_per_s = 100;
   Nanos length = 20 * kSecond;
-  double faults_per_s = 0;  // drawn, beside the steps
+  double faults_per_s = 0;  // drawn faults, in addition to the steps
   std::vector<Step> steps;
-  // For releases: reads beside the keyed requests, of two request classes, and a fleet with disruption
-  // budgets.
+  // For releases: reads of two request classes in addition to the keyed requests, and disruption budgets.
   double reads_per_s = 0;
-  double read_ms = 100;  // of a core, for each
+  double read_ms = 100;  // core time of each read
   int zones = 2;
   int services = 0;
   double max_unavailable = 0.1;
@@ -92,7 +91,7 @@
   std::vector<PlannedRelease> releases;
 };
 
-// Throws settings::DocumentError.
+// Throws settings::DocumentError if the file can't be read or a field is invalid.
 Incident read_incident(const std::string& path);
 
 struct ProcessCounts {
@@ -100,9 +99,9 @@
   int servers = 0;
   int proxies = 0;
 };
-// One fault, the same for the same draws.
+// Draws one fault; deterministic for a given generator state.
 Step draw_fault(std::mt19937& draws, const ProcessCounts& counts);
-// Whether it concerns instances, their links or proxies' streams; the others concern servers alone.
+// Whether the step hits instances, their links or proxies' streams, and not servers alone.
 bool concerns_control(const Step& step);
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/log_tail.h
+++ b/measure/log_tail.h
@@ -1,4 +1,5 @@
-// The lines that a process has written to its log since the last look. Used by the rig's parts.
+// Reads the lines that a process has appended to its log since the previous read. Used by the rig's
+// components.
 #pragma once
 
 #include <fstream>
--- a/measure/operator.cpp
+++ b/measure/operator.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr auto kPollInterval = std::chrono::milliseconds(100);
-constexpr int kMaxAttempts = 40;  // of one command
+constexpr int kMaxAttempts = 40;  // attempts for one command
 
 control::AdminAnswer call(int port, const std::string& line) {
   return control::AdminClient(net::loopback(static_cast<std::uint16_t>(port))).call(line);
@@ -66,7 +66,7 @@
     std::lock_guard lock(mutex_);
     if (answer.epoch() >= status_.epoch()) status_ = answer;
   } catch (const std::exception&) {
-    // Killed or unreachable: the next poll is of another instance.
+    // The instance is killed or unreachable; the next poll goes to another one.
   }
 }
 
--- a/measure/operator.h
+++ b/measure/operator.h
@@ -1,5 +1,5 @@
-// An operator of the rig: sends commands to instances and polls a release's status, on a thread of its own,
-// as an answer may take some seconds. Owned by RigReleases.
+// An operator of the rig: sends commands to instances and polls the status of the release, on its own thread
+// because an answer may take some seconds. Owned by RigReleases.
 #pragma once
 
 #include <condition_variable>
@@ -14,16 +14,16 @@
 
 namespace myrtlecroft::rehearsal {
 
-// May be used from any thread.
+// All public functions may be called from any thread.
 class Operator {
  public:
-  // `admin_ports`: of the instances.
+  // `admin_ports`: admin ports of the instances.
   explicit Operator(std::vector<int> admin_ports);
   ~Operator();
-  // Queues the command for that instance; where it is not accepted there, for the next one, a bounded number
-  // of times.
+  // Queues the command for that instance. If it is not accepted there, it goes to the next instance, a
+  // bounded number of times.
   void send(int instance, const std::string& command);
-  // The answer with the highest epoch that some instance has given so far.
+  // Returns the status answer with the highest epoch that any instance has given so far.
   control::AdminAnswer status() const;
 
  private:
@@ -32,7 +32,7 @@
     std::string text;
   };
   void run();
-  // False where the operator was told to end meanwhile.
+  // Returns false if the operator is being destroyed.
   bool send_with_retries(const Command& command);
   bool is_accepted(int instance, const std::string& command) const;
   void poll_status(int instance);
--- a/measure/rig_context.cpp
+++ b/measure/rig_context.cpp
@@ -38,10 +38,10 @@
   loop_.run();
 }
 
-void RigContext::violated(int RigViolations::*counter, const std::string& what) {
+void RigContext::record_violation(int RigViolations::*counter, const std::string& description) {
   ++(result_.violations.*counter);
   if (!result_.first_violation.empty()) return;
-  result_.first_violation = std::to_string((loop_.now() - begun_at_) / kMs) + " ms: " + what;
+  result_.first_violation = std::to_string((loop_.now() - begin_time_) / kMs) + " ms: " + description;
 }
 
 void RigContext::count_offered() {
@@ -54,7 +54,7 @@
   ++seconds_[second_of(offered_at)].completed;
 }
 
-void RigContext::note(const std::string& event) {
+void RigContext::record_event(const std::string& event) {
   std::string& events = seconds_[second_of(loop_.now())].events;
   events += (events.empty() ? "" : "; ") + event;
 }
--- a/measure/rig_context.h
+++ b/measure/rig_context.h
@@ -1,5 +1,5 @@
-// What all parts of the rig share: options, folder, loop, chance, tasks for later, and the result with its
-// timeline. Owned by Rig; used on the loop's thread.
+// State that all components of the rig share: options, folder, loop, random generator, scheduled tasks, and
+// the result with its timeline. Owned by Rig; used on the loop's thread.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 class RigContext {
  public:
-  // Makes the folder.
+  // Creates a temporary folder.
   explicit RigContext(const RigOptions& options);
 
   const RigOptions& options() const { return options_; }
@@ -30,27 +30,27 @@
   std::mt19937& random() { return random_; }
   std::set<int>& taken_ports() { return taken_ports_; }
 
-  // The incident's time begins, once the processes are ready.
-  void begin() { begun_at_ = loop_.now(); }
-  bool has_begun() const { return begun_at_ > 0; }
-  Nanos begun_at() const { return begun_at_; }
+  // Starts the incident's time. Call once the processes are ready.
+  void begin() { begin_time_ = loop_.now(); }
+  bool has_begun() const { return begin_time_ > 0; }
+  Nanos begin_time() const { return begin_time_; }
   Nanos now() const { return loop_.now(); }
 
   void schedule(Nanos delay, std::function<void()> task) {
     tasks_.emplace(loop_.now() + delay, std::move(task));
   }
   void run_due_tasks();
-  // Runs the loop until `condition` holds, or the time is over.
+  // Runs the loop until `condition` returns true or `timeout` has passed.
   void wait_for(const std::function<bool()>& condition, Nanos timeout);
 
   RigResult& result() { return result_; }
-  // Counts a violation, and describes it where it is the first.
-  void violated(int RigViolations::*counter, const std::string& what);
+  // Counts a violation; the first one is also described in the result.
+  void record_violation(int RigViolations::*counter, const std::string& description);
   void count_offered();
-  // Of a request that was offered at `offered_at`.
+  // Counts a completed request in the second in which it was offered.
   void count_completed(Nanos offered_at);
-  // An event of the timeline.
-  void note(const std::string& event);
+  // Adds an event to the timeline.
+  void record_event(const std::string& event);
   std::string timeline() const;
 
  private:
@@ -59,7 +59,7 @@
     int completed = 0;
     std::string events;
   };
-  int second_of(Nanos time) const { return static_cast<int>((time - begun_at_) / kSecond); }
+  int second_of(Nanos time) const { return static_cast<int>((time - begin_time_) / kSecond); }
 
   RigOptions options_;
   std::string folder_;
@@ -69,7 +69,7 @@
   std::set<int> taken_ports_;
   std::multimap<Nanos, std::function<void()>> tasks_;
   RigResult result_;
-  Nanos begun_at_ = 0;
+  Nanos begin_time_ = 0;
   std::map<int, Second> seconds_;
 };
 
--- a/measure/rig_faults.cpp
+++ b/measure/rig_faults.cpp
@@ -18,15 +18,15 @@
 void RigFaults::play_due() {
   const Incident& incident = context_.incident();
   const Nanos now = context_.now();
-  while (next_step_ < incident.steps.size() && context_.begun_at() + incident.steps[next_step_].at <= now) {
+  while (next_step_ < incident.steps.size() && context_.begin_time() + incident.steps[next_step_].at <= now) {
     play(incident.steps[next_step_]);
     ++next_step_;
   }
-  bool draws_end = now >= context_.begun_at() + incident.length - kSecond;
+  bool draws_end = now >= context_.begin_time() + incident.length - kSecond;
   if (incident.faults_per_s > 0 && now >= next_drawn_ && !draws_end) play_drawn();
 }
 
-// As many draws whatever is played, so that the same seed fails the same servers.
+// Makes the same number of draws whether or not the fault is played, so that a seed hits the same servers.
 void RigFaults::play_drawn() {
   const Incident& incident = context_.incident();
   std::mt19937 draws(random_());
@@ -39,7 +39,7 @@
 
 void RigFaults::play(const Step& step) {
   ++context_.result().faults;
-  context_.note(describe(step));
+  context_.record_event(describe(step));
   int first = step.target.first;
   int last = step.target.last;
   if (step.target.kind == Target::Kind::kLeader) {
@@ -82,7 +82,7 @@
   } else if (step.fault == Fault::kLose) {
     instances.kill_and_remove_folder(instance, step.length);
   } else {
-    instances.fail_inside(instance, step);
+    instances.inject_process_fault(instance, step);
   }
 }
 
@@ -94,8 +94,8 @@
   }
 }
 
-// `outward` leads away from whom the step names. Instances have two connections, one opened by each; a server
-// and an instance have only one, and `inward` is nullptr.
+// `outward`: relay of the connection that the step's target opened. Two instances have two connections, one
+// opened by each; a server and an instance have only one, and `inward` is nullptr.
 void RigFaults::fail_link(const Step& step, standin::Relay& outward, standin::Relay* inward) {
   bool out = step.direction != Direction::kInward;
   bool in = step.direction != Direction::kOutward;
--- a/measure/rig_faults.h
+++ b/measure/rig_faults.h
@@ -1,5 +1,5 @@
-// Plays an incident's faults: its steps when they are due, and those that chance draws. Owned by Rig; used on
-// the loop's thread.
+// Plays an incident's faults: its steps when they are due, and randomly drawn ones. Owned by Rig; used on the
+// loop's thread.
 #pragma once
 
 #include <functional>
@@ -19,13 +19,13 @@
     RigInstances& instances;
     RigServers& servers;
     RigProxies& proxies;
-    // Sends an operator's command to an instance.
+    // Sends an operator's command to the instance.
     std::function<void(int instance, const std::string& command)> send_command;
   };
-  // What the targets name outlives this.
+  // The objects that `targets` refers to must outlive this object.
   RigFaults(RigContext& context, Targets targets);
 
-  // The first drawn fault is due a second from now.
+  // Call when the incident begins. The first drawn fault is due one second later.
   void begin() { next_drawn_ = context_.now() + kSecond; }
   void play_due();
 
@@ -39,7 +39,7 @@
 
   RigContext& context_;
   Targets targets_;
-  std::mt19937 random_;  // of its own, so that load and faults do not change each other's draws
+  std::mt19937 random_;  // separate, so that load and faults do not affect each other's draws
   std::size_t next_step_ = 0;
   Nanos next_drawn_ = 0;
 };
--- a/measure/rig_files.h
+++ b/measure/rig_files.h
@@ -1,5 +1,5 @@
-// The files of the rig's processes: the fleet file, and each server's configuration and settings. Called by
-// Rig before the processes start.
+// Writes the files of the rig's processes: the fleet file, and each server's configuration and settings.
+// Called before the processes start.
 #pragma once
 
 #include <array>
@@ -10,18 +10,18 @@
 
 namespace myrtlecroft::rehearsal {
 
-constexpr Nanos kKeyWindow = 2000 * kMs;  // in which a key runs at most once
+constexpr Nanos kKeyWindow = 2000 * kMs;  // deduplication window
 constexpr Nanos kKeyedTimeout = 800 * kMs;
 constexpr Nanos kReadTimeout = 1500 * kMs;
 constexpr const char* kKeyedClass = "booking";
-// Request classes of reads, beside the keyed one.
+// Request classes of reads.
 constexpr std::array<const char*, 2> kReadClasses = {"look-up", "search"};
 
-// Ports on loopback of one server and of what it speaks with.
+// Loopback ports of one server and of the processes that it connects to.
 struct ServerPorts {
   int server = 0;
   int engine = 0;
-  std::vector<int> reports;  // relays to the instances
+  std::vector<int> reports;  // ports of the relays to the instances
 };
 
 void write_fleet_file(const RigContext& context, const std::vector<ServerPorts>& servers);
--- a/measure/rig_instances.cpp
+++ b/measure/rig_instances.cpp
@@ -15,8 +15,8 @@
 
 using standin::loopback_address;
 
-constexpr Nanos kMinMissedPause = 600 * kMs;               // a leader that is paused for less is not replaced
-constexpr const char* kDecidingLine = " deciding, term ";  // in an instance's log, once it leads
+constexpr Nanos kMinMissedPause = 600 * kMs;  // a leader paused for a shorter time is not replaced
+constexpr const char* kDecidingLine = " deciding, term ";  // logged by an instance that becomes leader
 constexpr int kRecoveryRounds = 40;
 constexpr Nanos kRecoveryRoundInterval = 25 * kMs;
 
@@ -52,8 +52,8 @@
     start(i, standin::ControlCluster::Start::kFirstStart);
 }
 
-void RigInstances::start(int instance, standin::ControlCluster::Start how) {
-  fleet_->start(instance, how);
+void RigInstances::start(int instance, standin::ControlCluster::Start mode) {
+  fleet_->start(instance, mode);
   instances_[static_cast<std::size_t>(instance)].paused = false;
 }
 
@@ -64,13 +64,13 @@
 
 std::vector<int> RigInstances::admin_ports() const {
   std::vector<int> out;
-  for (const auto& place : fleet_->all()) out.push_back(place.admin);
+  for (const auto& replica : fleet_->all()) out.push_back(replica.admin);
   return out;
 }
 
 std::vector<int> RigInstances::report_ports() const {
   std::vector<int> out;
-  for (const auto& place : fleet_->all()) out.push_back(place.reports);
+  for (const auto& replica : fleet_->all()) out.push_back(replica.reports);
   return out;
 }
 
@@ -78,14 +78,14 @@
   return (*fleet_)[instance].process.pid() > 0 && !instances_[static_cast<std::size_t>(instance)].paused;
 }
 
-void RigInstances::leader_may_have_failed(int instance) {
+void RigInstances::note_leader_failure(int instance) {
   if (instance == leader_ && leader_failed_at_ == 0) leader_failed_at_ = context_.now();
 }
 
 void RigInstances::kill(int instance, Nanos length) {
   if (!can_fail(instance)) return;
   standin::ChildProcess& process = (*fleet_)[instance].process;
-  leader_may_have_failed(instance);
+  note_leader_failure(instance);
   process.end(SIGKILL);
   context_.schedule(length, [this, instance, &process] {
     if (process.pid() <= 0) start(instance, standin::ControlCluster::Start::kRestart);
@@ -103,7 +103,7 @@
   if (!can_fail(instance)) return;
   Instance& paused = instances_[static_cast<std::size_t>(instance)];
   standin::ChildProcess& process = (*fleet_)[instance].process;
-  leader_may_have_failed(instance);
+  note_leader_failure(instance);
   paused.paused = true;
   process.signal(SIGSTOP);
   context_.schedule(length, [this, &paused, &process, instance, length] {
@@ -118,16 +118,16 @@
   standin::ChildProcess& process = (*fleet_)[instance].process;
   const standin::FaultFile& faults = *(*fleet_)[instance].faults;
   faults.crash_after_syncs(step.count);
-  // It is killed when it gets there; another may lead by then.
+  // The kill happens when the instance reaches that sync; another one may lead by then.
   context_.schedule(step.length, [this, instance, &process, &faults] {
     faults->crash_at_sync = 0;
     if (!process.has_exited()) return;
-    leader_may_have_failed(instance);
+    note_leader_failure(instance);
     start(instance, standin::ControlCluster::Start::kRestart);
   });
 }
 
-void RigInstances::fail_inside(int instance, const Step& step) {
+void RigInstances::inject_process_fault(int instance, const Step& step) {
   if (step.fault == Fault::kKillAtSync) {
     kill_at_sync(instance, step);
     return;
@@ -138,7 +138,7 @@
   if (step.fault == Fault::kDiskSlow) faults->sync_delay_ns = step.by;
   if (step.fault == Fault::kClock) faults->wall_clock_offset_ns = step.by;
   bool ends_leadership = step.fault == Fault::kDiskFails || step.fault == Fault::kDiskFull;
-  if (ends_leadership) leader_may_have_failed(instance);
+  if (ends_leadership) note_leader_failure(instance);
   context_.schedule(step.length, [this, &faults, ends_leadership, instance, length = step.length] {
     if (ends_leadership && leader_ == instance && length < kMinMissedPause) leader_failed_at_ = 0;
     faults->sync_error = 0;
@@ -157,14 +157,14 @@
 void RigInstances::check_logs() {
   for (std::size_t i = 0; i < instances_.size(); ++i) {
     instances_[i].log->for_each_new_line([&](const std::string& line) {
-      if (line.find(kDecidingLine) != std::string::npos) started_to_decide(static_cast<int>(i));
+      if (line.find(kDecidingLine) != std::string::npos) handle_leader_change(static_cast<int>(i));
     });
   }
 }
 
-void RigInstances::started_to_decide(int instance) {
+void RigInstances::handle_leader_change(int instance) {
   leader_ = instance;
-  context_.note(name_of(instance) + " decides");
+  context_.record_event(name_of(instance) + " decides");
   if (leader_failed_at_ == 0) return;
   failovers_ms_.push_back(static_cast<double>(context_.now() - leader_failed_at_) / 1e6);
   leader_failed_at_ = 0;
@@ -181,19 +181,19 @@
 }
 
 struct RigInstances::RecoveryCheck {
-  std::map<std::uint64_t, std::string> digests;  // of the agreed state, by epoch
-  std::uint64_t highest_epoch = 0;               // in the first round
+  std::map<std::uint64_t, std::string> digests;  // digests of the agreed state, by epoch
+  std::uint64_t highest_epoch = 0;               // highest epoch seen in the first round
 };
 
 void RigInstances::check_recovered() {
   RecoveryCheck check;
   for (int round = 0; round < kRecoveryRounds; ++round) {
     for (std::size_t i = 0; i < instances_.size(); ++i) {
-      // Without its folder it rightly refuses to start: an operator adds a new one.
+      // An instance without its folder refuses to start, as intended: an operator would add a new one.
       if (instances_[i].folder_lost) continue;
       check_instance(static_cast<int>(i), round, check);
     }
-    // The relays run meanwhile.
+    // Runs the loop, so that the relays keep forwarding.
     Nanos until = context_.now() + kRecoveryRoundInterval;
     context_.wait_for([&] { return context_.now() > until; }, kSecond);
   }
@@ -207,18 +207,18 @@
     answer = control::AdminClient(net::loopback(port)).call("instances");
   } catch (const std::exception& error) {
     if (first_round)
-      context_.violated(&RigViolations::not_recovered, name_of(instance) + ": " + error.what());
+      context_.record_violation(&RigViolations::not_recovered, name_of(instance) + ": " + error.what());
     return;
   }
   if (first_round && (!answer.in_touch() || answer.leader() == 0))
-    context_.violated(&RigViolations::not_recovered, name_of(instance) + " has no quorum");
-  auto [known, is_new] = check.digests.emplace(answer.epoch(), answer.digest());
-  if (!is_new && known->second != answer.digest())
-    context_.violated(&RigViolations::lost_entries,
-                      "two states with epoch " + std::to_string(answer.epoch()));
+    context_.record_violation(&RigViolations::not_recovered, name_of(instance) + " has no quorum");
+  auto [entry, inserted] = check.digests.emplace(answer.epoch(), answer.digest());
+  if (!inserted && entry->second != answer.digest())
+    context_.record_violation(&RigViolations::lost_entries,
+                              "two states with epoch " + std::to_string(answer.epoch()));
   if (first_round) check.highest_epoch = std::max(check.highest_epoch, answer.epoch());
   if (round == kRecoveryRounds - 1 && answer.epoch() < check.highest_epoch)
-    context_.violated(&RigViolations::lost_entries, name_of(instance) + " lacks agreed entries");
+    context_.record_violation(&RigViolations::lost_entries, name_of(instance) + " lacks agreed entries");
 }
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/rig_load.cpp
+++ b/measure/rig_load.cpp
@@ -13,20 +13,22 @@
 constexpr int kProbesUntilReady = 20;
 constexpr Nanos kMinRetryDelay = 50 * kMs;
 constexpr Nanos kMaxRetryDelay = 300 * kMs;
-constexpr Nanos kKeyedPatience = kKeyWindow - 100 * kMs;  // no retry may come after the window
-constexpr unsigned kNeedlessRetryOneIn = 4;               // of keyed requests that were completed at once
+// No retry may arrive after the deduplication window.
+constexpr Nanos kKeyedRetryPeriod = kKeyWindow - 100 * kMs;
+// One in this many keyed requests completed at the first attempt is retried anyway.
+constexpr unsigned kNeedlessRetryInterval = 4;
 constexpr double kKeyedWorkMs = 3;
-constexpr int kExpectedMs = 20;  // of a keyed request
+constexpr int kExpectedMs = 20;  // core time that a keyed request announces
 
 }  // namespace
 
 bool RigLoad::is_ready() {
-  if (!proxies_.all_have_a_set()) return false;
+  if (!proxies_.all_have_applied_sets()) return false;
   if (!probing_) {
     probing_ = true;
-    send(make_key(), kKeyed, [this](const standin::RequestResult& ended) {
+    send(make_key(), kKeyed, [this](const standin::RequestResult& result) {
       probing_ = false;
-      probes_completed_ += ended.kind == standin::RequestResult::Kind::kCompleted;
+      probes_completed_ += result.kind == standin::RequestResult::Kind::kCompleted;
     });
   }
   return probes_completed_ >= kProbesUntilReady;
@@ -40,7 +42,7 @@
 void RigLoad::offer_due() {
   const Incident& incident = context_.incident();
   const Nanos now = context_.now();
-  if (now >= context_.begun_at() + incident.length) return;
+  if (now >= context_.begin_time() + incident.length) return;
   for (; next_keyed_ <= now; next_keyed_ += static_cast<Nanos>(1e9 / incident.keys_per_s)) offer(kKeyed);
   if (incident.reads_per_s <= 0) return;
   for (; next_read_ <= now; next_read_ += static_cast<Nanos>(1e9 / incident.reads_per_s)) {
@@ -83,37 +85,37 @@
                 std::move(ended));
 }
 
-// A client retries with its key, through any proxy, until it gets the result; and some retry all the same.
+// A client retries with its key, through any proxy, until its request is completed; some retry even then.
 void RigLoad::attempt(const std::shared_ptr<Client>& client) {
   ++client->attempts;
   send(client->key, client->read_class,
        [this, client](const standin::RequestResult& result) { ended(client, result); });
 }
 
-void RigLoad::ended(const std::shared_ptr<Client>& client, const standin::RequestResult& ended) {
-  if (ended.connection_lost) connection_cut_(ended.connection_lost_server);
-  bool completed = ended.kind == standin::RequestResult::Kind::kCompleted;
+void RigLoad::ended(const std::shared_ptr<Client>& client, const standin::RequestResult& result) {
+  if (result.connection_lost) on_connection_lost_(result.connection_lost_server);
+  bool completed = result.kind == standin::RequestResult::Kind::kCompleted;
   if (completed && !client->completed) {
     client->completed = true;
     context_.count_completed(client->offered_at);
   }
   bool keyed = client->read_class == kKeyed;
   bool retries =
-      !completed || (keyed && client->attempts == 1 && context_.random()() % kNeedlessRetryOneIn == 0);
+      !completed || (keyed && client->attempts == 1 && context_.random()() % kNeedlessRetryInterval == 0);
   if (!retries) return;
-  Nanos delay = std::clamp(ended.retry_after, kMinRetryDelay, kMaxRetryDelay);
-  Nanos patience = keyed ? kKeyedPatience : kReadTimeout;
-  if (context_.now() + delay >= client->offered_at + patience) return;
+  Nanos delay = std::clamp(result.retry_after, kMinRetryDelay, kMaxRetryDelay);
+  Nanos retry_period = keyed ? kKeyedRetryPeriod : kReadTimeout;
+  if (context_.now() + delay >= client->offered_at + retry_period) return;
   context_.schedule(delay, [this, client] { attempt(client); });
 }
 
 void RigLoad::run_started(const standin::ObservedRun& run) {
   if (!context_.has_begun() || run.request_class != kKeyedClass) return;
   ++context_.result().load.runs;
-  auto [first, is_new] = first_runs_.emplace(run.key, std::make_pair(run.node, run.at));
-  if (is_new || run.at >= first->second.second + kKeyWindow) return;
-  context_.violated(&RigViolations::duplicate_runs,
-                    "key " + run.key + " ran at " + first->second.first + " and " + run.node);
+  auto [first, inserted] = first_runs_.emplace(run.key, std::make_pair(run.node, run.at));
+  if (inserted || run.at >= first->second.second + kKeyWindow) return;
+  context_.record_violation(&RigViolations::duplicate_runs,
+                            "key " + run.key + " ran at " + first->second.first + " and " + run.node);
 }
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/rig_load.h
+++ b/measure/rig_load.h
@@ -1,5 +1,5 @@
-// The rig's clients: keyed requests and reads at fixed rates, retries, and whether a key ran twice. Owned by
-// Rig; used on the loop's thread.
+// The rig's clients: send keyed requests and reads at fixed rates, retry them, and check that no key runs
+// twice within its window. Owned by Rig; used on the loop's thread.
 #pragma once
 
 #include <functional>
@@ -17,17 +17,19 @@
 
 class RigLoad {
  public:
-  // `connection_cut`: a server, by its address, received a request and did not answer it. All outlive this.
-  RigLoad(RigContext& context, RigProxies& proxies, std::function<void(const std::string&)> connection_cut)
-      : context_(context), proxies_(proxies), connection_cut_(std::move(connection_cut)) {}
+  // `on_connection_lost`: called with the address of a server that received a request and did not answer it.
+  // The references must outlive this object.
+  RigLoad(RigContext& context, RigProxies& proxies,
+          std::function<void(const std::string&)> handle_connection_lost)
+      : context_(context), proxies_(proxies), on_connection_lost_(std::move(handle_connection_lost)) {}
 
-  // Sends a probe at a time; true once enough of them were completed. To be polled before the incident.
+  // Sends one probe request at a time and returns true once enough were completed. Poll before the incident.
   bool is_ready();
-  // The first requests are due now.
+  // Starts the load; the first requests are due now.
   void begin();
-  // Offers the requests that are due.
+  // Sends the requests that are due.
   void offer_due();
-  // An engine began to run a request.
+  // Handles the start of a run at an engine.
   void run_started(const standin::ObservedRun& run);
 
  private:
@@ -43,12 +45,12 @@
   std::string make_key();
   void offer(int read_class);
   void attempt(const std::shared_ptr<Client>& client);
-  void ended(const std::shared_ptr<Client>& client, const standin::RequestResult& ended);
+  void ended(const std::shared_ptr<Client>& client, const standin::RequestResult& result);
   void send(const std::string& key, int read_class, std::function<void(const standin::RequestResult&)> ended);
 
   RigContext& context_;
   RigProxies& proxies_;
-  std::function<void(const std::string&)> connection_cut_;
+  std::function<void(const std::string&)> on_connection_lost_;
   std::map<std::string, std::pair<std::string, Nanos>> first_runs_;  // by key: server and time
   Nanos next_keyed_ = 0;
   Nanos next_read_ = 0;
--- a/measure/rig_proxies.cpp
+++ b/measure/rig_proxies.cpp
@@ -9,10 +9,10 @@
 namespace myrtlecroft::rehearsal {
 namespace {
 
-constexpr std::string_view kShardDigits = "0123456789abcdef";  // a shard for each first digit of a key
+constexpr std::string_view kShardDigits = "0123456789abcdef";  // one shard per first digit of a key
 constexpr unsigned kProxySeedOffset = 100;
 
-// Servers that get requests without a key.
+// The servers to which requests without a key are routed.
 std::set<std::string> servers_of(const standin::AppliedSet& set) {
   std::set<std::string> out;
   auto found = set.endpoints.find(std::string("group/") + kReadClasses[0]);
@@ -21,17 +21,17 @@
   return out;
 }
 
-// The cluster of one server that each shard's keys are routed to; empty: closed.
+// For each shard the cluster, of one server, to which its keys are routed; empty: closed.
 std::vector<std::string> owners_of(const standin::AppliedSet& set) {
   std::vector<std::string> out(kShardDigits.size());
   for (const auto& host : set.routes->virtual_hosts()) {
     for (const auto& route : host.routes()) {
       if (!route.has_route() || route.match().headers_size() == 0) continue;
       std::string pattern = route.match().headers(0).safe_regex_match().regex();
-      std::regex matches(pattern.starts_with("(?i)") ? pattern.substr(4) : pattern);
+      std::regex key_pattern(pattern.starts_with("(?i)") ? pattern.substr(4) : pattern);
       for (std::size_t shard = 0; shard < kShardDigits.size(); ++shard) {
         std::string key(1, kShardDigits[shard]);
-        if (std::regex_match(key + "0", matches)) out[shard] = route.route().cluster();
+        if (std::regex_match(key + "0", key_pattern)) out[shard] = route.route().cluster();
       }
     }
   }
@@ -55,7 +55,7 @@
   streams_.clear();
 }
 
-bool RigProxies::all_have_a_set() const {
+bool RigProxies::all_have_applied_sets() const {
   return std::all_of(streams_.begin(), streams_.end(),
                      [](const auto& stream) { return stream->applied() != nullptr; });
 }
@@ -80,15 +80,16 @@
     if (last_owner && *last_owner != owner) {
       std::string pair = *last_owner < owner ? *last_owner + owner : owner + *last_owner;
       if (reported_splits_.insert({shard, pair}).second) {
-        context_.violated(&RigViolations::split_owners,
-                          "shard " + std::to_string(shard) + " is open at " + *last_owner + " and " + owner);
+        context_.record_violation(
+            &RigViolations::split_owners,
+            "shard " + std::to_string(shard) + " is open at " + *last_owner + " and " + owner);
       }
     }
     last_owner = &owner;
   }
 }
 
-bool RigProxies::route_to(const std::string& server) const {
+bool RigProxies::any_routes_to(const std::string& server) const {
   return std::any_of(latest_.begin(), latest_.end(),
                      [&](const LatestSet& latest) { return latest.servers.contains(server); });
 }
--- a/measure/rig_proxies.h
+++ b/measure/rig_proxies.h
@@ -1,5 +1,5 @@
-// The rig's stand-in proxies: their discovery streams, and what the sets say that they have applied. Owned by
-// Rig; used on the loop's thread.
+// The rig's stand-in proxies: their discovery streams and the sets that they have applied. Owned by Rig; used
+// on the loop's thread.
 #pragma once
 
 #include <memory>
@@ -18,24 +18,24 @@
  public:
   explicit RigProxies(RigContext& context) : context_(context) {}
 
-  // `discovery`: the targets of its channel.
+  // `discovery`: gRPC target of the proxy's channel.
   void add(const std::string& discovery);
   void close();
 
-  bool all_have_a_set() const;
-  // Through a proxy that chance draws.
+  bool all_have_applied_sets() const;
+  // Sends the request through a randomly chosen proxy.
   void send(standin::Request request, std::function<void(const standin::RequestResult&)> ended);
   void cut_stream(int proxy) { streams_[static_cast<std::size_t>(proxy)]->reset_stream(); }
-  // Takes the sets that are new, and checks that no shard is open at two servers.
+  // Reads newly applied sets, and checks that no shard is open at two servers.
   void check_owners();
   // Whether some proxy routes reads to the server.
-  bool route_to(const std::string& server) const;
+  bool any_routes_to(const std::string& server) const;
 
  private:
   struct LatestSet {
     std::shared_ptr<const standin::AppliedSet> set;
-    std::vector<std::string> owners;  // by shard; empty: closed
-    std::set<std::string> servers;    // of reads
+    std::vector<std::string> owners;  // owner of each shard; empty: closed
+    std::set<std::string> servers;    // servers that get reads
   };
   void check_shard(std::size_t shard);
 
--- a/measure/rig_releases.cpp
+++ b/measure/rig_releases.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr Nanos kMaxRelease = 120 * kSecond;
-constexpr Nanos kHaltKnown = 1500 * kMs;      // until every server knows of a halt
-constexpr Nanos kOperatorReaction = kSecond;  // to a halt
-constexpr int kMaxResumes = 2;                // of a release that is good and was halted
-constexpr int kSmallFleet = 12;               // servers: so few allow no better analysis
-// Phases, as admin answers have them.
+constexpr Nanos kHaltPropagation = 1500 * kMs;  // until every server must know of a halt
+constexpr Nanos kOperatorReaction = kSecond;    // delay of the operator's reaction to a halt
+constexpr int kMaxResumes = 2;                  // resumes of a release without a defect that halted
+constexpr int kSmallFleet = 12;                 // servers; with so few, the analysis can't be more exact
+// Release phases as they appear in admin answers.
 constexpr const char* kHalted = "halted";
 constexpr const char* kRollbackHalted = "halted on the way back";
 constexpr const char* kRollingBack = "going back";
@@ -50,10 +50,10 @@
 bool RigReleases::under_way() const {
   if (!current_) return false;
   bool halted = current_->stopped_at > 0 && current_->outcome.outcome == kHalted;
-  return !halted || context_.now() - current_->stopped_at <= kHaltKnown;
+  return !halted || context_.now() - current_->stopped_at <= kHaltPropagation;
 }
 
-std::set<std::string> RigReleases::leased() const {
+std::set<std::string> RigReleases::leased_servers() const {
   std::set<std::string> out;
   control::AdminAnswer status = operator_.status();
   for (const control::MaintenanceLeaseRow& row : status.trips()) out.insert(row.node());
@@ -101,14 +101,14 @@
   }
   bool not_started = row.id() < current_->id;
   if (not_started && context_.now() - current_->started_at < kMaxRelease) return;
-  follow(row);
+  update_outcome(row);
   if (is_over(row)) finish();
 }
 
 void RigReleases::start_next() {
   std::size_t next = context_.result().releases.size();
   const std::vector<PlannedRelease>& releases = context_.incident().releases;
-  if (next >= releases.size() || context_.now() < context_.begun_at() + releases[next].at) return;
+  if (next >= releases.size() || context_.now() < context_.begin_time() + releases[next].at) return;
   const PlannedRelease& planned = releases[next];
   servers_.set_behaviour(planned.version, behaviour_of(planned.defect));
   CurrentRelease& current = current_.emplace();
@@ -116,12 +116,12 @@
   current.started_at = context_.now();
   current.id = operator_.status().release().id() + 1;
   operator_.send(planned.instance, releases::release_start_command(plan_of(planned)));
-  context_.note("release to " + std::to_string(planned.version) + ", " + name_of(planned.defect));
+  context_.record_event("release to " + std::to_string(planned.version) + ", " + name_of(planned.defect));
 }
 
-void RigReleases::follow(const control::ReleaseRow& row) {
+void RigReleases::update_outcome(const control::ReleaseRow& row) {
   ReleaseOutcome& outcome = current_->outcome;
-  if (outcome.outcome != row.phase()) context_.note("release " + row.phase());
+  if (outcome.outcome != row.phase()) context_.record_event("release " + row.phase());
   outcome.outcome = row.phase();
   bool halted = is_halted(row);
   bool rolling_back = row.phase() == kRollingBack;
@@ -131,15 +131,15 @@
     outcome.reason = row.reason();
   }
   if (halted) handle_halt(row);
-  if (!halted && !rolling_back && current_->commanded) {
+  if (!halted && !rolling_back && current_->command_sent) {
     current_->stopped_at = 0;
-    current_->commanded = false;
+    current_->command_sent = false;
   }
 }
 
 void RigReleases::handle_halt(const control::ReleaseRow& row) {
-  if (current_->commanded || context_.now() - current_->stopped_at <= kOperatorReaction) return;
-  current_->commanded = true;
+  if (current_->command_sent || context_.now() - current_->stopped_at <= kOperatorReaction) return;
+  current_->command_sent = true;
   const PlannedRelease& planned = current_->outcome.planned;
   bool resume = row.phase() == kRollbackHalted;
   if (planned.defect == Defect::kNone) {
--- a/measure/rig_servers.cpp
+++ b/measure/rig_servers.cpp
@@ -13,12 +13,12 @@
 using standin::loopback_address;
 
 constexpr int kEngineCores = 2;
-constexpr Nanos kWarmUp = 200 * kMs;           // of an engine that started
-constexpr Nanos kFailureNoticed = 1500 * kMs;  // until a server that failed is known to have failed
+constexpr Nanos kWarmUp = 200 * kMs;             // warm-up time of an engine that started
+constexpr Nanos kFailureDetection = 1500 * kMs;  // time until a failed server is known to have failed
 constexpr Nanos kMaxAnswerDelay = 2 * kReadTimeout;
-constexpr int kRestartExitCode = 100;  // and the version to start
+constexpr int kRestartExitCode = 100;  // plus the version to start
 constexpr Nanos kBatchInterval = 4 * kSecond;
-// Lines of a server's log.
+// Patterns of lines in a server's log.
 constexpr const char* kDrainsLine = "drains to be started as";
 constexpr const char* kStartedLine = "started as";
 constexpr const char* kAssignmentPattern = R"(shard assignment in force: epoch (\d+) of term (\d+))";
@@ -79,7 +79,7 @@
   variables.emplace_back("MYRTLECROFT_RELEASE", std::to_string(server.version));
   server.process = standin::ChildProcess({MYRTLECROFT_PROGRAM}, context_.file(name + ".log"), variables);
   server.alive = true;
-  server.restarts_as_told = false;
+  server.restart_ordered = false;
   server.epoch = {};
 }
 
@@ -95,7 +95,7 @@
   Server& server = servers_[static_cast<std::size_t>(index)];
   if (!server.alive) return;
   server.alive = false;
-  server.restarts_as_told = false;
+  server.restart_ordered = false;
   server.killed_at = context_.now();
   server.process.end(SIGKILL);
   context_.schedule(length, [this, index] { start(index); });
@@ -106,7 +106,7 @@
   if (!server.alive) return;
   server.process.signal(SIGSTOP);
   context_.schedule(length, [&server] { server.process.signal(SIGCONT); });
-  server.killed_at = context_.now() + length;  // what it does not answer meanwhile is no violation
+  server.killed_at = context_.now() + length;  // requests not answered during the pause are no violation
 }
 
 void RigServers::slow_engine(int index, double times, Nanos length) {
@@ -129,15 +129,15 @@
 
 // ---- Checks
 
-void RigServers::connection_cut(const std::string& address) {
+void RigServers::handle_connection_lost(const std::string& address) {
   for (std::size_t i = 0; i < servers_.size(); ++i) {
     const Server& server = servers_[i];
     if (loopback_address(server.port) != address) continue;
     if (context_.now() - server.killed_at <= kMaxAnswerDelay) continue;
-    context_.violated(
-        server.restarts_as_told ? &RigViolations::drain_violations : &RigViolations::lost_requests,
+    context_.record_violation(
+        server.restart_ordered ? &RigViolations::drain_violations : &RigViolations::lost_requests,
         "no answer from " + address);
-    context_.note("no answer from " + RigContext::server_name(static_cast<int>(i)));
+    context_.record_event("no answer from " + RigContext::server_name(static_cast<int>(i)));
   }
 }
 
@@ -147,22 +147,23 @@
 }
 
 void RigServers::check_line(Server& server, const std::string& line) {
-  static const std::regex acts_on(kAssignmentPattern);
-  if (line.find(kDrainsLine) != std::string::npos) leaves_as_told(server);
+  static const std::regex assignment_pattern(kAssignmentPattern);
+  if (line.find(kDrainsLine) != std::string::npos) begin_ordered_restart(server);
   if (line.find(kStartedLine) != std::string::npos) server.epoch = {};
   std::smatch match;
-  if (!std::regex_search(line, match, acts_on)) return;
+  if (!std::regex_search(line, match, assignment_pattern)) return;
   std::pair<std::uint64_t, std::uint64_t> epoch{std::stoull(match[2]), std::stoull(match[1])};
   if (epoch < server.epoch)
-    context_.violated(&RigViolations::stale_epochs, "a server acted on an older assignment: " + line);
+    context_.record_violation(&RigViolations::stale_epochs, "a server acted on an older assignment: " + line);
   server.epoch = epoch;
 }
 
-void RigServers::leaves_as_told(Server& server) {
-  server.restarts_as_told = true;
+void RigServers::begin_ordered_restart(Server& server) {
+  server.restart_ordered = true;
   mark_out_by_choice(server);
   if (!handlers_.release_under_way())
-    context_.violated(&RigViolations::unpermitted_exits, "a server left though no release was under way");
+    context_.record_violation(&RigViolations::unpermitted_exits,
+                              "a server left though no release was under way");
 }
 
 void RigServers::restart_exited() {
@@ -173,10 +174,11 @@
     int code = server.process.code();
     bool batch_restart = context_.options().fixed_batch_restarts && code == 0;
     if (code < kRestartExitCode && !batch_restart) {
-      context_.violated(&RigViolations::crashes, RigContext::server_name(static_cast<int>(i)) +
-                                                     " exited by itself with code " + std::to_string(code));
+      context_.record_violation(&RigViolations::crashes, RigContext::server_name(static_cast<int>(i)) +
+                                                             " exited by itself with code " +
+                                                             std::to_string(code));
     }
-    server.restarts_as_told = true;
+    server.restart_ordered = true;
     if (code >= kRestartExitCode) server.version = code - kRestartExitCode;
     context_.schedule(context_.incident().restart, [this, i] {
       if (!servers_[i].alive) start(static_cast<int>(i));
@@ -189,22 +191,23 @@
                                         [](const Server& server) { return server.out_by_choice; }));
 }
 
-// For long enough that it is known.
+// Counts servers that failed long enough ago to be known as failed.
 int RigServers::failed() const {
   return static_cast<int>(std::count_if(servers_.begin(), servers_.end(), [&](const Server& server) {
-    return !server.alive && !server.restarts_as_told && !server.out_by_choice &&
-           context_.now() - server.killed_at > kFailureNoticed;
+    return !server.alive && !server.restart_ordered && !server.out_by_choice &&
+           context_.now() - server.killed_at > kFailureDetection;
   }));
 }
 
-// Those that have failed count against the budget too.
+// Failed servers count against the budget too.
 void RigServers::mark_out_by_choice(Server& server) {
   if (server.out_by_choice) return;
   server.out_by_choice = true;
   if (context_.options().fixed_batch_restarts) return;
   if (out_by_choice() + failed() <= context_.result().unavailable.allowed) return;
-  context_.violated(&RigViolations::over_budget, std::to_string(out_by_choice()) + " are out by choice and " +
-                                                     std::to_string(failed()) + " failed");
+  context_.record_violation(
+      &RigViolations::over_budget,
+      std::to_string(out_by_choice()) + " are out by choice and " + std::to_string(failed()) + " failed");
 }
 
 void RigServers::check_budgets(const std::set<std::string>& leased) {
@@ -215,22 +218,22 @@
   for (const auto& [service, out] : out_by_service) {
     unavailable.service_max = std::max(unavailable.service_max, out);
     if (out > unavailable.service_allowed && !context_.options().fixed_batch_restarts)
-      context_.violated(&RigViolations::over_budget,
-                        std::to_string(out) + " servers of a service are out by choice");
+      context_.record_violation(&RigViolations::over_budget,
+                                std::to_string(out) + " servers of a service are out by choice");
   }
 }
 
-// That a server is out by choice and not for its health is in the agreed state; that it gets nothing is in
-// the proxies' sets. Returns how many are out of each service.
+// The agreed state shows that a server is out by choice and not for its health; the proxies' sets show that
+// it gets no requests. Returns the number of servers out by choice for each service.
 std::map<int, int> RigServers::update_out_by_choice(const std::set<std::string>& leased) {
   std::map<int, int> out_by_service;
   const int services = context_.incident().services;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
     Server& server = servers_[i];
     const std::string name = RigContext::server_name(static_cast<int>(i));
-    bool routed_to = proxies_.route_to(name);
+    bool routed_to = proxies_.any_routes_to(name);
     if (!routed_to && leased.contains(name)) mark_out_by_choice(server);
-    if (routed_to && server.alive && !server.restarts_as_told && !server.engine->warming_up())
+    if (routed_to && server.alive && !server.restart_ordered && !server.engine->warming_up())
       server.out_by_choice = false;
     if (services > 0 && server.out_by_choice) ++out_by_service[static_cast<int>(i) % services];
   }
@@ -238,14 +241,14 @@
 }
 
 void RigServers::restart_next_batch() {
-  auto due = static_cast<std::size_t>((context_.now() - context_.begun_at()) / kBatchInterval);
+  auto due = static_cast<std::size_t>((context_.now() - context_.begin_time()) / kBatchInterval);
   auto size = static_cast<std::size_t>(std::max(1, context_.result().unavailable.allowed));
   for (; batches_ <= due && batches_ * size < servers_.size(); ++batches_) {
     std::size_t end = std::min(servers_.size(), (batches_ + 1) * size);
     for (std::size_t i = batches_ * size; i < end; ++i) {
       Server& server = servers_[i];
       if (!server.alive) continue;
-      server.restarts_as_told = true;
+      server.restart_ordered = true;
       mark_out_by_choice(server);
       server.process.signal(SIGTERM);
     }
--- a/measure/rig_servers.h
+++ b/measure/rig_servers.h
@@ -1,5 +1,5 @@
-// The rig's real servers: processes, engines, the relays to the instances, restarts, and the checks of what
-// they do on shard assignments and within the disruption budgets. Owned by Rig; used on the loop's thread.
+// The rig's real servers: processes, engines, relays to the instances and restarts, and the checks of their
+// shard assignments and of the disruption budgets. Owned by Rig; used on the loop's thread.
 #pragma once
 
 #include <functional>
@@ -23,28 +23,28 @@
 class RigServers {
  public:
   struct Handlers {
-    std::function<void(const standin::ObservedRun&)> run_started;  // at an engine
-    // Whether servers may restart as told at this moment.
+    std::function<void(const standin::ObservedRun&)> run_started;  // called when an engine starts a run
+    // Returns whether servers may restart by order at this moment.
     std::function<bool()> release_under_way;
   };
-  // `report_ports`: of the instances. Both references outlive this.
+  // `report_ports`: report ports of the instances. `context` and `proxies` must outlive this object.
   RigServers(RigContext& context, const RigProxies& proxies, const std::vector<int>& report_ports,
              Handlers handlers);
 
   void write_files() const;
   void start_all();
-  // Ends the processes.
+  // Kills the processes.
   void close() { servers_.clear(); }
 
-  // What the program does in this version, from a server's next start on.
+  // Sets how this version of the program behaves, from each server's next start on.
   void set_behaviour(int version, standin::Behaviour behaviour) {
     behaviours_[version] = std::move(behaviour);
   }
-  // How many run, and run this version.
+  // The number of running servers that have this version.
   int running_version(int version) const;
   int count() const { return static_cast<int>(servers_.size()); }
 
-  // Faults. After `length` it is as before.
+  // Each fault ends after `length`.
   void kill(int server, Nanos length);
   void pause(int server, Nanos length);
   void slow_engine(int server, double times, Nanos length);
@@ -54,14 +54,15 @@
   }
   void heal_links();
 
-  // A request was received at `address` and its connection ended without an answer.
-  void connection_cut(const std::string& address);
+  // Call when a server that received a request closed its connection without an answer.
+  void handle_connection_lost(const std::string& address);
   void check_logs();
-  // Starts those that exited again, in the version that their exit code names, as an installation does.
+  // Restarts servers that exited, in the version that their exit code names, as an installation's supervisor
+  // does.
   void restart_exited();
-  // `leased`: the servers with a maintenance lease, as agreed on.
+  // `leased`: the servers that hold a maintenance lease, according to the agreed state.
   void check_budgets(const std::set<std::string>& leased);
-  // Without a release: as many as may be out at once, at a fixed interval.
+  // Without a release: restarts as many servers as may be out at once, at a fixed interval.
   void restart_next_batch();
 
  private:
@@ -70,20 +71,21 @@
     standin::ChildProcess process;
     std::unique_ptr<standin::FaultFile> faults;
     std::unique_ptr<standin::Engine> engine;
-    std::vector<std::unique_ptr<standin::Relay>> reports;  // by instance
+    std::vector<std::unique_ptr<standin::Relay>> reports;  // relays to the instances, by instance
     std::unique_ptr<LogTail> log;
-    std::pair<std::uint64_t, std::uint64_t> epoch{};  // term and number of the last assignment it acted on
+    std::pair<std::uint64_t, std::uint64_t>
+        epoch{};  // term and number of the last assignment that took effect
     Nanos killed_at = 0;
     bool alive = false;
     int version = 1;
-    bool restarts_as_told = false;
-    bool out_by_choice = false;  // from when proxies route nothing to it until it is back
+    bool restart_ordered = false;
+    bool out_by_choice = false;  // from the moment when no proxy routes to it until it is back
   };
 
   void add(int index, const std::vector<int>& report_ports);
   void start(int server);
   void check_line(Server& server, const std::string& line);
-  void leaves_as_told(Server& server);
+  void begin_ordered_restart(Server& server);
   void mark_out_by_choice(Server& server);
   int out_by_choice() const;
   int failed() const;
@@ -94,8 +96,8 @@
   Handlers handlers_;
   standin::Database database_;
   std::vector<Server> servers_;
-  std::map<int, standin::Behaviour> behaviours_;  // by version
-  std::size_t batches_ = 0;                       // restarted
+  std::map<int, standin::Behaviour> behaviours_;  // behaviours by version
+  std::size_t batches_ = 0;                       // batches restarted so far
 };
 
 }  // namespace myrtlecroft::rehearsal
--- a/standin/ads_client.cpp
+++ b/standin/ads_client.cpp
@@ -21,40 +21,40 @@
 const std::string kRuntime = kPrefix + "service.runtime.v3.Runtime";
 
 template <class Message>
-std::shared_ptr<const Message> parsed(const std::string& bytes) {
+std::shared_ptr<const Message> parse(const std::string& bytes) {
   auto out = std::make_shared<Message>();
   return out->ParseFromString(bytes) ? out : nullptr;
 }
 
-ParsedResourceCache::Body body_of(const std::string& type, const std::string& bytes) {
+ParsedResourceCache::Body parse_body(const std::string& type, const std::string& bytes) {
   if (type == kClusters) {
-    if (auto body = parsed<AppliedSet::Cluster>(bytes)) return {body->name(), body, {}};
+    if (auto body = parse<AppliedSet::Cluster>(bytes)) return {body->name(), body, {}};
   } else if (type == kEndpoints) {
-    if (auto body = parsed<AppliedSet::Endpoints>(bytes)) return {body->cluster_name(), body, {}};
+    if (auto body = parse<AppliedSet::Endpoints>(bytes)) return {body->cluster_name(), body, {}};
   } else if (type == kListeners) {
-    if (auto body = parsed<envoy::config::listener::v3::Listener>(bytes)) {
+    if (auto body = parse<envoy::config::listener::v3::Listener>(bytes)) {
       envoy::extensions::filters::network::http_connection_manager::v3::HttpConnectionManager manager;
       body->api_listener().api_listener().UnpackTo(&manager);
       return {body->name(), body, {manager.rds().route_config_name()}};
     }
   } else if (type == kRoutes) {
-    if (auto body = parsed<AppliedSet::Routes>(bytes)) {
+    if (auto body = parse<AppliedSet::Routes>(bytes)) {
       ParsedResourceCache::Body out{body->name(), body, {}};
       for (const auto& host : body->virtual_hosts()) {
         for (const auto& route : host.routes()) {
-          if (route.has_route()) out.refers.insert(route.route().cluster());
+          if (route.has_route()) out.references.insert(route.route().cluster());
         }
       }
       return out;
     }
-  } else if (auto body = parsed<envoy::service::runtime::v3::Runtime>(bytes)) {
+  } else if (auto body = parse<envoy::service::runtime::v3::Runtime>(bytes)) {
     return {body->name(), body, {}};
   }
   return {};
 }
 
 template <class Message>
-std::shared_ptr<const Message> as(const ParsedResourceCache::Body& body) {
+std::shared_ptr<const Message> body_as(const ParsedResourceCache::Body& body) {
   return std::static_pointer_cast<const Message>(body.message);
 }
 
@@ -66,7 +66,7 @@
   std::lock_guard lock(mutex_);
   std::weak_ptr<const Body>& known = bodies_[hash];
   if (auto body = known.lock()) return body;
-  auto body = std::make_shared<const Body>(body_of(type, bytes));
+  auto body = std::make_shared<const Body>(parse_body(type, bytes));
   known = body;
   return body;
 }
@@ -74,22 +74,24 @@
 std::vector<std::string> AdsClient::open_stream() {
   std::vector<std::string> out;
   for (const std::string& type : {kClusters, kEndpoints, kListeners, kRoutes, kRuntime}) {
-    Kind& kind = kinds_[type];
-    kind.nonce.clear();
-    if (type == kRuntime && kind.asked.empty()) kind.asked = {"admission"};
-    if (type == kListeners) kind.asked = services_;
+    TypeState& state = types_[type];
+    state.nonce.clear();
+    if (type == kRuntime && state.subscribed.empty()) state.subscribed = {"admission"};
+    if (type == kListeners) state.subscribed = services_;
     bool wildcard = services_.empty() && (type == kClusters || type == kListeners);
-    if (wildcard || !kind.asked.empty()) out.push_back(request(type, std::nullopt, true, kind.asked, {}));
+    if (wildcard || !state.subscribed.empty())
+      out.push_back(request(type, std::nullopt, true, state.subscribed, {}));
   }
   return out;
 }
 
 std::string AdsClient::request(const std::string& type, const std::optional<std::string>& error, bool first,
-                               const std::vector<std::string>& more, const std::vector<std::string>& fewer) {
-  const Kind& kind = kinds_.at(type);
+                               const std::vector<std::string>& subscribe,
+                               const std::vector<std::string>& unsubscribe) {
+  const TypeState& state = types_.at(type);
   auto fill = [&](auto& out) {
     out.set_type_url(type);
-    out.set_response_nonce(kind.nonce);
+    out.set_response_nonce(state.nonce);
     if (error) out.mutable_error_detail()->set_message(*error);
     if (first) {
       out.mutable_node()->set_id(id_);
@@ -99,23 +101,23 @@
   };
   if (!delta_) {
     discovery::DiscoveryRequest out;
-    out.set_version_info(kind.version);
-    for (const std::string& name : kind.asked) out.add_resource_names(name);
+    out.set_version_info(state.version);
+    for (const std::string& name : state.subscribed) out.add_resource_names(name);
     return fill(out);
   }
   discovery::DeltaDiscoveryRequest out;
-  for (const std::string& name : more) out.add_resource_names_subscribe(name);
-  for (const std::string& name : fewer) out.add_resource_names_unsubscribe(name);
+  for (const std::string& name : subscribe) out.add_resource_names_subscribe(name);
+  for (const std::string& name : unsubscribe) out.add_resource_names_unsubscribe(name);
   if (first) {
-    for (const auto& [name, held] : kind.held)
-      (*out.mutable_initial_resource_versions())[name] = held.version;
+    for (const auto& [name, resource] : state.accepted)
+      (*out.mutable_initial_resource_versions())[name] = resource.version;
   }
   return fill(out);
 }
 
 std::vector<std::string> AdsClient::handle_response(const std::string& bytes) {
   bytes_in_ += bytes.size();
-  std::map<std::string, Held> resources;
+  std::map<std::string, AcceptedResource> resources;
   std::vector<std::string> removed;
   std::string type;
   std::string version;
@@ -137,117 +139,128 @@
       resources[body->name] = {version, body};
     }
   }
-  Kind& kind = kinds_[type];
-  kind.nonce = nonce;
-  bool whole = !delta_ && (type == kClusters || type == kListeners);
-  std::optional<std::string> error = take(type, kind, std::move(resources), removed, whole);
-  if (!error) kind.version = version;
+  TypeState& state = types_[type];
+  state.nonce = nonce;
+  bool replaces_all = !delta_ && (type == kClusters || type == kListeners);
+  std::optional<std::string> error =
+      validate_and_store(type, state, std::move(resources), removed, replaces_all);
+  if (!error) state.version = version;
   std::vector<std::string> out = {request(type, error, false, {}, {})};
   if (error) return out;
   if (type == kClusters) {
     std::set<std::string> names;
-    for (const auto& [name, held] : kind.held) names.insert(name);
-    follow(out, kEndpoints, std::move(names));
+    for (const auto& [name, resource] : state.accepted) names.insert(name);
+    update_subscription(out, kEndpoints, std::move(names));
   } else if (type == kListeners) {
-    follow(out, kRoutes, referred_by(type));
+    update_subscription(out, kRoutes, referenced_by(type));
   } else if (type == kRoutes && !services_.empty()) {
-    follow(out, kClusters, referred_by(type));
+    update_subscription(out, kClusters, referenced_by(type));
   }
   apply();
   return out;
 }
 
-std::set<std::string> AdsClient::referred_by(const std::string& type) const {
+std::set<std::string> AdsClient::referenced_by(const std::string& type) const {
   std::set<std::string> names;
-  for (const auto& [name, held] : kinds_.at(type).held)
-    names.insert(held.body->refers.begin(), held.body->refers.end());
+  for (const auto& [name, resource] : types_.at(type).accepted)
+    names.insert(resource.body->references.begin(), resource.body->references.end());
   return names;
 }
 
-// What the resources refer to is asked for; what nothing refers to any more is let go.
-void AdsClient::follow(std::vector<std::string>& out, const std::string& type, std::set<std::string> names) {
-  Kind& kind = kinds_[type];
-  std::set<std::string> before(kind.asked.begin(), kind.asked.end());
+// Subscribes to resources that are newly referenced, and unsubscribes from and drops those no longer
+// referenced.
+void AdsClient::update_subscription(std::vector<std::string>& out, const std::string& type,
+                                    std::set<std::string> names) {
+  TypeState& state = types_[type];
+  std::set<std::string> before(state.subscribed.begin(), state.subscribed.end());
   if (names == before) return;
-  std::vector<std::string> more;
-  std::vector<std::string> fewer;
-  std::set_difference(names.begin(), names.end(), before.begin(), before.end(), std::back_inserter(more));
-  std::set_difference(before.begin(), before.end(), names.begin(), names.end(), std::back_inserter(fewer));
-  bool first = kind.asked.empty();
-  kind.asked.assign(names.begin(), names.end());
-  for (const std::string& name : fewer) kind.held.erase(name);
-  out.push_back(request(type, std::nullopt, first, more, fewer));
+  std::vector<std::string> subscribe;
+  std::vector<std::string> unsubscribe;
+  std::set_difference(names.begin(), names.end(), before.begin(), before.end(),
+                      std::back_inserter(subscribe));
+  std::set_difference(before.begin(), before.end(), names.begin(), names.end(),
+                      std::back_inserter(unsubscribe));
+  bool first = state.subscribed.empty();
+  state.subscribed.assign(names.begin(), names.end());
+  for (const std::string& name : unsubscribe) state.accepted.erase(name);
+  out.push_back(request(type, std::nullopt, first, subscribe, unsubscribe));
 }
 
-std::optional<std::string> AdsClient::take(const std::string& type, Kind& kind,
-                                           std::map<std::string, Held> resources,
-                                           const std::vector<std::string>& removed, bool whole) {
-  if (refuses_) {
-    for (const auto& [name, held] : resources) {
-      auto before = kind.held.find(name);
-      bool known = before != kind.held.end() && before->second.body == held.body;
-      if (!known && name.find(*refuses_) != std::string::npos) return "refused by the story: " + name;
+std::optional<std::string> AdsClient::validate_and_store(const std::string& type, TypeState& state,
+                                                         std::map<std::string, AcceptedResource> resources,
+                                                         const std::vector<std::string>& removed,
+                                                         bool replaces_all) {
+  if (nacked_name_part_) {
+    for (const auto& [name, resource] : resources) {
+      auto before = state.accepted.find(name);
+      bool known = before != state.accepted.end() && before->second.body == resource.body;
+      if (!known && name.find(*nacked_name_part_) != std::string::npos)
+        return "resource rejected on request of the test: " + name;
     }
   }
-  // Who asks by name asks for clusters after it has read the routes, and waits for them.
+  // A client that subscribes by name requests clusters only after it has read the routes, so for it this
+  // order is normal.
   if (type == kRoutes && services_.empty()) {
-    for (const auto& [name, held] : resources) {
-      for (const std::string& to : held.body->refers) {
-        if (!kinds_[kClusters].held.contains(to)) half_applied("routes before cluster " + to);
-        if (!kinds_[kEndpoints].held.contains(to)) half_applied("routes before endpoints " + to);
+    for (const auto& [name, resource] : resources) {
+      for (const std::string& target : resource.body->references) {
+        if (!types_[kClusters].accepted.contains(target)) half_applied("routes before cluster " + target);
+        if (!types_[kEndpoints].accepted.contains(target)) half_applied("routes before endpoints " + target);
       }
     }
   }
-  if (whole) kind.held.clear();
-  for (const std::string& name : removed) kind.held.erase(name);
-  for (auto& [name, held] : resources) kind.held[name] = std::move(held);
+  if (replaces_all) state.accepted.clear();
+  for (const std::string& name : removed) state.accepted.erase(name);
+  for (auto& [name, resource] : resources) state.accepted[name] = std::move(resource);
   if (type == kClusters && services_.empty()) {
-    for (const auto& [name, held] : kinds_[kRoutes].held) {
-      for (const std::string& to : held.body->refers) {
-        if (!kind.held.contains(to)) half_applied("no cluster " + to + " before its routes went");
+    for (const auto& [name, resource] : types_[kRoutes].accepted) {
+      for (const std::string& target : resource.body->references) {
+        if (!state.accepted.contains(target))
+          half_applied("no cluster " + target + " before its routes went");
       }
     }
   }
   return std::nullopt;
 }
 
-// Of several, who asks for all has the fleet's own, which refers to the most; who asks by name has them
-// together.
-std::shared_ptr<const AppliedSet::Routes> AdsClient::held_routes() {
-  const auto& held = kinds_[kRoutes].held;
-  if (services_.empty() || held.size() == 1) {
-    auto max = std::max_element(held.begin(), held.end(), [](const auto& one, const auto& other) {
-      return one.second.body->refers.size() < other.second.body->refers.size();
+// Of several route configurations, a wildcard client uses the fleet's own, which references the most
+// clusters; a client that subscribes by name uses all of them merged.
+std::shared_ptr<const AppliedSet::Routes> AdsClient::merged_routes() {
+  const auto& routes = types_[kRoutes].accepted;
+  if (services_.empty() || routes.size() == 1) {
+    auto max = std::max_element(routes.begin(), routes.end(), [](const auto& one, const auto& other) {
+      return one.second.body->references.size() < other.second.body->references.size();
     });
-    return as<AppliedSet::Routes>(*max->second.body);
+    return body_as<AppliedSet::Routes>(*max->second.body);
   }
   auto all = std::make_shared<AppliedSet::Routes>();
   auto& host = *all->add_virtual_hosts();
-  for (const auto& [name, one] : held) {
-    for (const auto& from : as<AppliedSet::Routes>(*one.body)->virtual_hosts()) {
+  for (const auto& [name, one] : routes) {
+    for (const auto& from : body_as<AppliedSet::Routes>(*one.body)->virtual_hosts()) {
       for (const auto& route : from.routes()) *host.add_routes() = route;
     }
   }
   return all;
 }
 
-// Only what is complete is applied, and then at once.
+// Publishes a new set only once every resource that it references is present.
 void AdsClient::apply() {
-  if (kinds_[kListeners].held.empty() || kinds_[kRoutes].held.empty()) return;
-  if (kinds_[kRoutes].held.size() < services_.size()) return;
+  if (types_[kListeners].accepted.empty() || types_[kRoutes].accepted.empty()) return;
+  if (types_[kRoutes].accepted.size() < services_.size()) return;
   auto next = std::make_shared<AppliedSet>();
-  next->routes = held_routes();
-  for (const std::string& name : referred_by(kRoutes)) {
-    auto cluster = kinds_[kClusters].held.find(name);
-    auto endpoints = kinds_[kEndpoints].held.find(name);
-    if (cluster == kinds_[kClusters].held.end() || endpoints == kinds_[kEndpoints].held.end()) return;
-    next->clusters.emplace_hint(next->clusters.end(), name, as<AppliedSet::Cluster>(*cluster->second.body));
-    auto body = as<AppliedSet::Endpoints>(*endpoints->second.body);
+  next->routes = merged_routes();
+  for (const std::string& name : referenced_by(kRoutes)) {
+    auto cluster = types_[kClusters].accepted.find(name);
+    auto endpoints = types_[kEndpoints].accepted.find(name);
+    if (cluster == types_[kClusters].accepted.end() || endpoints == types_[kEndpoints].accepted.end()) return;
+    next->clusters.emplace_hint(next->clusters.end(), name,
+                                body_as<AppliedSet::Cluster>(*cluster->second.body));
+    auto body = body_as<AppliedSet::Endpoints>(*endpoints->second.body);
     if (body->endpoints_size() == 0) return half_applied("cluster " + name + " without endpoints");
     next->endpoints.emplace_hint(next->endpoints.end(), name, std::move(body));
   }
-  for (const auto& [name, held] : kinds_[kRuntime].held) {
-    for (const auto& [key, value] : as<envoy::service::runtime::v3::Runtime>(*held.body)->layer().fields()) {
+  for (const auto& [name, resource] : types_[kRuntime].accepted) {
+    for (const auto& [key, value] :
+         body_as<envoy::service::runtime::v3::Runtime>(*resource.body)->layer().fields()) {
       next->fractions[key] = value.struct_value().fields().at("numerator").number_value() / 10'000;
     }
   }
--- a/standin/ads_link.cpp
+++ b/standin/ads_link.cpp
@@ -4,12 +4,12 @@
 
 namespace myrtlecroft::standin {
 
-// Lives until gRPC is done with it.
+// Deletes itself in OnDone().
 class AdsLink::Stream final : public grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer> {
  public:
   explicit Stream(AdsLink& link) : link_(link) {}
 
-  // With the link's lock held.
+  // Call with link_.mutex_ held.
   void begin() {
     context_.set_wait_for_ready(true);
     grpc::StubOptions options;
@@ -23,13 +23,13 @@
   void cancel() {
     context_.TryCancel();
     cancelled_ = true;
-    if (!read_out_) drop();  // no read will tell of the end
+    if (!read_pending_) release_hold();  // no pending read will report the end of the stream
   }
 
   void OnReadInitialMetadataDone(bool ok) override { link_.connected_ = ok; }
 
-  // The next answer is asked for when this one has been told: told from two threads, an older set could come
-  // after a newer one.
+  // Starts the next read only after `on_applied_` has returned: called from two threads, it could get an
+  // older set after a newer one.
   void OnReadDone(bool ok) override {
     std::shared_ptr<const AppliedSet> applied;
     {
@@ -37,7 +37,7 @@
       if (!ok) return stop_reading();
       grpc::Slice bytes;
       if (!in_.DumpToSingleSlice(&bytes).ok()) {
-        read_out_ = false;
+        read_pending_ = false;
         return;
       }
       auto before = link_.client_.applied();
@@ -47,14 +47,14 @@
       write_next();
       if (link_.client_.applied() != before) applied = link_.client_.applied();
     }
-    if (applied && link_.told_) link_.told_(*applied);
+    if (applied && link_.on_applied_) link_.on_applied_(*applied);
     std::lock_guard lock(link_.mutex_);
     if (link_.reading_) {
       StartRead(&in_);
       return;
     }
-    read_out_ = false;
-    if (cancelled_) drop();
+    read_pending_ = false;
+    if (cancelled_) release_hold();
   }
 
   void OnWriteDone(bool ok) override {
@@ -66,12 +66,12 @@
   void OnDone(const grpc::Status&) override {
     AdsLink& link = link_;
     delete this;
-    link.ended();
+    link.handle_stream_ended();
   }
 
  private:
   void write_next() {
-    if (writing_ || queue_.empty() || dropped_) return;
+    if (writing_ || queue_.empty() || hold_released_) return;
     grpc::Slice bytes(queue_.front());
     queue_.pop_front();
     out_ = grpc::ByteBuffer(&bytes, 1);
@@ -79,11 +79,11 @@
     StartWrite(&out_);
   }
   void stop_reading() {
-    read_out_ = false;
-    drop();
+    read_pending_ = false;
+    release_hold();
   }
-  void drop() {
-    if (!std::exchange(dropped_, true)) RemoveHold();
+  void release_hold() {
+    if (!std::exchange(hold_released_, true)) RemoveHold();
   }
 
   AdsLink& link_;
@@ -91,10 +91,10 @@
   grpc::ByteBuffer in_;
   grpc::ByteBuffer out_;
   std::deque<std::string> queue_;
-  bool read_out_ = true;
+  bool read_pending_ = true;
   bool writing_ = false;
   bool cancelled_ = false;
-  bool dropped_ = false;
+  bool hold_released_ = false;
 };
 
 AdsLink::AdsLink(const std::string& target, bool delta, const std::string& id, Applied applied,
@@ -102,17 +102,17 @@
                  int connect_within_ms)
     : method_(std::string("/envoy.service.discovery.v3.AggregatedDiscoveryService/") +
               (delta ? "DeltaAggregatedResources" : "StreamAggregatedResources")),
-      told_(std::move(applied)),
+      on_applied_(std::move(applied)),
       client_(delta, id, "a", std::move(bodies), std::move(services)) {
   grpc::ChannelArguments arguments;
-  arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection of its own
+  arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // one connection for each link
   arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 50);
   arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, connect_within_ms);
   arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 250);
   arguments.SetMaxReceiveMessageSize(64 << 20);
-  // A stream that ends is opened anew here, with all that it asks for. Where gRPC starts one again by itself,
-  // as the server was killed before it answered, requests after those it had sent already were seen to stay
-  // behind.
+  // This class reopens a stream that ended, with all of its subscriptions. gRPC's own retry, which starts
+  // when the server is killed before it answers, was seen to resend only the requests sent so far and not the
+  // later ones.
   arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
   channel_ = grpc::CreateCustomChannel(target, grpc::InsecureChannelCredentials(), arguments);
   stub_ = std::make_unique<grpc::GenericStub>(channel_);
@@ -123,7 +123,7 @@
   std::unique_lock lock(mutex_);
   closing_ = true;
   if (stream_) stream_->cancel();
-  over_.wait(lock, [this] { return stream_ == nullptr; });
+  stream_ended_.wait(lock, [this] { return stream_ == nullptr; });
 }
 
 void AdsLink::open() {
@@ -132,13 +132,13 @@
   stream_->begin();
 }
 
-void AdsLink::ended() {
+void AdsLink::handle_stream_ended() {
   connected_ = false;
   {
     std::lock_guard lock(mutex_);
     stream_ = nullptr;
     if (closing_) {
-      over_.notify_all();
+      stream_ended_.notify_all();
       return;
     }
   }
@@ -170,9 +170,9 @@
   return client_.bytes_in();
 }
 
-void AdsLink::nack_matching(std::optional<std::string> part) {
+void AdsLink::nack_matching(std::optional<std::string> name_part) {
   std::lock_guard lock(mutex_);
-  client_.nack_matching(std::move(part));
+  client_.nack_matching(std::move(name_part));
 }
 
 }  // namespace myrtlecroft::standin
--- a/standin/cgi_client.h
+++ b/standin/cgi_client.h
@@ -1,4 +1,5 @@
-// FastCGI as a proxy or a balancer speaks it: one request, and the records that answer.
+// The client side of FastCGI, as a proxy or balancer uses it: encodes a request and parses the records of the
+// response.
 #pragma once
 
 #include <cstdio>
@@ -9,27 +10,28 @@
 
 namespace myrtlecroft::standin {
 
-constexpr std::size_t kCgiHeader = 8;
+constexpr std::size_t kFastCgiHeaderSize = 8;
 constexpr std::uint8_t kFastCgiEndRequest = 3;
 constexpr std::uint8_t kFastCgiStdout = 6;
-constexpr std::size_t kFastCgiProtocolStatusOffset = 4;  // where an end's content says OVERLOADED, with 2
+constexpr std::size_t kFastCgiProtocolStatusOffset = 4;  // in an end-request record; 2: overloaded
 
-// Tells type, request and content of every whole record, and says how many bytes they were.
-template <class Tell>
-std::size_t for_each_fastcgi_record(std::string_view bytes, Tell tell) {
-  std::size_t taken = 0;
-  while (bytes.size() - taken >= kCgiHeader) {
-    auto byte = [&](std::size_t at) { return static_cast<std::uint8_t>(bytes[taken + at]); };
+// Calls `handle_record(type, request_id, content)` for each complete record. Returns the number of bytes
+// consumed.
+template <class HandleRecord>
+std::size_t for_each_fastcgi_record(std::string_view bytes, HandleRecord handle_record) {
+  std::size_t consumed = 0;
+  while (bytes.size() - consumed >= kFastCgiHeaderSize) {
+    auto byte = [&](std::size_t at) { return static_cast<std::uint8_t>(bytes[consumed + at]); };
     std::size_t size = static_cast<std::size_t>(byte(4) << 8 | byte(5));
-    std::size_t whole = kCgiHeader + size + byte(6);
-    if (bytes.size() - taken < whole) break;
+    std::size_t record_size = kFastCgiHeaderSize + size + byte(6);
+    if (bytes.size() - consumed < record_size) break;
     std::uint8_t type = byte(1);
     int id = byte(2) << 8 | byte(3);
-    std::string_view content = bytes.substr(taken + kCgiHeader, size);
-    taken += whole;
-    tell(type, id, content);
+    std::string_view content = bytes.substr(consumed + kFastCgiHeaderSize, size);
+    consumed += record_size;
+    handle_record(type, id, content);
   }
-  return taken;
+  return consumed;
 }
 
 struct FastCgiRequestFields {
@@ -41,10 +43,10 @@
   Nanos wait = 0;
   std::string key;  // empty: none
   std::string body;
-  int expected_ms = 20;  // core time that the caller reckons with
+  int expected_ms = 20;  // core time that the caller estimates
 };
 
-inline std::string cgi_record(std::uint8_t type, int id, std::string_view content) {
+inline std::string encode_fastcgi_record(std::uint8_t type, int id, std::string_view content) {
   std::string out = {1,
                      static_cast<char>(type),
                      static_cast<char>(id >> 8),
@@ -56,13 +58,15 @@
   return out.append(content);
 }
 
-// `id` is the request's on its connection, which stays open after it where `keep` says so.
-inline std::string encode_fastcgi_request(const FastCgiRequestFields& fields, int id = 1, bool keep = false) {
-  std::string pairs;
-  auto add = [&](std::string_view name, std::string_view value) {  // both are shorter than 128
-    pairs += static_cast<char>(name.size());
-    pairs += static_cast<char>(value.size());
-    pairs.append(name).append(value);
+// `id`: FastCGI request id on the connection; `keep_connection`: the server leaves the connection open
+// afterwards.
+inline std::string encode_fastcgi_request(const FastCgiRequestFields& fields, int id = 1,
+                                          bool keep_connection = false) {
+  std::string params;
+  auto add = [&](std::string_view name, std::string_view value) {  // one length byte each: below 128
+    params += static_cast<char>(name.size());
+    params += static_cast<char>(value.size());
+    params.append(name).append(value);
   };
   char trace[17];
   std::snprintf(trace, sizeof trace, "%016llx", static_cast<unsigned long long>(fields.trace));
@@ -77,9 +81,10 @@
   add("HTTP_RESERVE_KB", "20");
   add("HTTP_STANDING", "0.5");
   if (!fields.key.empty()) add("HTTP_REPLAY_KEY", fields.key);
-  const char begin[8] = {0, 1, static_cast<char>(keep), 0, 0, 0, 0, 0};
-  return cgi_record(1, id, std::string_view(begin, sizeof begin)) + cgi_record(4, id, pairs) +
-         cgi_record(4, id, "") + cgi_record(5, id, fields.body) + cgi_record(5, id, "");
+  const char begin[8] = {0, 1, static_cast<char>(keep_connection), 0, 0, 0, 0, 0};
+  return encode_fastcgi_record(1, id, std::string_view(begin, sizeof begin)) +
+         encode_fastcgi_record(4, id, params) + encode_fastcgi_record(4, id, "") +
+         encode_fastcgi_record(5, id, fields.body) + encode_fastcgi_record(5, id, "");
 }
 
 }  // namespace myrtlecroft::standin
--- a/standin/child.h
+++ b/standin/child.h
@@ -1,4 +1,4 @@
-// A program that a story or a measurement starts, and ends by its own id only.
+// A child process of a test or measurement. It is signalled by its process id only, never by name.
 #pragma once
 
 #include <fcntl.h>
@@ -17,15 +17,17 @@
 
 namespace myrtlecroft::standin {
 
+// Kills and reaps the process when destroyed. Not thread-safe.
 class ChildProcess {
  public:
   ChildProcess() = default;
-  // Standard output and error go to `log`; `variables` are added to the environment.
+  // Starts `command`; its standard output and error are appended to the file `log`, and `variables` are added
+  // to its environment. If the program can't be executed, the process exits with code 127.
   ChildProcess(const std::vector<std::string>& command, const std::string& log,
                const std::vector<std::pair<std::string, std::string>>& variables = {}) {
     pid_ = ::fork();
     if (pid_ != 0) return;
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // whoever started it may be killed
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // the parent may be killed before it can end its children
     int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     ::dup2(out, 1);
     ::dup2(out, 2);
@@ -46,7 +48,8 @@
   void signal(int number) const {
     if (pid_ > 0) ::kill(pid_, number);
   }
-  // Sends it and waits for the end; the exit code, or -1 where it was killed.
+  // Sends the signal and waits for the exit. Returns the exit code, or -1 if the process was killed by a
+  // signal.
   int end(int number) {
     if (pid_ <= 0) return -1;
     ::kill(pid_, number);
@@ -58,7 +61,7 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
   int pid() const { return pid_; }
-  // It has ended by itself, or was killed by another: then there is no process any more.
+  // Whether the process has exited by itself or was killed by someone else. Reaps it without blocking.
   bool has_exited() {
     if (pid_ <= 0) return true;
     int status = 0;
@@ -67,9 +70,10 @@
     pid_ = -1;
     return true;
   }
-  int code() const { return code_; }  // of its exit, once has_exited() has seen it; -1: killed
+  // Exit code, valid once has_exited() returned true; -1: killed by a signal.
+  int code() const { return code_; }
 
-  // Memory in kB and CPU time in ms, so far.
+  // Resident memory in kB.
   long resident_kb() const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(in, line);) {
@@ -77,6 +81,7 @@
     }
     return 0;
   }
+  // CPU time used so far, in user and kernel mode.
   double cpu_ms() const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/stat");
     std::string all((std::istreambuf_iterator<char>(in)), {});
--- a/standin/control_fleet.cpp
+++ b/standin/control_fleet.cpp
@@ -9,16 +9,16 @@
 namespace myrtlecroft::standin {
 
 int free_port(std::set<int>& taken) {
-  constexpr int kFirstStart = 12'000;
-  constexpr int kCount = 18'000;
-  static std::mt19937 draws(static_cast<unsigned>(::getpid()));
+  constexpr int kFirstPort = 12'000;
+  constexpr int kPortCount = 18'000;
+  static std::mt19937 random(static_cast<unsigned>(::getpid()));
   for (;;) {
-    int port = kFirstStart + static_cast<int>(draws() % kCount);
+    int port = kFirstPort + static_cast<int>(random() % kPortCount);
     int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address = net::loopback(static_cast<std::uint16_t>(port));
-    bool good = ::bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
+    bool bound = ::bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
     ::close(socket);
-    if (good && taken.insert(port).second) return port;
+    if (bound && taken.insert(port).second) return port;
   }
 }
 
@@ -30,41 +30,41 @@
 }
 
 int ControlCluster::add() {
-  ReplicaProcess place;
-  for (int* port : {&place.xds, &place.reports, &place.admin, &place.peer}) *port = free_port(taken_);
-  place.faults =
-      std::make_unique<FaultFile>(options_.folder + "/faults" + std::to_string(places_.size() + 1));
-  places_.push_back(std::move(place));
+  ReplicaProcess replica;
+  for (int* port : {&replica.xds, &replica.reports, &replica.admin, &replica.peer}) *port = free_port(taken_);
+  replica.faults =
+      std::make_unique<FaultFile>(options_.folder + "/faults" + std::to_string(replicas_.size() + 1));
+  replicas_.push_back(std::move(replica));
   return size() - 1;
 }
 
-void ControlCluster::start(int at, Start how) {
-  ReplicaProcess& one = (*this)[at];
-  std::string id = std::to_string(at + 1);
+void ControlCluster::start(int instance, Start mode) {
+  ReplicaProcess& replica = (*this)[instance];
+  std::string id = std::to_string(instance + 1);
   std::vector<std::string> command = {MYRTLECROFT_CONTROL,
                                       "serve",
                                       "--fleet",
                                       options_.fleet,
                                       "--xds",
-                                      loopback_address(one.xds),
+                                      loopback_address(replica.xds),
                                       "--reports",
-                                      loopback_address(one.reports),
+                                      loopback_address(replica.reports),
                                       "--admin",
-                                      loopback_address(one.admin)};
+                                      loopback_address(replica.admin)};
   if (options_.replicated) {
-    command.insert(command.end(), {"--instance", id, "--peer", loopback_address(one.peer), "--log", state(at),
-                                   "--reach", one.address_overrides});
+    command.insert(command.end(), {"--instance", id, "--peer", loopback_address(replica.peer), "--log",
+                                   state(instance), "--reach", replica.address_overrides});
     std::string all;
     for (int k = 0; k < options_.instances; ++k)
       all += (k ? "," : "") + std::to_string(k + 1) + "=" + loopback_address((*this)[k].peer);
-    if (how == Start::kFirstStart) command.insert(command.end(), {"--begin", all});
-    if (how == Start::kJoin) command.push_back("--join");
+    if (mode == Start::kFirstStart) command.insert(command.end(), {"--begin", all});
+    if (mode == Start::kJoin) command.push_back("--join");
   } else {
-    command.insert(command.end(), {"--state", state(at)});
+    command.insert(command.end(), {"--state", state(instance)});
   }
-  if (how == Start::kFirstStart) command.push_back("--first-start");
+  if (mode == Start::kFirstStart) command.push_back("--first-start");
   command.insert(command.end(), options_.more.begin(), options_.more.end());
-  one.process = ChildProcess(command, log(at), one.faults->variables(MYRTLECROFT_FAULTY));
+  replica.process = ChildProcess(command, log(instance), replica.faults->variables(MYRTLECROFT_FAULTY));
 }
 
 void ControlCluster::start_all() {
@@ -74,8 +74,8 @@
 std::string ControlCluster::discovery(int first) const {
   std::string out = "ipv4:";
   for (int k = 0; k < options_.instances; ++k) {
-    const ReplicaProcess& place = places_[static_cast<std::size_t>((k + first) % options_.instances)];
-    out += (k ? "," : "") + loopback_address(place.xds);
+    const ReplicaProcess& replica = replicas_[static_cast<std::size_t>((k + first) % options_.instances)];
+    out += (k ? "," : "") + loopback_address(replica.xds);
   }
   return out;
 }
--- a/standin/control_fleet.h
+++ b/standin/control_fleet.h
@@ -1,4 +1,4 @@
-// Real instances of the control service on loopback, each with ports, a folder and faults of its own.
+// Real processes of the control service on loopback, each with its own ports, folder and injected faults.
 #pragma once
 
 #include <memory>
@@ -11,50 +11,53 @@
 
 namespace myrtlecroft::standin {
 
-// A port that nobody has, below those that the kernel gives to whoever connects: one that is asked of the
-// kernel may be somebody's again before the process that is meant to have it has started.
+// Returns a port that is free now and not in `taken`, and adds it there. Chosen below the kernel's ephemeral
+// range: a port assigned by the kernel could be reused for an outgoing connection before the process that
+// needs it has started.
 int free_port(std::set<int>& taken);
 std::string loopback_address(int port);
 
 struct ControlClusterOptions {
   std::string folder;
-  std::string fleet;  // its file
+  std::string fleet;  // path of the fleet file
   int instances = 3;
-  bool replicated = true;         // false: each decides alone
-  std::vector<std::string> more;  // options of each
+  bool replicated = true;         // false: each instance decides alone
+  std::vector<std::string> more;  // extra command-line options of every instance
 };
 
 class ControlCluster {
  public:
   struct ReplicaProcess {
     int xds = 0, reports = 0, admin = 0, peer = 0;
-    std::string
-        address_overrides;  // others, where this one reaches them by another address: "2=127.0.0.1:7,..."
+    // Addresses at which this instance reaches others instead of their own: "2=127.0.0.1:7,...".
+    std::string address_overrides;
     std::unique_ptr<FaultFile> faults;
     ChildProcess process;
   };
   ControlCluster(ControlClusterOptions options, std::set<int>& taken);
 
-  // Options of each instance that starts from here on.
+  // Sets the extra command-line options of instances started from now on.
   void set_extra_options(std::vector<std::string> more) { options_.more = std::move(more); }
   enum class Start { kFirstStart, kRestart, kJoin };
-  void start(int at, Start how = Start::kRestart);
+  void start(int instance, Start mode = Start::kRestart);
   void start_all();
-  // A place more, for an instance that is to be let in; not started.
+  // Adds an instance that can join later, without starting it. Returns its index.
   int add();
 
-  std::vector<ReplicaProcess>& all() { return places_; }
-  ReplicaProcess& operator[](int at) { return places_[static_cast<std::size_t>(at)]; }
-  int size() const { return static_cast<int>(places_.size()); }
-  std::string log(int at) const { return options_.folder + "/control" + std::to_string(at) + ".log"; }
-  std::string state(int at) const { return options_.folder + "/log" + std::to_string(at + 1); }
-  // For a proxy's channel; `first` is tried first.
+  std::vector<ReplicaProcess>& all() { return replicas_; }
+  ReplicaProcess& operator[](int instance) { return replicas_[static_cast<std::size_t>(instance)]; }
+  int size() const { return static_cast<int>(replicas_.size()); }
+  std::string log(int instance) const {
+    return options_.folder + "/control" + std::to_string(instance) + ".log";
+  }
+  std::string state(int instance) const { return options_.folder + "/log" + std::to_string(instance + 1); }
+  // The gRPC target with all instances, for a proxy's channel; instance `first` is tried first.
   std::string discovery(int first) const;
 
  private:
   ControlClusterOptions options_;
   std::set<int>& taken_;
-  std::vector<ReplicaProcess> places_;
+  std::vector<ReplicaProcess> replicas_;
 };
 
 }  // namespace myrtlecroft::standin
--- a/standin/faults.h
+++ b/standin/faults.h
@@ -1,6 +1,6 @@
-// How one process is to be failed from inside, by the library in faulty.cpp that is loaded into it: its clock
-// stepped, its disk failing, full or slow, itself killed at a write that should last. Shared by way of a
-// file.
+// Faults injected into one process by the library of faulty.cpp, which is preloaded into it: a stepped wall
+// clock, a failing, full or slow disk, and SIGKILL at a sync. The settings are shared with the process
+// through a memory-mapped file.
 #pragma once
 
 #include <fcntl.h>
@@ -16,15 +16,15 @@
 namespace myrtlecroft::standin {
 
 struct Faults {
-  std::atomic<std::int64_t> wall_clock_offset_ns;  // of the wall clock
+  std::atomic<std::int64_t> wall_clock_offset_ns;  // added to the wall clock
   std::atomic<std::int32_t> sync_error;            // errno of every sync; 0: none
-  std::atomic<std::int32_t> write_error;           // of every write to a file of a store
+  std::atomic<std::int32_t> write_error;           // errno of every write to a regular file; 0: none
   std::atomic<std::int64_t> sync_delay_ns;
-  std::atomic<std::int64_t> syncs;          // so far
-  std::atomic<std::int64_t> crash_at_sync;  // killed as it begins that one; 0: never
+  std::atomic<std::int64_t> syncs;          // number of syncs so far
+  std::atomic<std::int64_t> crash_at_sync;  // killed when it begins this sync; 0: never
 };
 
-// One process's faults, as whoever starts it holds them.
+// The faults of one process, as seen by the process that starts and controls it.
 class FaultFile {
  public:
   explicit FaultFile(const std::string& path) : path_(path) {
@@ -41,8 +41,9 @@
     if (faults_) ::munmap(faults_, sizeof(Faults));
   }
   Faults* operator->() const { return faults_; }
+  // Kills the process when it begins its `sync`-th sync from now.
   void crash_after_syncs(std::int64_t sync) const { faults_->crash_at_sync = faults_->syncs + sync; }
-  // For the environment of the process.
+  // Environment variables with which the process loads the fault library from the path `library`.
   std::vector<std::pair<std::string, std::string>> variables(const std::string& library) const {
     return {{"LD_PRELOAD", library}, {"MYRTLECROFT_FAULTS", path_}};
   }
--- a/standin/faulty.cpp
+++ b/standin/faulty.cpp
@@ -1,5 +1,5 @@
-// Loaded into a process that is to fail from inside (faults.h). Calls that it stands before go on to the C
-// library; nothing else is touched.
+// Preloaded library that injects the faults of faults.h into a process. It wraps the calls defined below and
+// forwards them to the C library; no other call is changed.
 #include <dlfcn.h>
 #include <sys/stat.h>
 #include <time.h>
@@ -15,15 +15,15 @@
 using myrtlecroft::standin::Faults;
 
 Faults* faults() {
-  static Faults* found = []() -> Faults* {
+  static Faults* mapped = []() -> Faults* {
     const char* path = std::getenv("MYRTLECROFT_FAULTS");
     int file = path ? ::open(path, O_RDWR | O_CLOEXEC) : -1;
     if (file < 0) return nullptr;
-    void* at = ::mmap(nullptr, sizeof(Faults), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    void* mapping = ::mmap(nullptr, sizeof(Faults), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     ::close(file);
-    return at == MAP_FAILED ? nullptr : static_cast<Faults*>(at);
+    return mapping == MAP_FAILED ? nullptr : static_cast<Faults*>(mapping);
   }();
-  return found;
+  return mapped;
 }
 
 template <class Call>
@@ -32,14 +32,14 @@
 }
 
 int sync(int file, int (*call)(int)) {
-  Faults* now = faults();
-  if (!now) return call(file);
-  if (++now->syncs == now->crash_at_sync) ::kill(::getpid(), SIGKILL);
-  if (std::int64_t takes = now->sync_delay_ns) {
-    timespec wait{.tv_sec = takes / 1'000'000'000, .tv_nsec = takes % 1'000'000'000};
+  Faults* active = faults();
+  if (!active) return call(file);
+  if (++active->syncs == active->crash_at_sync) ::kill(::getpid(), SIGKILL);
+  if (std::int64_t delay_ns = active->sync_delay_ns) {
+    timespec wait{.tv_sec = delay_ns / 1'000'000'000, .tv_nsec = delay_ns % 1'000'000'000};
     ::nanosleep(&wait, nullptr);
   }
-  if (int code = now->sync_error) {
+  if (int code = active->sync_error) {
     errno = code;
     return -1;
   }
@@ -62,11 +62,11 @@
 
 ssize_t write(int file, const void* bytes, size_t count) {
   static auto call = next<ssize_t (*)(int, const void*, size_t)>("write");
-  Faults* now = faults();
-  int code = now ? now->write_error.load() : 0;
-  struct stat what {};
-  // Logs go to standard output, and must tell of what happens.
-  if (code != 0 && file > 2 && ::fstat(file, &what) == 0 && S_ISREG(what.st_mode)) {
+  Faults* active = faults();
+  int code = active ? active->write_error.load() : 0;
+  struct stat file_status {};
+  // Standard output and error are spared, as the logs go there and must show what happens.
+  if (code != 0 && file > 2 && ::fstat(file, &file_status) == 0 && S_ISREG(file_status.st_mode)) {
     errno = code;
     return -1;
   }
@@ -76,11 +76,11 @@
 int clock_gettime(clockid_t clock, timespec* out) {
   static auto call = next<int (*)(clockid_t, timespec*)>("clock_gettime");
   int code = call(clock, out);
-  Faults* now = clock == CLOCK_REALTIME ? faults() : nullptr;
-  if (code != 0 || !now) return code;
-  std::int64_t at = out->tv_sec * 1'000'000'000 + out->tv_nsec + now->wall_clock_offset_ns;
-  out->tv_sec = at / 1'000'000'000;
-  out->tv_nsec = at % 1'000'000'000;
+  Faults* active = clock == CLOCK_REALTIME ? faults() : nullptr;
+  if (code != 0 || !active) return code;
+  std::int64_t shifted_ns = out->tv_sec * 1'000'000'000 + out->tv_nsec + active->wall_clock_offset_ns;
+  out->tv_sec = shifted_ns / 1'000'000'000;
+  out->tv_nsec = shifted_ns % 1'000'000'000;
   return code;
 }
 
--- a/standin/no_log.h
+++ b/standin/no_log.h
@@ -1,4 +1,4 @@
-// A log that keeps nothing, for stand-ins.
+// A logger for stand-ins that discards all lines.
 #pragma once
 
 #include "service/ports.h"
--- a/standin/node_config.h
+++ b/standin/node_config.h
@@ -1,4 +1,4 @@
-// What a real server is told at its start, with stand-ins for all it speaks with.
+// The configuration file of a real server whose engine, database and membership service are stand-ins.
 #pragma once
 
 #include <fstream>
@@ -13,17 +13,17 @@
   int port = 0;
   int engine = 0;
   int database = 0;
-  int members = 9;  // nobody listens there
+  int members = 9;  // a port on which nothing listens, by default
   int memory_mb = 192;
   int descriptors = 1024;
   int servers = 1;
-  Nanos grace = 500 * kMs;      // of a drain
-  std::string request_classes;  // JSON objects of the settings' classes, with commas between
-  std::string tenants =
-      {};              // JSON objects of the settings' tenants, with commas between; empty: no such list
-  std::string family;  // JSON fields of the settings' familyInfo, but for the meters
+  Nanos grace = 500 * kMs;      // drain grace
+  std::string request_classes;  // JSON objects of the settings' classes, separated by commas
+  std::string tenants = {};     // the same for the tenants; empty: no "tenants" field
+  std::string family;           // JSON fields of the settings' familyInfo, without the meters
 };
 
+// Writes the configuration as JSON to `path`; all ports are on loopback.
 inline void write_server_config(const std::string& path, const ServerConfig& config) {
   auto at = [](int port) { return "\"127.0.0.1:" + std::to_string(port) + "\""; };
   std::ofstream(path)
--- a/standin/proxy.cpp
+++ b/standin/proxy.cpp
@@ -11,16 +11,18 @@
 namespace myrtlecroft::standin {
 namespace {
 
-constexpr std::uint32_t kRingPoints = 128;  // of the heaviest endpoint
+constexpr std::uint32_t kMaxRingPoints = 128;  // ring points of the endpoint with the largest weight
 
-Nanos time_of(const google::protobuf::Duration& given) { return given.seconds() * kSecond + given.nanos(); }
+Nanos to_nanos(const google::protobuf::Duration& duration) {
+  return duration.seconds() * kSecond + duration.nanos();
+}
 
 std::string address_of(const envoy::config::endpoint::v3::LbEndpoint& endpoint) {
-  const auto& at = endpoint.endpoint().address().socket_address();
-  return at.address() + ":" + std::to_string(at.port_value());
+  const auto& socket_address = endpoint.endpoint().address().socket_address();
+  return socket_address.address() + ":" + std::to_string(socket_address.port_value());
 }
 
-bool says(const std::string& list, std::string_view word) {
+bool list_contains(const std::string& list, std::string_view word) {
   for (std::size_t at = 0; at <= list.size();) {
     std::size_t end = std::min(list.find(',', at), list.size());
     if (std::string_view(list).substr(at, end - at) == word) return true;
@@ -31,27 +33,29 @@
 
 }  // namespace
 
-struct Proxy::Going {
+struct Proxy::PendingRequest {
   Request request;
   std::function<void(const RequestResult&)> ended;
-  RequestResult so_far;
+  RequestResult result;
   std::string cluster;
   const envoy::config::route::v3::RetryPolicy* retry = nullptr;
-  std::shared_ptr<const AppliedSet> set;  // that it began with; its routes stay while it goes on
-  std::set<std::string> tried;
-  Nanos until = 0;
+  // The set at the start of the request; keeps its routes alive until the request ends.
+  std::shared_ptr<const AppliedSet> set;
+  std::set<std::string> tried_addresses;
+  Nanos deadline = 0;
   int retries = 0;
 };
 
-// One try on a connection of its own.
-class Proxy::Try final : public net::ConnectionOwner {
+// One attempt, on its own connection.
+class Proxy::Attempt final : public net::ConnectionOwner {
  public:
-  Try(Proxy& proxy, std::shared_ptr<Going> going, const sockaddr_in& to, Nanos wait, std::uint64_t trace)
+  Attempt(Proxy& proxy, std::shared_ptr<PendingRequest> pending, const sockaddr_in& to, Nanos wait,
+          std::uint64_t trace)
       : proxy_(proxy),
-        going_(std::move(going)),
+        pending_(std::move(pending)),
         connection_(proxy.loop_.base(), to, *this, proxy.log_, "try"),
-        late_(proxy.loop_.base(), [this] { finish(RequestResult::Kind::kNoAnswer, true); }) {
-    const Request& request = going_->request;
+        timeout_(proxy.loop_.base(), [this] { finish(RequestResult::Kind::kNoAnswer, true); }) {
+    const Request& request = pending_->request;
     request_ = encode_fastcgi_request({.path = request.path,
                                        .trace = trace,
                                        .accepted_unix = request.accepted_unix,
@@ -61,7 +65,7 @@
                                        .key = request.key,
                                        .body = request.body,
                                        .expected_ms = request.expected_ms});
-    late_.set(wait);
+    timeout_.set(wait);
   }
   void opened(net::Connection& connection) override {
     sent_ = true;
@@ -71,19 +75,20 @@
     return for_each_fastcgi_record(bytes, [this](std::uint8_t type, int, std::string_view content) {
       if (type == kFastCgiStdout) answer_ += content;
       if (type == kFastCgiEndRequest)
-        answered(static_cast<std::uint8_t>(content[kFastCgiProtocolStatusOffset]));
+        handle_end_request(static_cast<std::uint8_t>(content[kFastCgiProtocolStatusOffset]));
     });
   }
   void ended(net::Connection&, net::CloseReason) override {
-    if (!over_) finish(RequestResult::Kind::kNoAnswer, false);
-    proxy_.tries_.remove_if([this](const auto& one) { return one.get() == this; });
+    if (!finished_) finish(RequestResult::Kind::kNoAnswer, false);
+    proxy_.attempts_.remove_if([this](const auto& one) { return one.get() == this; });
   }
 
  private:
-  void answered(std::uint8_t protocol) {
-    if (over_) return;
+  void handle_end_request(std::uint8_t protocol_status) {
+    if (finished_) return;
     if (answer_.starts_with("Status: 200")) return finish(RequestResult::Kind::kCompleted, false);
-    bool rejected = protocol == 2 || answer_.starts_with("Status: 503") || answer_.starts_with("Status: 429");
+    bool rejected =
+        protocol_status == 2 || answer_.starts_with("Status: 503") || answer_.starts_with("Status: 429");
     std::size_t advice = answer_.find("Hold-Off-Ms: ");
     if (advice != std::string::npos) {
       std::int64_t ms = 0;
@@ -92,198 +97,202 @@
     }
     finish(rejected ? RequestResult::Kind::kRejected : RequestResult::Kind::kTerminated, false);
   }
-  void finish(RequestResult::Kind kind, bool late) {
-    over_ = true;
-    late_.clear();
+  void finish(RequestResult::Kind kind, bool timed_out) {
+    finished_ = true;
+    timeout_.clear();
     connection_.set_reset_on_close();
     connection_.end(net::CloseReason::kDone);
-    if (kind == RequestResult::Kind::kNoAnswer && sent_ && !late) {
-      going_->so_far.connection_lost = true;
-      going_->so_far.connection_lost_server = going_->so_far.last_node;
+    if (kind == RequestResult::Kind::kNoAnswer && sent_ && !timed_out) {
+      pending_->result.connection_lost = true;
+      pending_->result.connection_lost_server = pending_->result.last_server;
     }
-    proxy_.tried(going_, kind, !sent_, late, retry_after_);
+    proxy_.attempt_ended(pending_, kind, !sent_, timed_out, retry_after_);
   }
 
   Proxy& proxy_;
-  std::shared_ptr<Going> going_;
+  std::shared_ptr<PendingRequest> pending_;
   net::Connection connection_;
-  net::Timer late_;
+  net::Timer timeout_;
   std::string request_;
   std::string answer_;
   Nanos retry_after_ = 0;
   bool sent_ = false;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 Proxy::Proxy(net::Loop& loop, service::Logger& log, Set set, int number, std::uint32_t seed)
     : loop_(loop), log_(log), set_(std::move(set)), number_(number), random_(seed) {}
 Proxy::~Proxy() = default;
 
-bool Proxy::matches(const std::string& pattern, const std::string& key) {
+bool Proxy::matches_pattern(const std::string& pattern, const std::string& key) {
   auto found = patterns_.find(pattern);
   if (found == patterns_.end()) {
     if (patterns_.size() > 4096) patterns_.clear();
-    // This library has no "(?i)"; keys here are lower case.
+    // std::regex does not support "(?i)"; the keys of the stand-ins are lower case.
     std::string plain = pattern.starts_with("(?i)") ? pattern.substr(4) : pattern;
     found = patterns_.emplace(pattern, std::regex(plain, std::regex::optimize)).first;
   }
   return std::regex_match(key, found->second);
 }
 
-Proxy::Chosen Proxy::choose(const AppliedSet& set, const Request& request) {
+Proxy::ChosenRoute Proxy::choose_route(const AppliedSet& set, const Request& request) {
   for (const auto& host : set.routes->virtual_hosts()) {
     for (const auto& route : host.routes()) {
       if (route.match().path() != request.path) continue;
-      bool fits = true;
+      bool route_matches = true;
       for (const auto& header : route.match().headers()) {
-        fits = fits && matches(header.safe_regex_match().regex(), request.key);
+        route_matches = route_matches && matches_pattern(header.safe_regex_match().regex(), request.key);
       }
       if (route.match().has_runtime_fraction()) {
         auto share = set.fractions.find(route.match().runtime_fraction().runtime_key());
         double draw = static_cast<double>(random_()) / 4294967296.0;
-        fits = fits && (share == set.fractions.end() || draw < share->second);
+        route_matches = route_matches && (share == set.fractions.end() || draw < share->second);
       }
-      if (fits) return {&route, route.has_route() ? route.route().cluster() : ""};
+      if (route_matches) return {&route, route.has_route() ? route.route().cluster() : ""};
     }
   }
   return {};
 }
 
 std::string pick_ring_endpoint(const envoy::config::endpoint::v3::ClusterLoadAssignment& endpoints,
-                               const std::string& key, const std::set<std::string>& not_these) {
+                               const std::string& key, const std::set<std::string>& excluded) {
   std::uint32_t heaviest = 1;
-  for (const auto& place : endpoints.endpoints())
-    heaviest = std::max(heaviest, place.load_balancing_weight().value());
-  std::uint64_t at = XXH64(key.data(), key.size(), 0);
-  std::uint64_t nearest = ~std::uint64_t{0};
+  for (const auto& locality : endpoints.endpoints())
+    heaviest = std::max(heaviest, locality.load_balancing_weight().value());
+  std::uint64_t key_position = XXH64(key.data(), key.size(), 0);
+  std::uint64_t nearest_distance = ~std::uint64_t{0};
   std::string out;
-  for (const auto& place : endpoints.endpoints()) {
-    std::string address = address_of(place.lb_endpoints(0));
-    if (not_these.contains(address)) continue;
-    std::uint32_t points = std::max(1u, kRingPoints * place.load_balancing_weight().value() / heaviest);
+  for (const auto& locality : endpoints.endpoints()) {
+    std::string address = address_of(locality.lb_endpoints(0));
+    if (excluded.contains(address)) continue;
+    std::uint32_t points = std::max(1u, kMaxRingPoints * locality.load_balancing_weight().value() / heaviest);
     for (std::uint32_t i = 0; i < points; ++i) {
       std::string point = address + "_" + std::to_string(i);
-      std::uint64_t ahead = XXH64(point.data(), point.size(), 0) - at;
-      if (ahead <= nearest) nearest = ahead, out = address;
+      std::uint64_t distance = XXH64(point.data(), point.size(), 0) - key_position;
+      if (distance <= nearest_distance) nearest_distance = distance, out = address;
     }
   }
   return out;
 }
 
-std::string Proxy::pick(const AppliedSet& set, const std::string& cluster, const std::string& key,
-                        const std::set<std::string>& not_these) {
+std::string Proxy::pick_endpoint(const AppliedSet& set, const std::string& cluster, const std::string& key,
+                                 const std::set<std::string>& excluded) {
   const auto& endpoints = *set.endpoints.at(cluster);
   bool ring = set.clusters.at(cluster)->lb_policy() == AppliedSet::Cluster::RING_HASH && !key.empty();
-  if (ring) return pick_ring_endpoint(endpoints, key, not_these);
+  if (ring) return pick_ring_endpoint(endpoints, key, excluded);
   double total = 0;
-  auto usable = [&](const auto& place) {
-    return place.priority() == 0 && !not_these.contains(address_of(place.lb_endpoints(0)));
+  auto usable = [&](const auto& locality) {
+    return locality.priority() == 0 && !excluded.contains(address_of(locality.lb_endpoints(0)));
   };
-  for (const auto& place : endpoints.endpoints()) {
-    if (usable(place)) total += place.load_balancing_weight().value();
+  for (const auto& locality : endpoints.endpoints()) {
+    if (usable(locality)) total += locality.load_balancing_weight().value();
   }
   double draw = total * static_cast<double>(random_()) / 4294967296.0;
-  for (const auto& place : endpoints.endpoints()) {
-    if (!usable(place)) continue;
-    draw -= place.load_balancing_weight().value();
-    if (draw < 0) return address_of(place.lb_endpoints(0));
+  for (const auto& locality : endpoints.endpoints()) {
+    if (!usable(locality)) continue;
+    draw -= locality.load_balancing_weight().value();
+    if (draw < 0) return address_of(locality.lb_endpoints(0));
   }
   return "";
 }
 
 void Proxy::send(Request request, std::function<void(const RequestResult&)> ended) {
-  auto going = std::make_shared<Going>();
-  going->request = std::move(request);
-  going->ended = std::move(ended);
-  going->set = set_();
-  if (!going->set) return going->ended(going->so_far);
-  Chosen chosen = choose(*going->set, going->request);
-  if (!chosen.route || chosen.cluster.empty()) {
-    // Answered by the proxy itself: a rejection, or for what may have run no promise at all.
-    bool rejected = chosen.route && chosen.route->direct_response().status() == 503;
-    going->so_far.kind = rejected ? RequestResult::Kind::kRejected : RequestResult::Kind::kTerminated;
-    for (int i = 0; chosen.route && i < chosen.route->response_headers_to_add_size(); ++i) {
-      going->so_far.retry_after = std::stoll(chosen.route->response_headers_to_add(i).header().value()) * kMs;
+  auto pending = std::make_shared<PendingRequest>();
+  pending->request = std::move(request);
+  pending->ended = std::move(ended);
+  pending->set = set_();
+  if (!pending->set) return pending->ended(pending->result);
+  ChosenRoute choice = choose_route(*pending->set, pending->request);
+  if (!choice.route || choice.cluster.empty()) {
+    // Answered by the proxy itself: 503 is a rejection; with any other status the request may have run.
+    bool rejected = choice.route && choice.route->direct_response().status() == 503;
+    pending->result.kind = rejected ? RequestResult::Kind::kRejected : RequestResult::Kind::kTerminated;
+    for (int i = 0; choice.route && i < choice.route->response_headers_to_add_size(); ++i) {
+      pending->result.retry_after =
+          std::stoll(choice.route->response_headers_to_add(i).header().value()) * kMs;
     }
-    return going->ended(going->so_far);
+    return pending->ended(pending->result);
   }
-  const auto& endpoints = *going->set->endpoints.at(chosen.cluster);
+  const auto& endpoints = *pending->set->endpoints.at(choice.cluster);
   for (const auto& drop : endpoints.policy().drop_overloads()) {
     if (static_cast<double>(random_()) / 4294967296.0 * 10'000 < drop.drop_percentage().numerator()) {
-      going->so_far.kind = RequestResult::Kind::kRejected;
-      return going->ended(going->so_far);
+      pending->result.kind = RequestResult::Kind::kRejected;
+      return pending->ended(pending->result);
     }
   }
-  const auto& bounds = going->set->clusters.at(chosen.cluster)->circuit_breakers().thresholds(0);
-  if (bounds.has_max_requests() &&
-      in_flight_[chosen.cluster] >= static_cast<int>(bounds.max_requests().value())) {
-    going->so_far.kind = RequestResult::Kind::kRejected;
-    return going->ended(going->so_far);
+  const auto& thresholds = pending->set->clusters.at(choice.cluster)->circuit_breakers().thresholds(0);
+  if (thresholds.has_max_requests() &&
+      in_flight_[choice.cluster] >= static_cast<int>(thresholds.max_requests().value())) {
+    pending->result.kind = RequestResult::Kind::kRejected;
+    return pending->ended(pending->result);
   }
-  going->cluster = chosen.cluster;
-  const auto& action = chosen.route->route();
-  const auto& host = going->set->routes->virtual_hosts(0);
+  pending->cluster = choice.cluster;
+  const auto& action = choice.route->route();
+  const auto& host = pending->set->routes->virtual_hosts(0);
   if (action.has_retry_policy()) {
-    going->retry = &action.retry_policy();
+    pending->retry = &action.retry_policy();
   } else if (host.has_retry_policy()) {
-    going->retry = &host.retry_policy();
+    pending->retry = &host.retry_policy();
   }
-  Nanos wait = std::min(time_of(action.timeout()), going->request.wait);
-  going->until = loop_.now() + wait;
-  ++in_flight_[going->cluster];
-  next_try(going);
+  Nanos wait = std::min(to_nanos(action.timeout()), pending->request.wait);
+  pending->deadline = loop_.now() + wait;
+  ++in_flight_[pending->cluster];
+  start_next_attempt(pending);
 }
 
-void Proxy::next_try(const std::shared_ptr<Going>& going) {
-  Nanos wait = going->until - loop_.now();
-  if (going->retry && going->retry->has_per_try_timeout()) {
-    wait = std::min(wait, time_of(going->retry->per_try_timeout()));
+void Proxy::start_next_attempt(const std::shared_ptr<PendingRequest>& pending) {
+  Nanos wait = pending->deadline - loop_.now();
+  if (pending->retry && pending->retry->has_per_try_timeout()) {
+    wait = std::min(wait, to_nanos(pending->retry->per_try_timeout()));
   }
-  std::string to = pick(*going->set, going->cluster, going->request.key, going->tried);
-  if (to.empty()) to = pick(*going->set, going->cluster, going->request.key, {});
+  std::string to =
+      pick_endpoint(*pending->set, pending->cluster, pending->request.key, pending->tried_addresses);
+  if (to.empty()) to = pick_endpoint(*pending->set, pending->cluster, pending->request.key, {});
   sockaddr_in address{};
   address.sin_family = AF_INET;
   std::size_t colon = to.rfind(':');
   if (colon == std::string::npos || wait <= 0) {
-    --in_flight_[going->cluster];
-    return going->ended(going->so_far);
+    --in_flight_[pending->cluster];
+    return pending->ended(pending->result);
   }
   inet_pton(AF_INET, to.substr(0, colon).c_str(), &address.sin_addr);
   address.sin_port = htons(static_cast<std::uint16_t>(std::stoi(to.substr(colon + 1))));
-  going->tried.insert(to);
-  going->so_far.last_node = to;
-  ++going->so_far.tries;
+  pending->tried_addresses.insert(to);
+  pending->result.last_server = to;
+  ++pending->result.attempts;
   std::uint64_t trace = static_cast<std::uint64_t>(random_()) << 32 | random_();
-  tries_.push_back(std::make_unique<Try>(*this, going, address, wait, trace));
+  attempts_.push_back(std::make_unique<Attempt>(*this, pending, address, wait, trace));
 }
 
-void Proxy::tried(const std::shared_ptr<Going>& going, RequestResult::Kind kind, bool never_sent, bool late,
-                  Nanos retry_after) {
-  going->so_far.kind = kind;
-  going->so_far.retry_after = retry_after;
-  if (going->retries > 0) --retries_;
-  bool again = false;
-  if (going->retry && kind != RequestResult::Kind::kCompleted &&
-      going->retries < static_cast<int>(going->retry->num_retries().value())) {
-    const std::string& on = going->retry->retry_on();
-    again = (never_sent && says(on, "connect-failure")) ||
-            (kind == RequestResult::Kind::kRejected && says(on, "retriable-status-codes")) ||
-            (kind == RequestResult::Kind::kNoAnswer && !never_sent && !late && says(on, "reset")) ||
-            (late && !never_sent && says(on, "gateway-error"));
+void Proxy::attempt_ended(const std::shared_ptr<PendingRequest>& pending, RequestResult::Kind kind,
+                          bool never_sent, bool timed_out, Nanos retry_after) {
+  pending->result.kind = kind;
+  pending->result.retry_after = retry_after;
+  if (pending->retries > 0) --retries_;
+  bool should_retry = false;
+  if (pending->retry && kind != RequestResult::Kind::kCompleted &&
+      pending->retries < static_cast<int>(pending->retry->num_retries().value())) {
+    const std::string& retry_on = pending->retry->retry_on();
+    should_retry =
+        (never_sent && list_contains(retry_on, "connect-failure")) ||
+        (kind == RequestResult::Kind::kRejected && list_contains(retry_on, "retriable-status-codes")) ||
+        (kind == RequestResult::Kind::kNoAnswer && !never_sent && !timed_out &&
+         list_contains(retry_on, "reset")) ||
+        (timed_out && !never_sent && list_contains(retry_on, "gateway-error"));
   }
   const auto& budget =
-      going->set->clusters.at(going->cluster)->circuit_breakers().thresholds(0).retry_budget();
+      pending->set->clusters.at(pending->cluster)->circuit_breakers().thresholds(0).retry_budget();
   double allowed = std::max(budget.min_retry_concurrency().value() * 1.0,
-                            budget.budget_percent().value() / 100 * in_flight_[going->cluster]);
-  again = again && retries_ < allowed && loop_.now() + 20 * kMs < going->until;
-  if (!again) {
-    --in_flight_[going->cluster];
-    going->ended(going->so_far);
+                            budget.budget_percent().value() / 100 * in_flight_[pending->cluster]);
+  should_retry = should_retry && retries_ < allowed && loop_.now() + 20 * kMs < pending->deadline;
+  if (!should_retry) {
+    --in_flight_[pending->cluster];
+    pending->ended(pending->result);
     return;
   }
-  ++going->retries;
+  ++pending->retries;
   ++retries_;
-  next_try(going);
+  start_next_attempt(pending);
 }
 
 }  // namespace myrtlecroft::standin
--- a/standin/relay.h
+++ b/standin/relay.h
@@ -1,5 +1,5 @@
-// Stands between two processes and fails them: holds bytes back in one direction or both, makes them late,
-// cuts in the middle of a frame, resets, and lets nobody through.
+// A TCP relay between two processes that injects link faults: stalls one or both directions, delays bytes,
+// resets connections, also in the middle of a frame, and refuses new ones.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -13,19 +13,21 @@
 
 namespace myrtlecroft::standin {
 
+// Runs on the loop's thread.
 class Relay {
  public:
-  // Listens on a port of its own on loopback, and leads to `to`, which need not be there yet.
+  // Listens on its own loopback port and connects to port `to`, where nothing need listen yet. Throws
+  // std::runtime_error if it can't listen.
   Relay(net::Loop& loop, std::uint16_t to);
   ~Relay();
   std::uint16_t port() const { return port_; }
 
-  // Bytes wait where they are, as on a link that is dead and not yet known to be.
-  void stall(bool there, bool back);
-  void set_delay(Nanos by);  // each byte, both ways
-  void close(bool closed);   // nobody gets through; who was through is reset
+  // Stops forwarding bytes without closing connections, as on a dead link that has not been detected yet.
+  void stall(bool outward, bool inward);
+  void set_delay(Nanos delay);  // delays each byte, in both directions
+  void close(bool closed);      // resets all connections, and closes new ones at once
   void reset();
-  void reset_after(std::size_t bytes);  // that go there: then a reset
+  void reset_after(std::size_t bytes);  // resets the connection that carries the last of them, once
   void clear_faults();
   std::size_t pairs() const { return pairs_.size(); }
 
@@ -35,15 +37,15 @@
     void operator()(evconnlistener* one) const { evconnlistener_free(one); }
   };
   static void accepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
-  void drop(Pair* pair);
+  void remove(Pair* pair);
 
   net::Loop& loop_;
-  std::uint16_t to_;
+  std::uint16_t target_port_;
   std::uint16_t port_ = 0;
   bool stalled_[2] = {false, false};
-  Nanos late_ = 0;
+  Nanos delay_ = 0;
   bool closed_ = false;
-  std::ptrdiff_t left_ = -1;  // bytes until the cut; below 0: none is wanted
+  std::ptrdiff_t bytes_until_reset_ = -1;  // outward bytes until the reset; negative: no reset
   std::unique_ptr<evconnlistener, ListenerFreer> listener_;
   std::list<std::unique_ptr<Pair>> pairs_;
 };
