--- a/tests/agreement_processes_test.cpp
+++ b/tests/agreement_processes_test.cpp
@@ -1,4 +1,4 @@
-// Real instances, servers and proxies under load and faults, for some seconds each.
+// Incidents with real instances, servers and proxies under load and faults, some seconds each.
 #include <gtest/gtest.h>
 
 #include "../measure/agreement_rig.h"
@@ -6,8 +6,9 @@
 namespace myrtlecroft {
 namespace {
 
-// Leaders killed, stopped and cut off one way, links reset, cut in mid frame and late, servers killed and cut
-// off, under load: what make measure-agreement plays for minutes.
+// A short version of what `make measure-agreement` plays for minutes: under load, leaders are killed, paused
+// and cut off in one direction, links are reset, also in the middle of a frame, and delayed, and servers are
+// killed and cut off.
 TEST(AgreementProcessesTest, NoKeyRunsTwiceAndNoAgreedEntryIsLostUnderFaults) {
   rehearsal::RigOptions options;
   options.incident = {.instances = 3,
@@ -24,7 +25,7 @@
   EXPECT_GT(result.load.completed, 0);
 }
 
-// A server's shards move while whoever leads is killed at one sync after another.
+// A server's shards change owner while the current leader is killed at one sync after another.
 TEST(AgreementProcessesTest, NoKeyRunsTwiceWhenTheLeaderIsKilledAtAnySyncOfAnOwnerChange) {
   rehearsal::RigOptions options;
   options.incident = rehearsal::read_incident(MYRTLECROFT_INCIDENTS "/owner-moves.conf");
@@ -34,8 +35,8 @@
   EXPECT_GT(result.load.completed, result.load.offered / 3);
 }
 
-// A version comes to all servers while leaders die: nobody goes without leave, never more than may be, and
-// nothing that was read goes unanswered.
+// A release updates all servers while leaders are killed. No server restarts without a maintenance lease,
+// never more are out than the budgets allow, and each request that a server received is answered.
 TEST(AgreementProcessesTest, ReleaseCompletesWhileLeadersAreKilled) {
   rehearsal::RigOptions options;
   options.incident.nodes = 6;
--- a/tests/grpc_client_test.cpp
+++ b/tests/grpc_client_test.cpp
@@ -1,7 +1,7 @@
-// The xDS client inside the gRPC library, which nobody here wrote, balances by what the control service
-// serves. No story of its ring hash: that of version 1.51 reads beyond its own memory when it opens a
-// connection, whoever serves it (docs/design/control-xds.md). The stand-in proxy's is told of in
-// standin_test.cpp.
+// Interoperability with an independent implementation: the xDS client of the gRPC library balances by the
+// resources that the control service serves. Its ring hash is not tested: version 1.51 reads out of bounds
+// when it opens a connection, whichever server serves it (docs/design/control-xds.md). standin_test.cpp tests
+// the ring of the stand-in proxy.
 #include <grpcpp/grpcpp.h>
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
 using standin::EchoReply;
 using standin::EchoRequest;
 
-// One server: answers with its name, or as the story has it.
+// One server: answers with its name, fails, or blocks, as the test sets it.
 class EchoNode final : public Echo::Service {
  public:
   explicit EchoNode(std::string name) : name_(std::move(name)) { start("127.0.0.1:0"); }
@@ -29,15 +29,15 @@
     server_ = builder.BuildAndStart();
   }
   void stop() {
-    held_ = false;
+    blocked_ = false;
     if (server_) server_->Shutdown(std::chrono::system_clock::now());
     server_.reset();
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   int served() const { return served_; }
-  void fail(bool fail) { fail_ = fail; }
-  void hold(bool hold) { held_ = hold; }
-  int holding() const { return holding_; }
+  void set_failing(bool failing) { failing_ = failing; }
+  void set_blocked(bool blocked) { blocked_ = blocked; }
+  int blocked_requests() const { return blocked_requests_; }
 
   grpc::Status Say(grpc::ServerContext* context, const EchoRequest*, EchoReply* reply) override {
     return answer(context, reply);
@@ -52,10 +52,10 @@
  private:
   grpc::Status answer(grpc::ServerContext* context, EchoReply* reply) {
     ++served_;
-    ++holding_;
-    while (held_ && !context->IsCancelled()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    --holding_;
-    if (fail_) return grpc::Status(grpc::StatusCode::INTERNAL, "as the story has it");
+    ++blocked_requests_;
+    while (blocked_ && !context->IsCancelled()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    --blocked_requests_;
+    if (failing_) return grpc::Status(grpc::StatusCode::INTERNAL, "failing on request of the test");
     reply->set_node(name_);
     return grpc::Status::OK;
   }
@@ -63,34 +63,34 @@
   std::string name_;
   int port_ = 0;
   std::atomic<int> served_ = 0;
-  std::atomic<int> holding_ = 0;
-  std::atomic<bool> fail_ = false;
-  std::atomic<bool> held_ = false;
+  std::atomic<int> blocked_requests_ = 0;
+  std::atomic<bool> failing_ = false;
+  std::atomic<bool> blocked_ = false;
   std::unique_ptr<grpc::Server> server_;
 };
 
-struct World {
-  struct Given {
+struct EchoFleet {
+  struct ServerSpec {
     std::string name;
     std::string zone = "a";
     double capacity = 1;
     int priority = 0;
   };
-  explicit World(std::vector<Given> given) {
-    for (const Given& one : given) {
-      nodes[one.name] = std::make_unique<EchoNode>(one.name);
-      listed += std::string(listed.empty() ? "" : ",\n") + "{ name = \"" + one.name + "\"; zone = \"" +
-                one.zone + "\"; address = \"" + nodes[one.name]->address() +
-                "\"; capacity = " + std::to_string(one.capacity) +
-                "; priority = " + std::to_string(one.priority) + "; }";
+  explicit EchoFleet(std::vector<ServerSpec> specs) {
+    for (const ServerSpec& spec : specs) {
+      nodes[spec.name] = std::make_unique<EchoNode>(spec.name);
+      node_list += std::string(node_list.empty() ? "" : ",\n") + "{ name = \"" + spec.name + "\"; zone = \"" +
+                   spec.zone + "\"; address = \"" + nodes[spec.name]->address() +
+                   "\"; capacity = " + std::to_string(spec.capacity) +
+                   "; priority = " + std::to_string(spec.priority) + "; }";
     }
     write_fleet();
     start();
-    for (const Given& one : given) reporters->add(one.name, nodes[one.name]->address());
+    for (const ServerSpec& spec : specs) reporters->add(spec.name, nodes[spec.name]->address());
   }
   void write_fleet() const {
     std::ofstream(folder.file("fleet.conf"))
-        << "version = 1; listener = \"echo\"; proxies = 1; nodes = (" << listed << ");\n"
+        << "version = 1; listener = \"echo\"; proxies = 1; nodes = (" << node_list << ");\n"
         << "groups = ({ name = \"say\"; path = \"/myrtlecroft.standin.Echo/Say\"; repeats = \"repeatable\"; "
            "benefit = 0.5; timeout_ms = 2000; },\n"
         << "{ name = \"set\"; path = \"/myrtlecroft.standin.Echo/Set\"; repeats = \"mutating\"; timeout_ms = "
@@ -123,8 +123,8 @@
     channel = grpc::CreateCustomChannel("xds:///echo", grpc::InsecureChannelCredentials(), arguments);
     stub = Echo::NewStub(channel);
   }
-  // The server that answered, or the error.
-  std::string say(const std::string& request_class = "say", const std::string& key = "") {
+  // Returns the name of the server that answered, or "error CODE MESSAGE".
+  std::string call(const std::string& request_class = "say", const std::string& key = "") {
     grpc::ClientContext context;
     context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(2));
     if (!key.empty()) context.AddMetadata("replay-key", key);
@@ -136,17 +136,17 @@
     return status.ok() ? reply.node()
                        : "error " + std::to_string(status.error_code()) + " " + status.error_message();
   }
-  std::map<std::string, int> many(int count, const std::string& request_class = "say") {
+  std::map<std::string, int> call_many(int count, const std::string& request_class = "say") {
     std::map<std::string, int> out;
-    for (int i = 0; i < count; ++i) ++out[say(request_class)];
+    for (int i = 0; i < count; ++i) ++out[call(request_class)];
     return out;
   }
-  bool ready() {
-    return await([&] { return say().substr(0, 5) != "error"; });
+  bool await_ready() {
+    return await([&] { return call().substr(0, 5) != "error"; });
   }
-  bool only(const std::set<std::string>& names) {
+  bool await_only(const std::set<std::string>& names) {
     return await([&] {
-      for (const auto& [name, count] : many(20)) {
+      for (const auto& [name, count] : call_many(20)) {
         if (!names.contains(name)) return false;
       }
       return true;
@@ -154,7 +154,7 @@
   }
 
   TemporaryFolder folder;
-  std::string listed;
+  std::string node_list;
   std::string max_unavailable = "0.6";
   std::map<std::string, std::unique_ptr<EchoNode>> nodes;
   std::uint16_t discovery_port = 0;
@@ -165,48 +165,48 @@
   std::unique_ptr<Echo::Stub> stub;
 };
 
-TEST(GrpcClient, TakesWhatIsServedAndRefusesNothing) {
-  World world({{"n1"}, {"n2", "b"}});
-  world.connect();
-  ASSERT_TRUE(world.ready()) << world.say();
-  ASSERT_TRUE(await([&] { return world.many(40).size() == 2; }));
-  EXPECT_FALSE(world.control->log().has("refuses"));
+TEST(GrpcClient, AcceptsAllServedResources) {
+  EchoFleet fleet({{"n1"}, {"n2", "b"}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready()) << fleet.call();
+  ASSERT_TRUE(await([&] { return fleet.call_many(40).size() == 2; }));
+  EXPECT_FALSE(fleet.control->log().has("refuses"));
 }
 
-TEST(GrpcClient, FollowsWeights) {
-  World world({{"n1", "a", 1}, {"n2", "a", 3}});
-  world.connect();
-  ASSERT_TRUE(world.ready());
-  ASSERT_TRUE(await([&] { return world.many(20).size() == 2; }));
-  auto served = world.many(400);
+TEST(GrpcClient, SpreadsRequestsByWeight) {
+  EchoFleet fleet({{"n1", "a", 1}, {"n2", "a", 3}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
+  ASSERT_TRUE(await([&] { return fleet.call_many(20).size() == 2; }));
+  auto served = fleet.call_many(400);
   EXPECT_NEAR(served["n2"], 300, 50);
 }
 
-TEST(GrpcClient, LeavesANodeThatLeaves) {
-  World world({{"n1"}, {"n2", "b"}, {"n3", "b"}});
-  world.connect();
-  ASSERT_TRUE(world.ready());
-  world.reporters->set("n2", [](auto& report) { report.draining = true; });
-  ASSERT_TRUE(world.only({"n1", "n3"}));
+TEST(GrpcClient, SendsNothingToADrainingServer) {
+  EchoFleet fleet({{"n1"}, {"n2", "b"}, {"n3", "b"}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
+  fleet.reporters->set("n2", [](auto& report) { report.draining = true; });
+  ASSERT_TRUE(fleet.await_only({"n1", "n3"}));
 }
 
-TEST(GrpcClient, SendsToSparesOnlyWhenTheOthersAreGone) {
-  World world({{"n1"}, {"n2", "b", 1, 1}});
-  world.connect();
-  ASSERT_TRUE(world.ready());
-  ASSERT_TRUE(world.only({"n1"}));
-  world.reporters->set("n1", [](auto& report) { report.draining = true; });
-  ASSERT_TRUE(world.only({"n2"}));
+TEST(GrpcClient, UsesSpareServersOnlyWhenTheOthersDrain) {
+  EchoFleet fleet({{"n1"}, {"n2", "b", 1, 1}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
+  ASSERT_TRUE(fleet.await_only({"n1"}));
+  fleet.reporters->set("n1", [](auto& report) { report.draining = true; });
+  ASSERT_TRUE(fleet.await_only({"n2"}));
 }
 
-TEST(GrpcClient, DropsWhatTheFleetHasNoRoomFor) {
-  World world({{"n1"}, {"n2"}});
-  world.connect();
-  ASSERT_TRUE(world.ready());
-  // Servers reject most of what they read: the cheapest group is let through in part only.
+TEST(GrpcClient, DropsRequestsThatTheFleetHasNoCapacityFor) {
+  EchoFleet fleet({{"n1"}, {"n2"}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
+  // The servers reject most requests, so the class with the lowest benefit is admitted only in part.
   ASSERT_TRUE(await([&] {
     for (const char* node : {"n1", "n2"}) {
-      world.reporters->set(node, [](auto& report) {
+      fleet.reporters->set(node, [](auto& report) {
         if (report.request_classes.empty())
           report.request_classes = {{.request_class = "say"}, {.request_class = "set"}};
         for (auto& counts : report.request_classes)
@@ -214,93 +214,95 @@
       });
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    return world.say().find("error 14") == 0;
+    return fleet.call().find("error 14") == 0;
   }));
 }
 
-TEST(GrpcClient, HoldsToItsBoundOfRequestsInFlight) {
-  World world({{"n1"}});
-  world.reporters->set("n1", [](auto& report) { report.window = 2, report.limit = 1; });
-  world.connect();
-  ASSERT_TRUE(world.ready());
+TEST(GrpcClient, LimitsRequestsInFlight) {
+  EchoFleet fleet({{"n1"}});
+  fleet.reporters->set("n1", [](auto& report) { report.window = 2, report.limit = 1; });
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
   ASSERT_TRUE(await([&] {
-    return world.control->run_in_loop([](ControlService& control) {
+    return fleet.control->run_in_loop([](ControlService& control) {
       return control.router().published()->snapshot.nodes[0].in_flight == 5;
     });
   }));
-  // What is in flight at once never goes beyond the bound, and more is refused at once. The client may hear
-  // of the bound a moment after control has set it: what it does with twelve at once is asked until it has.
+  // Requests in flight never exceed the bound, and further ones are rejected at once. The client may receive
+  // the bound a moment after the control service has set it, so twelve concurrent requests are repeated until
+  // it has.
   EXPECT_TRUE(await([&] {
-    world.nodes["n1"]->hold(true);
+    fleet.nodes["n1"]->set_blocked(true);
     std::atomic<int> refused = 0;
     std::vector<std::thread> callers;
     for (int i = 0; i < 12; ++i) {
-      callers.emplace_back([&] { refused += world.say("set").find("error 14") == 0; });
+      callers.emplace_back([&] { refused += fleet.call("set").find("error 14") == 0; });
     }
-    bool all = await([&] { return refused + world.nodes["n1"]->holding() >= 12; });
+    bool all = await([&] { return refused + fleet.nodes["n1"]->blocked_requests() >= 12; });
     bool bounded = all && refused >= 6;
-    world.nodes["n1"]->hold(false);
+    fleet.nodes["n1"]->set_blocked(false);
     for (std::thread& caller : callers) caller.join();
     return bounded;
   }));
 }
 
-TEST(GrpcClient, SendsADeduplicatedExchangeToTheOwnerOfItsKeyAndToNobodyWhileItMoves) {
-  World world({{"n1"}, {"n2"}, {"n3", "b"}});
-  world.connect();
-  ASSERT_TRUE(world.ready());
+TEST(GrpcClient, SendsAKeyedRequestToItsShardOwnerAndFailsWhileTheOwnerChanges) {
+  EchoFleet fleet({{"n1"}, {"n2"}, {"n3", "b"}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
   std::map<std::string, std::string> owners;
   for (char digit : std::string("0123456789abcdef")) {
     std::string key = std::string(1, digit) + "7aa";
-    owners[key] = world.say("book", key);
+    owners[key] = fleet.call("book", key);
     ASSERT_NE(owners[key].substr(0, 5), "error") << owners[key];
-    EXPECT_EQ(world.say("book", key), owners[key]);
+    EXPECT_EQ(fleet.call("book", key), owners[key]);
   }
-  world.reporters->set("n1", [](auto& report) { report.draining = true; });
-  ASSERT_TRUE(await([&] { return world.control->state_of("n1") == "leaving"; }));
-  // From now on: at the old owner until the closure is there, then at nobody, then at another one.
+  fleet.reporters->set("n1", [](auto& report) { report.draining = true; });
+  ASSERT_TRUE(await([&] { return fleet.control->state_of("n1") == "leaving"; }));
+  // From now on keys of n1 are answered by n1 until the closure arrives, then by no server, then by another
+  // one.
   for (const auto& [key, owner] : owners) {
     if (owner != "n1") {
-      EXPECT_EQ(world.say("book", key), owner);
+      EXPECT_EQ(fleet.call("book", key), owner);
       continue;
     }
-    std::vector<std::string> seen;
+    std::vector<std::string> observed;
     ASSERT_TRUE(await([&] {
-      std::string now = world.say("book", key);
-      if (now.substr(0, 5) == "error") now = "nobody";
-      if (seen.empty() || seen.back() != now) seen.push_back(now);
-      return now != "n1" && now != "nobody";
+      std::string result = fleet.call("book", key);
+      if (result.substr(0, 5) == "error") result = "nobody";
+      if (observed.empty() || observed.back() != result) observed.push_back(result);
+      return result != "n1" && result != "nobody";
     }));
-    EXPECT_GE(seen.size(), 1u);
-    if (seen.size() > 1) EXPECT_EQ(seen[seen.size() - 2], "nobody");
+    EXPECT_GE(observed.size(), 1u);
+    if (observed.size() > 1) EXPECT_EQ(observed[observed.size() - 2], "nobody");
   }
 }
 
-TEST(GrpcClient, KeepsTheLastGoodSetWhileControlIsGoneAndFollowsItWhenItIsBack) {
-  World world({{"n1"}, {"n2"}});
-  world.connect();
-  ASSERT_TRUE(world.ready());
-  ASSERT_TRUE(await([&] { return world.many(20).size() == 2; }));
-  world.control.reset();
-  auto served = world.many(40);
+TEST(GrpcClient, KeepsTheLastSetWhileTheControlServiceIsDownAndFollowsItAfterwards) {
+  EchoFleet fleet({{"n1"}, {"n2"}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
+  ASSERT_TRUE(await([&] { return fleet.call_many(20).size() == 2; }));
+  fleet.control.reset();
+  auto served = fleet.call_many(40);
   EXPECT_EQ(served.size(), 2u);
   for (const auto& [name, count] : served) EXPECT_NE(name.substr(0, 5), "error") << name;
-  world.reporters->set("n2", [](auto& report) { report.draining = true; });
-  world.start();
-  ASSERT_TRUE(world.only({"n1"}));
+  fleet.reporters->set("n2", [](auto& report) { report.draining = true; });
+  fleet.start();
+  ASSERT_TRUE(fleet.await_only({"n1"}));
 }
 
-TEST(GrpcClient, ItsLoadReportsTellOfANodeThatAnswersNothingWell) {
-  World world({{"n1"}, {"n2"}, {"n3"}});
-  world.connect();
-  ASSERT_TRUE(world.ready());
-  ASSERT_TRUE(await([&] { return world.control->state_of("n2") == "serving"; }));
-  world.nodes["n2"]->fail(true);  // and it reports that all is well
+TEST(GrpcClient, ServerIsUnresponsiveOnceLoadReportsShowOnlyErrors) {
+  EchoFleet fleet({{"n1"}, {"n2"}, {"n3"}});
+  fleet.connect();
+  ASSERT_TRUE(fleet.await_ready());
+  ASSERT_TRUE(await([&] { return fleet.control->state_of("n2") == "serving"; }));
+  fleet.nodes["n2"]->set_failing(true);  // although its own reports show no problem
   ASSERT_TRUE(await([&] {
-    world.many(10, "set");
-    return world.control->state_of("n2") == "mute";
+    fleet.call_many(10, "set");
+    return fleet.control->state_of("n2") == "mute";
   }));
-  ASSERT_TRUE(world.control->log().has("server n2 serving -> unresponsive: "));
+  ASSERT_TRUE(fleet.control->log().has("server n2 serving -> unresponsive: "));
 }
 
 }  // namespace
