--- a/tests/grpc_client_test.cpp
+++ b/tests/grpc_client_test.cpp
@@ -170,7 +170,7 @@
   fleet.connect();
   ASSERT_TRUE(fleet.await_ready()) << fleet.call();
   ASSERT_TRUE(await([&] { return fleet.call_many(40).size() == 2; }));
-  EXPECT_FALSE(fleet.control->log().has("refuses"));
+  EXPECT_FALSE(fleet.control->log().has(" rejected "));
 }
 
 TEST(GrpcClient, SpreadsRequestsByWeight) {
