--- a/measure/agreement_world.cpp
+++ b/measure/agreement_world.cpp
@@ -1,4 +1,4 @@
-// The world itself: what it is made of, its event queue and its network.
+// Construction of the simulation, its event queue and its network.
 #include "agreement_world_parts.h"
 
 namespace myrtlecroft::rehearsal {
@@ -12,18 +12,18 @@
     servers.back().set_role(1);
   }
   for (int i = 0; i < options_.instances; ++i) {
-    auto control = std::make_unique<Control>();
-    control->place = i;
-    control->disk = std::make_unique<Disk>(*this);
-    control->line = std::make_unique<Line>(*this, i);
-    consensus::RaftNode::bootstrap(*control->disk, servers);
-    controls_.push_back(std::move(control));
+    auto replica = std::make_unique<Replica>();
+    replica->place = i;
+    replica->disk = std::make_unique<Disk>(*this);
+    replica->transport = std::make_unique<ReplicaTransport>(*this, i);
+    consensus::RaftNode::bootstrap(*replica->disk, servers);
+    replicas_.push_back(std::move(replica));
   }
   for (int i = 0; i < options_.nodes; ++i) {
-    nodes_.push_back(std::make_unique<Node>());
-    nodes_.back()->place = 1000 + i;
-    nodes_.back()->name = "n" + std::to_string(i);
-    nodes_.back()->store = i % 3 == 0;
+    servers_.push_back(std::make_unique<Server>());
+    servers_.back()->place = 1000 + i;
+    servers_.back()->name = "n" + std::to_string(i);
+    servers_.back()->has_store = i % 3 == 0;
   }
   for (int i = 0; i < options_.proxies; ++i) {
     proxies_.push_back(std::make_unique<Proxy>());
@@ -38,18 +38,18 @@
   fleet::Fleet out;
   out.listener = "world";
   out.proxies = options_.proxies;
-  for (const auto& node : nodes_) {
-    out.nodes.push_back({.name = node->name,
+  for (const auto& server : servers_) {
+    out.nodes.push_back({.name = server->name,
                          .zone = "a",
                          .host = "127.0.0.1",
-                         .port = static_cast<std::uint16_t>(node->place)});
+                         .port = static_cast<std::uint16_t>(server->place)});
   }
   out.request_classes.push_back({.name = "book",
                                  .path = "/book",
                                  .idempotency = Idempotency::kKeyed,
                                  .priority_weight = 1,
-                                 .latency_objective = kTimeout,
-                                 .client_timeout = kTimeout,
+                                 .latency_objective = kRequestTimeout,
+                                 .client_timeout = kRequestTimeout,
                                  .deduplication_window = options_.window,
                                  .key_header = "Key",
                                  .max_unavailable = {}});
@@ -62,63 +62,66 @@
   return out;
 }
 
-void Simulation::later(Nanos delay, std::function<void()> happen) {
-  queue_.push({now_ + std::max<Nanos>(delay, 0), ++events_, std::move(happen)});
+void Simulation::schedule(Nanos delay, std::function<void()> action) {
+  queue_.push({now_ + std::max<Nanos>(delay, 0), ++event_count_, std::move(action)});
 }
 
-bool Simulation::cut(int from, int to) const { return cuts_.contains({from, to}); }
+bool Simulation::is_cut(int from, int to) const { return cut_links_.contains({from, to}); }
 
-// What goes over a stream waits while its link is cut; the stream itself may not last so long.
-void Simulation::stream(int from, int to, std::function<void()> arrive) {
-  if (cut(from, to)) {
-    later(20 * kMs, [this, from, to, arrive = std::move(arrive)] { stream(from, to, arrive); });
+// Stream data waits while its link is cut, and the stream may break in the meantime.
+void Simulation::send_on_stream(int from, int to, std::function<void()> on_arrival) {
+  if (is_cut(from, to)) {
+    schedule(20 * kMs,
+             [this, from, to, on_arrival = std::move(on_arrival)] { send_on_stream(from, to, on_arrival); });
   } else {
-    later(between(kMs / 2, 6 * kMs), std::move(arrive));
+    schedule(draw_duration(kMs / 2, 6 * kMs), std::move(on_arrival));
   }
 }
 
-// Lost, late, doubled or in another order.
-void Simulation::deliver(int from, int to, std::function<void()> arrive) {
-  if (cut(from, to) || chance() < loss_) return;
-  auto slow = slow_.find({from, to});
-  Nanos delay = between(kMs / 2, 6 * kMs) + (slow == slow_.end() ? 0 : slow->second);
-  auto at_door = [this, to, arrive = std::move(arrive)] {
+// Datagrams may be lost, delayed, duplicated or reordered.
+void Simulation::deliver(int from, int to, std::function<void()> on_arrival) {
+  if (is_cut(from, to) || draw_fraction() < loss_probability_) return;
+  auto slow = link_delays_.find({from, to});
+  Nanos delay = draw_duration(kMs / 2, 6 * kMs) + (slow == link_delays_.end() ? 0 : slow->second);
+  auto deliver_or_delay = [this, to, on_arrival = std::move(on_arrival)] {
     if (to < options_.instances) {
-      Control& control = *controls_[static_cast<std::size_t>(to)];
-      if (control.paused_until > now_) {
-        control.waiting.push_back(arrive);
+      Replica& replica = *replicas_[static_cast<std::size_t>(to)];
+      if (replica.paused_until > now_) {
+        replica.delayed_deliveries.push_back(on_arrival);
         return;
       }
     }
-    arrive();
+    on_arrival();
   };
-  if (chance() < duplication_) later(delay + between(0, 50 * kMs), at_door);
-  later(delay, std::move(at_door));
+  if (draw_fraction() < duplication_probability_)
+    schedule(delay + draw_duration(0, 50 * kMs), deliver_or_delay);
+  schedule(delay, std::move(deliver_or_delay));
 }
 
-void Simulation::Line::send(const consensus::PeerMessage& message, const std::string&) {
+void Simulation::ReplicaTransport::send(const consensus::PeerMessage& message, const std::string&) {
   int to = static_cast<int>(message.to()) - 1;
-  Control& there = *world.controls_[static_cast<std::size_t>(to)];
-  world.deliver(from, to, [&there, message] {
-    if (there.instance) there.instance->received(message);
+  Replica& receiver = *world.replicas_[static_cast<std::size_t>(to)];
+  world.deliver(from, to, [&receiver, message] {
+    if (receiver.instance) receiver.instance->received(message);
   });
 }
 
 SimulationResult Simulation::play() {
-  for (auto& control : controls_) start(*control);
-  for (auto& node : nodes_) later(between(0, kReportEvery), [this, &one = *node] { run_node(one); });
-  for (auto& proxy : proxies_) later(between(0, kSecond), [this, &one = *proxy] { run_proxy(one); });
-  later(kSecond, [this] { send_key(); });
-  later(3 * kSecond, [this] { inject_fault(); });
-  if (options_.releases) later(4 * kSecond, [this] { run_operator(); });
-  later(kSecond, [this] { check_shard_owners(); });
-  later(options_.faults_for + 8 * kSecond, [this] { end_all_faults(); });
-  Nanos end = options_.faults_for + 8 * kSecond + options_.quiet_for;
+  for (auto& replica : replicas_) start_replica(*replica);
+  for (auto& server : servers_)
+    schedule(draw_duration(0, kReportInterval), [this, &one = *server] { run_server(one); });
+  for (auto& proxy : proxies_) schedule(draw_duration(0, kSecond), [this, &one = *proxy] { run_proxy(one); });
+  schedule(kSecond, [this] { send_keyed_request(); });
+  schedule(3 * kSecond, [this] { inject_fault(); });
+  if (options_.releases) schedule(4 * kSecond, [this] { run_operator(); });
+  schedule(kSecond, [this] { check_shard_owners(); });
+  schedule(options_.fault_duration + 8 * kSecond, [this] { end_all_faults(); });
+  Nanos end = options_.fault_duration + 8 * kSecond + options_.recovery_duration;
   while (!queue_.empty() && queue_.top().at <= end) {
     now_ = queue_.top().at;
-    auto happen = queue_.top().happen;
+    auto action = queue_.top().action;
     queue_.pop();
-    happen();
+    action();
   }
   check_recovery();
   return result_;
--- a/measure/agreement_world_checks.cpp
+++ b/measure/agreement_world_checks.cpp
@@ -1,9 +1,9 @@
-// What must hold in the simulated world whatever fails, checked by what happened and not by what is reported.
+// Invariants of the simulation under any fault, checked against actual events rather than reported state.
 #include "agreement_world_parts.h"
 
 namespace myrtlecroft::rehearsal {
 
-void Simulation::violate(int& count, const std::string& what) {
+void Simulation::record_violation(int& count, const std::string& what) {
   ++count;
   if (result_.first.empty()) {
     result_.first =
@@ -13,55 +13,57 @@
 
 void Simulation::track_leases(const agreement::ReplicatedState& state) {
   const agreement::MaintenanceState& maintenance = state.maintenance();
-  for (const auto& [node, lease] : maintenance.leases()) {
-    if (lease.phase == agreement::MaintenancePhase::kRestarting) allowed_to_restart_[node] = now_;
+  for (const auto& [server, lease] : maintenance.leases()) {
+    if (lease.phase == agreement::MaintenancePhase::kRestarting) allowed_to_restart_[server] = now_;
   }
   result_.releases = std::max(result_.releases, static_cast<int>(maintenance.release().id()));
   bool finished =
       maintenance.release().phase() == agreement::PHASE_DONE && maintenance.release().reason().empty();
   if (finished && bad_versions_.erase(maintenance.release().plan().version()) > 0)
-    violate(result_.bad_finished, "a bad version is everywhere");
+    record_violation(result_.bad_versions_completed, "the release of a bad version finished on all servers");
 }
 
 void Simulation::check_shard_owners() {
-  later(50 * kMs, [this] { check_shard_owners(); });
+  schedule(50 * kMs, [this] { check_shard_owners(); });
   std::vector<const std::string*> owners(std::size_t{1} << (4 * options_.shard_digits), nullptr);
   for (const auto& proxy : proxies_) {
-    if (!proxy->set || proxy->closed) continue;
-    const routing::Snapshot& set = proxy->set->snapshot;
-    for (std::size_t at = 0; at < set.shards.size(); ++at) {
-      if (set.shards[at] == routing::kClosed) continue;
-      const std::string& owner = set.nodes[static_cast<std::size_t>(set.shards[at])].name;
+    if (!proxy->publication || proxy->closed) continue;
+    const routing::Snapshot& publication = proxy->publication->snapshot;
+    for (std::size_t at = 0; at < publication.shards.size(); ++at) {
+      if (publication.shards[at] == routing::kClosed) continue;
+      const std::string& owner = publication.nodes[static_cast<std::size_t>(publication.shards[at])].name;
       if (owners[at] && *owners[at] != owner)
-        violate(result_.split_owners,
-                "shard " + std::to_string(at) + " is open at " + owner + " and " + *owners[at]);
+        record_violation(result_.split_owners,
+                         "shard " + std::to_string(at) + " is open on " + owner + " and " + *owners[at]);
       owners[at] = &owner;
     }
   }
 }
 
-// After the quiet at the end there is one leader, and every replica is complete.
+// Checks that after the time without faults there is one leader and every replica has recovered fully.
 void Simulation::check_recovery() {
   int leaders = 0;
-  for (auto& control : controls_) {
-    if (control->retired) continue;
-    const ControlReplica& instance = *control->instance;
+  for (auto& replica : replicas_) {
+    if (replica->retired) continue;
+    const ControlReplica& instance = *replica->instance;
     leaders += instance.is_active_leader();
     result_.invalid_proposals += static_cast<int>(instance.invalid_proposals());
-    std::string who = "instance " + std::to_string(control->place + 1);
+    std::string replica_name = "instance " + std::to_string(replica->place + 1);
     if (!instance.has_quorum())
-      violate(result_.not_back,
-              who + " is out of touch after the quiet, " + consensus::name_of(instance.raft_node().role()));
-    if (instance.committed_state().epoch().number + 3 < agreed_)
-      violate(result_.lost_entries, who + " lacks what was agreed");
-    // Operators may have left servers out.
+      record_violation(result_.not_recovered, replica_name + " has no quorum after recovery, role " +
+                                                  consensus::name_of(instance.raft_node().role()));
+    if (instance.committed_state().epoch().number + 3 < highest_agreed_epoch_)
+      record_violation(result_.lost_entries, replica_name + " lacks committed entries");
+    // Shards may be closed while a maintenance lease is held: operators may have left servers drained.
     std::size_t closed = instance.committed_state().maintenance().leases().empty()
                              ? instance.committed_state().closed_shards()
                              : 0;
     if (closed > 0)
-      violate(result_.not_back, who + " has " + std::to_string(closed) + " shards closed after the quiet");
+      record_violation(result_.not_recovered,
+                       replica_name + " has " + std::to_string(closed) + " closed shards after recovery");
   }
-  if (leaders != 1) violate(result_.not_back, std::to_string(leaders) + " leaders after the quiet");
+  if (leaders != 1)
+    record_violation(result_.not_recovered, std::to_string(leaders) + " leaders after recovery");
 }
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/agreement_world_faults.cpp
+++ b/measure/agreement_world_faults.cpp
@@ -1,184 +1,187 @@
-// Faults of the simulated world: crashes, partitions, slow and lossy links, disks, clocks and old folders.
+// Faults of the simulation: crashes, partitions, slow and lossy links, disk faults, clock jumps and old
+// folders.
 #include "agreement_world_parts.h"
 
 namespace myrtlecroft::rehearsal {
 
-void Simulation::cut_for(int from, int to, Nanos duration) {
-  cuts_.insert({from, to});
-  later(duration, [this, from, to] { cuts_.erase({from, to}); });
+void Simulation::cut_link_for(int from, int to, Nanos duration) {
+  cut_links_.insert({from, to});
+  schedule(duration, [this, from, to] { cut_links_.erase({from, to}); });
 }
 
-void Simulation::crash_for(Control& control, Nanos duration) {
-  kill(control);
-  later(duration, [this, &control] {
-    if (!control.instance) start(control);
+void Simulation::crash_for(Replica& replica, Nanos duration) {
+  kill_replica(replica);
+  schedule(duration, [this, &replica] {
+    if (!replica.instance) start_replica(replica);
   });
 }
 
 void Simulation::crash_leader(const FaultTarget& target) {
-  Control* leader = &target.control;
-  for (auto& control : controls_) {
-    if (control->instance && control->instance->is_active_leader()) leader = control.get();
+  Replica* leader = &target.replica;
+  for (auto& replica : replicas_) {
+    if (replica->instance && replica->instance->is_active_leader()) leader = replica.get();
   }
   crash_for(*leader, target.length);
 }
 
 void Simulation::crash_replica(const FaultTarget& target) {
-  Control& control = target.control;
+  Replica& replica = target.replica;
   Nanos length = target.length;
-  crash_for(control, length);
+  crash_for(replica, length);
 }
 
 void Simulation::pause_replica(const FaultTarget& target) {
-  Control& control = target.control;
+  Replica& replica = target.replica;
   Nanos length = target.length;
-  control.paused_until = now_ + length;
+  replica.paused_until = now_ + length;
 }
 
 void Simulation::cut_one_way(const FaultTarget& target) {
-  Control& control = target.control;
+  Replica& replica = target.replica;
   Nanos length = target.length;
-  int all = options_.instances;
-  cut_for(control.place, pick(all), length);
+  int replica_count = options_.instances;
+  cut_link_for(replica.place, draw_index(replica_count), length);
 }
 
 void Simulation::partition_replicas(const FaultTarget& target) {
   Nanos length = target.length;
-  int all = options_.instances;
-  int side = 1 + pick((1 << all) - 2);
-  for (int a = 0; a < all; ++a) {
-    for (int b = 0; b < all; ++b) {
-      if ((side >> a & 1) != (side >> b & 1)) cut_for(a, b, length);
+  int replica_count = options_.instances;
+  int side = 1 + draw_index((1 << replica_count) - 2);
+  for (int a = 0; a < replica_count; ++a) {
+    for (int b = 0; b < replica_count; ++b) {
+      if ((side >> a & 1) != (side >> b & 1)) cut_link_for(a, b, length);
     }
   }
 }
 
 void Simulation::slow_replica(const FaultTarget& target) {
-  Control& control = target.control;
+  Replica& replica = target.replica;
   Nanos length = target.length;
-  int all = options_.instances;
-  for (int other = 0; other < all; ++other) {
-    slow_[{control.place, other}] = kSecond;
-    later(length, [this, from = control.place, other] { slow_.erase({from, other}); });
+  int replica_count = options_.instances;
+  for (int other = 0; other < replica_count; ++other) {
+    link_delays_[{replica.place, other}] = kSecond;
+    schedule(length, [this, from = replica.place, other] { link_delays_.erase({from, other}); });
   }
 }
 
 void Simulation::flap_link(const FaultTarget& target) {
-  Control& control = target.control;
+  Replica& replica = target.replica;
   Nanos length = target.length;
-  int all = options_.instances;
-  int other = pick(all);
+  int replica_count = options_.instances;
+  int other = draw_index(replica_count);
   for (Nanos at = 0; at < length; at += 300 * kMs) {
-    later(at, [this, from = control.place, other] {
-      cut_for(from, other, 150 * kMs);
-      cut_for(other, from, 150 * kMs);
+    schedule(at, [this, from = replica.place, other] {
+      cut_link_for(from, other, 150 * kMs);
+      cut_link_for(other, from, 150 * kMs);
     });
   }
 }
 
 void Simulation::fail_disk(const FaultTarget& target) {
-  Control& control = target.control;
+  Replica& replica = target.replica;
   Nanos length = target.length;
-  control.disk->sick = true;
-  later(length, [&control] { control.disk->sick = false; });
+  replica.disk->has_write_fault = true;
+  schedule(length, [&replica] { replica.disk->has_write_fault = false; });
 }
 
 void Simulation::advance_clock(const FaultTarget& target) {
-  Control& control = target.control;
-  control.ahead += between(kSecond, 20 * kSecond);
+  Replica& replica = target.replica;
+  replica.clock_offset += draw_duration(kSecond, 20 * kSecond);
 }
 
 void Simulation::crash_server(const FaultTarget& target) {
-  Node& node = target.node;
+  Server& server = target.server;
   Nanos length = target.length;
-  node.alive = false;
-  later(length, [&node] {
-    if (node.alive) return;
-    node.alive = true;
-    ++node.incarnation;
-    node.sequence = node.in_time = 0;
-    if (node.store) return;
-    node.ran.clear();
-    node.fence = {};
-    node.highest = {};
+  server.alive = false;
+  schedule(length, [&server] {
+    if (server.alive) return;
+    server.alive = true;
+    ++server.incarnation;
+    server.sequence = server.completed_in_time = 0;
+    if (server.has_store) return;
+    server.executed_requests.clear();
+    server.fencing_guard = {};
+    server.highest_epoch = {};
   });
 }
 
 void Simulation::cut_server(const FaultTarget& target) {
-  Node& node = target.node;
+  Server& server = target.server;
   Nanos length = target.length;
-  for (auto& control : controls_) {
-    if (chance() < 0.6) cut_for(node.place, control->place, length);
-    if (chance() < 0.6) cut_for(control->place, node.place, length);
+  for (auto& replica : replicas_) {
+    if (draw_fraction() < 0.6) cut_link_for(server.place, replica->place, length);
+    if (draw_fraction() < 0.6) cut_link_for(replica->place, server.place, length);
   }
 }
 
 void Simulation::reset_proxy(const FaultTarget& target) {
   Proxy& proxy = target.proxy;
-  if (proxy.at >= 0) controls_[static_cast<std::size_t>(proxy.at)]->streams.erase(proxy.place);
-  proxy.at = -1;
-  proxy.set = nullptr;
+  if (proxy.connected_replica >= 0)
+    replicas_[static_cast<std::size_t>(proxy.connected_replica)]->streams.erase(proxy.place);
+  proxy.connected_replica = -1;
+  proxy.publication = nullptr;
 }
 
 void Simulation::cut_proxy(const FaultTarget& target) {
   Proxy& proxy = target.proxy;
   Nanos length = target.length;
-  for (auto& control : controls_) {
-    if (chance() < 0.5) cut_for(proxy.place, control->place, length);
-    if (chance() < 0.5) cut_for(control->place, proxy.place, length);
+  for (auto& replica : replicas_) {
+    if (draw_fraction() < 0.5) cut_link_for(proxy.place, replica->place, length);
+    if (draw_fraction() < 0.5) cut_link_for(replica->place, proxy.place, length);
   }
 }
 
 void Simulation::lose_messages(const FaultTarget& target) {
   Nanos length = target.length;
-  loss_ = 0.25;
-  duplication_ = 0.2;
-  later(length, [this] { loss_ = duplication_ = 0; });
+  loss_probability_ = 0.25;
+  duplication_probability_ = 0.2;
+  schedule(length, [this] { loss_probability_ = duplication_probability_ = 0; });
 }
 
 void Simulation::crash_all_replicas(const FaultTarget& target) {
   Nanos length = target.length;
-  for (auto& control : controls_) crash_for(*control, length + between(0, kSecond));
+  for (auto& replica : replicas_) crash_for(*replica, length + draw_duration(0, kSecond));
 }
 
-// Puts a folder back from an older copy, once, while the others run: the replica has to find out, and its
-// operators take it out.
+// Restores a folder from an older copy, once, while the other replicas run. The replica must detect it, and
+// is then removed.
 void Simulation::restore_old_folder(const FaultTarget& target) {
-  Control& one = target.control;
-  bool all_up = std::all_of(controls_.begin(), controls_.end(), [&](const auto& control) {
-    return control->instance && control->paused_until <= now_ && control->instance->storage_verified() &&
-           control->up_since + kSecond < now_;
+  Replica& restored = target.replica;
+  bool all_up = std::all_of(replicas_.begin(), replicas_.end(), [&](const auto& replica) {
+    return replica->instance && replica->paused_until <= now_ && replica->instance->storage_verified() &&
+           replica->started_at + kSecond < now_;
   });
   if (folder_restored_ || !all_up) return;
   folder_restored_ = true;
-  one.disk->copy = one.disk->kept;
-  later(between(2 * kSecond, 6 * kSecond), [this, &one] { put_back_folder(one); });
+  restored.disk->old_state = restored.disk->durable_state;
+  schedule(draw_duration(2 * kSecond, 6 * kSecond), [this, &restored] { swap_in_old_folder(restored); });
 }
 
-void Simulation::put_back_folder(Control& one) {
-  bool others_up = std::all_of(controls_.begin(), controls_.end(), [&](const auto& control) {
-    return control.get() == &one ||
-           (control->instance && control->up_since + 6 * kSecond < now_ && control->paused_until <= now_);
+void Simulation::swap_in_old_folder(Replica& restored) {
+  bool others_up = std::all_of(replicas_.begin(), replicas_.end(), [&](const auto& replica) {
+    return replica.get() == &restored ||
+           (replica->instance && replica->started_at + 6 * kSecond < now_ && replica->paused_until <= now_);
   });
-  // A second fault at once is more than three instances stand.
-  if (!others_up || !cuts_.empty() || !slow_.empty() || loss_ > 0) return;
-  calm_until_ = now_ + 4 * kSecond;
-  kill(one);
-  one.disk->kept = one.disk->copy;
-  start(one);
+  // Three replicas don't tolerate a second fault at the same time.
+  if (!others_up || !cut_links_.empty() || !link_delays_.empty() || loss_probability_ > 0) return;
+  no_faults_until_ = now_ + 4 * kSecond;
+  kill_replica(restored);
+  restored.disk->durable_state = restored.disk->old_state;
+  start_replica(restored);
 }
 
 void Simulation::inject_fault() {
-  later(static_cast<Nanos>(static_cast<double>(kSecond) / options_.faults_per_s * (0.3 + 1.4 * chance())),
-        [this] {
-          if (now_ < options_.faults_for) inject_fault();
-        });
-  if (now_ < calm_until_) return;
+  schedule(static_cast<Nanos>(static_cast<double>(kSecond) / options_.faults_per_s *
+                              (0.3 + 1.4 * draw_fraction())),
+           [this] {
+             if (now_ < options_.fault_duration) inject_fault();
+           });
+  if (now_ < no_faults_until_) return;
   ++result_.faults;
-  Control& control = *controls_[static_cast<std::size_t>(pick(options_.instances))];
-  Node& node = *nodes_[static_cast<std::size_t>(pick(options_.nodes))];
-  Proxy& proxy = *proxies_[static_cast<std::size_t>(pick(options_.proxies))];
-  Nanos length = between(300 * kMs, 7 * kSecond);
+  Replica& replica = *replicas_[static_cast<std::size_t>(draw_index(options_.instances))];
+  Server& server = *servers_[static_cast<std::size_t>(draw_index(options_.nodes))];
+  Proxy& proxy = *proxies_[static_cast<std::size_t>(draw_index(options_.proxies))];
+  Nanos length = draw_duration(300 * kMs, 7 * kSecond);
   constexpr void (Simulation::*kFaults[])(const FaultTarget&) = {
       &Simulation::crash_leader,      &Simulation::crash_replica,      &Simulation::pause_replica,
       &Simulation::cut_one_way,       &Simulation::partition_replicas, &Simulation::slow_replica,
@@ -186,18 +189,19 @@
       &Simulation::crash_server,      &Simulation::cut_server,         &Simulation::reset_proxy,
       &Simulation::cut_proxy,         &Simulation::lose_messages,      &Simulation::crash_all_replicas,
       &Simulation::restore_old_folder};
-  (this->*kFaults[pick(kFaultKinds)])({.control = control, .node = node, .proxy = proxy, .length = length});
+  (this->*kFaults[draw_index(kFaultKinds)])(
+      {.replica = replica, .server = server, .proxy = proxy, .length = length});
 }
 
 void Simulation::end_all_faults() {
-  cuts_.clear();
-  slow_.clear();
-  loss_ = duplication_ = 0;
-  for (auto& control : controls_) {
-    control->disk->sick = false;
-    if (control->instance && control->instance->raft_node().role() == consensus::Role::kUnavailable)
-      kill(*control);
-    if (!control->instance) start(*control);
+  cut_links_.clear();
+  link_delays_.clear();
+  loss_probability_ = duplication_probability_ = 0;
+  for (auto& replica : replicas_) {
+    replica->disk->has_write_fault = false;
+    if (replica->instance && replica->instance->raft_node().role() == consensus::Role::kUnavailable)
+      kill_replica(*replica);
+    if (!replica->instance) start_replica(*replica);
   }
 }
 
--- a/measure/agreement_world_parts.h
+++ b/measure/agreement_world_parts.h
@@ -1,5 +1,5 @@
-// What stands in the simulated world: disks, links, control replicas, servers, proxies and keys. For the
-// files of World only; everything runs on the thread that plays the world.
+// The simulated disks, transports, control replicas, servers, proxies and keyed requests. Internal to
+// Simulation; everything runs on the thread that calls play().
 #pragma once
 
 #include <algorithm>
@@ -20,135 +20,140 @@
 using fencing::ShardAssignment;
 
 inline constexpr Nanos kTick = 25 * kMs;
-inline constexpr Nanos kReportEvery = 250 * kMs;
-inline constexpr Nanos kTimeout = 500 * kMs;        // of one request
-inline constexpr Nanos kStreamTimeout = 300 * kMs;  // a stream ends when its link is cut for longer
-inline constexpr Nanos kMaxAnswerAge = 1000 * kMs;  // of an answer that restarts a server
-inline constexpr Nanos kCancelledStillActs =
-    3000 * kMs;  // a cancelled restart may still be acted on for so long
+inline constexpr Nanos kReportInterval = 250 * kMs;
+inline constexpr Nanos kRequestTimeout = 500 * kMs;  // from the acceptance of a request
+inline constexpr Nanos kStreamTimeout = 300 * kMs;   // a stream breaks when its link is cut for longer
+inline constexpr Nanos kMaxAnswerAge = 1000 * kMs;   // of an assignment that orders a restart
+inline constexpr Nanos kCancelledRestartGrace = 3000 * kMs;  // a server may still act on a cancelled restart
 inline constexpr Nanos kUnixStart = 1'700'000'000 * kSecond;
 
-// A folder: what is written lasts, what was only sent to it is lost with the process.
+// Simulated Raft storage. Completed writes survive a crash of the process; pending writes are lost.
 struct Simulation::Disk final : consensus::RaftStorage {
   explicit Disk(Simulation& of) : world(of) {}
   consensus::PersistentState load() override {
-    ++incarnation;  // what is still on its way belongs to whoever was here before
+    ++incarnation;  // discards pending writes of the previous process
     failed = false;
-    return kept;
+    return durable_state;
   }
-  bool is_writable() const override { return !sick; }
+  bool is_writable() const override { return !has_write_fault; }
   bool save_vote(std::uint64_t term, consensus::ReplicaId voted_for) override {
-    failed = failed || sick;
+    failed = failed || has_write_fault;
     if (failed) return false;
-    kept.term = term;
-    kept.voted_for = voted_for;
+    durable_state.term = term;
+    durable_state.voted_for = voted_for;
     return true;
   }
   void append(std::uint64_t first, std::vector<consensus::LogEntry> entries, WriteCallback done) override {
     write(std::move(done), [this, first, entries = std::move(entries)] {
-      kept.entries.resize(static_cast<std::size_t>(first - kept.first));
-      kept.entries.insert(kept.entries.end(), entries.begin(), entries.end());
+      durable_state.entries.resize(static_cast<std::size_t>(first - durable_state.first));
+      durable_state.entries.insert(durable_state.entries.end(), entries.begin(), entries.end());
     });
   }
   void truncate(std::uint64_t from) override {
     write({}, [this, from] {
-      if (from - kept.first < kept.entries.size())
-        kept.entries.resize(static_cast<std::size_t>(from - kept.first));
+      if (from - durable_state.first < durable_state.entries.size())
+        durable_state.entries.resize(static_cast<std::size_t>(from - durable_state.first));
     });
   }
   void save_snapshot(const consensus::LogSnapshot& snapshot, std::uint64_t first_retained,
                      WriteCallback done) override {
     write(std::move(done), [this, snapshot, first_retained] {
-      kept.snapshot = snapshot;
-      std::uint64_t drop = first_retained > kept.first ? first_retained - kept.first : 0;
-      std::size_t count = std::min<std::size_t>(drop, kept.entries.size());
-      kept.entries.erase(kept.entries.begin(), kept.entries.begin() + static_cast<long>(count));
-      kept.first = std::max(kept.first, first_retained);
+      durable_state.snapshot = snapshot;
+      std::uint64_t drop = first_retained > durable_state.first ? first_retained - durable_state.first : 0;
+      std::size_t count = std::min<std::size_t>(drop, durable_state.entries.size());
+      durable_state.entries.erase(durable_state.entries.begin(),
+                                  durable_state.entries.begin() + static_cast<long>(count));
+      durable_state.first = std::max(durable_state.first, first_retained);
     });
   }
-  void replace(const consensus::PersistentState& all) override { kept = all; }
+  void replace(const consensus::PersistentState& state) override { durable_state = state; }
 
-  // In order, each after a while; none of a process that is gone.
+  // Completes writes in order after a random delay; drops those of a process that has ended.
   void write(WriteCallback done, std::function<void()> what) {
-    free_at = std::max(free_at, world.now_) + world.between(kMs / 5, 4 * kMs);
-    world.later(free_at - world.now_,
-                [this, incarnation = incarnation, done = std::move(done), what = std::move(what)] {
-                  if (incarnation != this->incarnation) return;
-                  failed = failed || sick;
-                  if (!failed) what();
-                  if (done) done(!failed);
-                });
+    busy_until = std::max(busy_until, world.now_) + world.draw_duration(kMs / 5, 4 * kMs);
+    world.schedule(busy_until - world.now_,
+                   [this, incarnation = incarnation, done = std::move(done), what = std::move(what)] {
+                     if (incarnation != this->incarnation) return;
+                     failed = failed || has_write_fault;
+                     if (!failed) what();
+                     if (done) done(!failed);
+                   });
   }
 
   Simulation& world;
-  consensus::PersistentState kept;
-  consensus::PersistentState copy;
-  bool sick = false;
-  bool failed = false;  // something was not kept since the last load
+  consensus::PersistentState durable_state;
+  consensus::PersistentState old_state;
+  bool has_write_fault = false;
+  bool failed = false;  // a write has failed since the last load
   int incarnation = 0;
-  Nanos free_at = 0;
+  Nanos busy_until = 0;
 };
 
-struct Simulation::Line final : consensus::Transport {
-  Line(Simulation& of, int from_place) : world(of), from(from_place) {}
+// Sends Raft messages over the simulated network.
+struct Simulation::ReplicaTransport final : consensus::Transport {
+  ReplicaTransport(Simulation& of, int from_place) : world(of), from(from_place) {}
   void send(const consensus::PeerMessage& message, const std::string&) override;
   Simulation& world;
   int from;
 };
 
-struct Simulation::Control {
+// A control service replica with its disk, transport and proxy streams.
+struct Simulation::Replica {
   struct Stream {
     int number = 0;
-    std::uint64_t applied = 0;
-    std::uint64_t sent = 0;
-    bool sent_closed = false;
+    std::uint64_t applied_publication = 0;
+    std::uint64_t sent_publication = 0;
+    bool sent_all_closed = false;
   };
   int place = 0;
   std::unique_ptr<Disk> disk;
-  std::unique_ptr<Line> line;
+  std::unique_ptr<ReplicaTransport> transport;
   std::unique_ptr<releases::RolloutController> rollout_controller;
-  std::unique_ptr<ControlReplica> instance;  // none: it is dead
+  std::unique_ptr<ControlReplica> instance;  // null: the process has crashed
   Nanos paused_until = 0;
-  Nanos ahead = 0;  // of its clock
+  Nanos clock_offset = 0;  // of its clock against the virtual time
   int incarnation = 0;
-  Nanos up_since = 0;
-  bool retired = false;                        // its folder was too old
-  std::vector<std::function<void()>> waiting;  // came while it was paused
-  std::map<int, Stream> streams;               // by the proxy's place
-  std::map<std::string, std::uint64_t> left;   // proxies that left, and what they had
+  Nanos started_at = 0;
+  bool retired = false;                                   // it detected an old folder and was removed
+  std::vector<std::function<void()>> delayed_deliveries;  // messages received while paused
+  std::map<int, Stream> streams;                          // by the proxy's network place
+  std::map<std::string, std::uint64_t> departed_proxies;  // last publication number, by proxy
 };
 
-struct Simulation::Node {
+// A server that executes keyed requests.
+struct Simulation::Server {
   int place = 0;
   std::string name;
   std::uint64_t incarnation = 1;
   bool alive = true;
-  bool store = false;
+  bool has_store = false;
   std::uint64_t sequence = 0;
-  FencingGuard fence;
-  fencing::Epoch highest;
-  std::set<std::uint64_t> ran;
+  FencingGuard fencing_guard;
+  fencing::Epoch highest_epoch;
+  std::set<std::uint64_t> executed_requests;
   std::uint32_t version = 1;
-  bool chosen = false;  // out as it was told, until it is warm again
-  Nanos warm_at = 0;
-  std::uint64_t in_time = 0;
+  bool out_for_restart = false;  // restarted on an order and not yet warmed up
+  Nanos warm_until = 0;
+  std::uint64_t completed_in_time = 0;
 };
 
+// A proxy that routes requests by the publication it received last.
 struct Simulation::Proxy {
   int place = 0;
   std::string id;
-  std::shared_ptr<const routing::PublishedSnapshot> set;
+  std::shared_ptr<const routing::PublishedSnapshot> publication;
   bool closed = true;
-  int at = -1;  // the instance
+  int connected_replica = -1;  // network place; -1: not connected
   int stream = 0;
   Nanos cut_since = 0;
 };
 
-struct Simulation::Key {
+// A request with an idempotency key, and the places of the servers that executed it.
+struct Simulation::KeyedRequest {
   std::uint64_t number = 0;
-  std::string text;
-  Nanos born = 0;
-  std::vector<int> ran_at;
+  std::string key;
+  Nanos created_at = 0;
+  std::vector<int> executing_servers;
 };
 
 }  // namespace myrtlecroft::rehearsal
--- a/measure/agreement_world_replicas.cpp
+++ b/measure/agreement_world_replicas.cpp
@@ -1,110 +1,112 @@
-// Control replicas of the simulated world: start, crash, ticks and what they serve to proxies.
+// Control replicas of the simulation: starts, crashes, ticks and publications to proxies.
 #include "agreement_world_parts.h"
 
 namespace myrtlecroft::rehearsal {
 
-void Simulation::start(Control& control) {
-  if (control.retired) return;
+void Simulation::start_replica(Replica& replica) {
+  if (replica.retired) return;
   agreement::ReplicaOptions options;
-  options.id = static_cast<std::uint64_t>(control.place + 1);
-  options.address = std::to_string(control.place + 1);
+  options.id = static_cast<std::uint64_t>(replica.place + 1);
+  options.address = std::to_string(replica.place + 1);
   options.raft.fleet = "world";
-  options.raft.snapshot_threshold = 40;  // so that snapshots come often
+  options.raft.snapshot_threshold = 40;  // low, so that log snapshots are frequent
   options.raft.snapshot_trailing = 10;
-  control.instance = std::make_unique<ControlReplica>(
-      options, *control.disk, *control.line, fleet(), true, [this, &control] { return now_ + control.ahead; },
-      random_(), [](const std::string&) {});
-  control.rollout_controller = std::make_unique<releases::RolloutController>([](const std::string&) {});
-  control.instance->set_decision_contributor(control.rollout_controller.get());
-  control.instance->start();
-  control.up_since = now_;
-  int incarnation = ++control.incarnation;
-  later(between(0, kTick), [this, &control, incarnation] {
-    if (incarnation == control.incarnation) run_control(control);
+  replica.instance = std::make_unique<ControlReplica>(
+      options, *replica.disk, *replica.transport, fleet(), true,
+      [this, &replica] { return now_ + replica.clock_offset; }, random_(), [](const std::string&) {});
+  replica.rollout_controller = std::make_unique<releases::RolloutController>([](const std::string&) {});
+  replica.instance->set_decision_contributor(replica.rollout_controller.get());
+  replica.instance->start();
+  replica.started_at = now_;
+  int incarnation = ++replica.incarnation;
+  schedule(draw_duration(0, kTick), [this, &replica, incarnation] {
+    if (incarnation == replica.incarnation) tick_replica(replica);
   });
 }
 
-void Simulation::kill(Control& control) {
-  if (!control.instance) return;
-  control.instance.reset();
-  ++control.incarnation;
-  ++control.disk->incarnation;
-  control.waiting.clear();
-  control.paused_until = 0;
-  control.streams.clear();
-  control.left.clear();
+void Simulation::kill_replica(Replica& replica) {
+  if (!replica.instance) return;
+  replica.instance.reset();
+  ++replica.incarnation;
+  ++replica.disk->incarnation;
+  replica.delayed_deliveries.clear();
+  replica.paused_until = 0;
+  replica.streams.clear();
+  replica.departed_proxies.clear();
   for (auto& proxy : proxies_) {
-    if (proxy->at == control.place) proxy->at = -1;
+    if (proxy->connected_replica == replica.place) proxy->connected_replica = -1;
   }
 }
 
-void Simulation::run_control(Control& control) {
-  if (!control.instance) return;
-  int incarnation = control.incarnation;
-  if (control.paused_until > now_) {
-    later(control.paused_until - now_, [this, &control, incarnation] {
-      if (incarnation != control.incarnation) return;
-      auto waiting = std::exchange(control.waiting, {});
-      for (auto& one : waiting) one();
-      run_control(control);
+void Simulation::tick_replica(Replica& replica) {
+  if (!replica.instance) return;
+  int incarnation = replica.incarnation;
+  if (replica.paused_until > now_) {
+    schedule(replica.paused_until - now_, [this, &replica, incarnation] {
+      if (incarnation != replica.incarnation) return;
+      auto delayed_deliveries = std::exchange(replica.delayed_deliveries, {});
+      for (auto& one : delayed_deliveries) one();
+      tick_replica(replica);
     });
     return;
   }
-  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> words;
-  for (const auto& [place, stream] : control.streams) {
-    words.Add()->set_id("p" + std::to_string(place - 5000));
-    words.rbegin()->set_applied(stream.applied);
-    words.rbegin()->set_here(true);
+  google::protobuf::RepeatedPtrField<consensus::ProxyStatus> proxy_statuses;
+  for (const auto& [place, stream] : replica.streams) {
+    proxy_statuses.Add()->set_id("p" + std::to_string(place - 5000));
+    proxy_statuses.rbegin()->set_applied(stream.applied_publication);
+    proxy_statuses.rbegin()->set_here(true);
   }
-  control.instance->set_local_proxies(std::move(words));
-  control.instance->tick();
-  if (!control.instance->fault().empty()) {
+  replica.instance->set_local_proxies(std::move(proxy_statuses));
+  replica.instance->tick();
+  if (!replica.instance->fault().empty()) {
     ++result_.rejected_old_folders;
-    control.retired = true;
-    return kill(control);
+    replica.retired = true;
+    return kill_replica(replica);
   }
-  const agreement::ReplicatedState& state = control.instance->committed_state();
+  const agreement::ReplicatedState& state = replica.instance->committed_state();
   std::uint64_t number = state.epoch().number;
-  auto [seen, first] = digests_.emplace(number, 0);
+  auto [seen, is_first] = digest_by_epoch_.emplace(number, 0);
   std::uint64_t digest = state.digest();
-  if (first) seen->second = digest;
+  if (is_first) seen->second = digest;
   if (seen->second != digest) {
-    violate(result_.lost_entries, "instance " + std::to_string(control.place + 1) + " has another state at " +
-                                      std::to_string(number));
+    record_violation(result_.lost_entries, "instance " + std::to_string(replica.place + 1) +
+                                               " has a different state at epoch " + std::to_string(number));
   }
-  if (number > agreed_) track_leases(state);
-  agreed_ = std::max(agreed_, number);
-  result_.decisions = agreed_;
-  serve(control);
-  later(kTick, [this, &control, incarnation] {
-    if (incarnation == control.incarnation) run_control(control);
+  if (number > highest_agreed_epoch_) track_leases(state);
+  highest_agreed_epoch_ = std::max(highest_agreed_epoch_, number);
+  result_.decisions = highest_agreed_epoch_;
+  send_to_proxies(replica);
+  schedule(kTick, [this, &replica, incarnation] {
+    if (incarnation == replica.incarnation) tick_replica(replica);
   });
 }
 
-// The rule of the discovery service: what is agreed goes to those who are agreed; out of touch with a
-// majority, a stream that is new gets a set without an open shard, and the others nothing.
-void Simulation::serve(Control& control) {
-  auto set = control.instance->published();
-  if (!set) return;
-  bool touch = control.instance->has_quorum();
-  for (auto& [place, stream] : control.streams) {
+// Follows the rule of the discovery service: committed publications go to registered proxies. Without a
+// quorum, a new stream gets a publication with all shards closed, and other streams get nothing.
+void Simulation::send_to_proxies(Replica& replica) {
+  auto publication = replica.instance->published();
+  if (!publication) return;
+  bool has_quorum = replica.instance->has_quorum();
+  for (auto& [place, stream] : replica.streams) {
     Proxy& proxy = *proxies_[static_cast<std::size_t>(place - 5000)];
-    if (!control.instance->may_serve(proxy.id)) continue;
-    if (!touch && stream.sent > 0) continue;
-    if (touch && stream.sent == set->number && !stream.sent_closed) continue;
-    stream.sent = set->number;
-    stream.sent_closed = !touch;
+    if (!replica.instance->may_serve(proxy.id)) continue;
+    if (!has_quorum && stream.sent_publication > 0) continue;
+    if (has_quorum && stream.sent_publication == publication->number && !stream.sent_all_closed) continue;
+    stream.sent_publication = publication->number;
+    stream.sent_all_closed = !has_quorum;
     int number = stream.number;
-    this->stream(control.place, place, [this, &control, &proxy, number, set, closed = !touch] {
-      if (proxy.at != control.place || proxy.stream != number) return;
-      proxy.set = set;
-      proxy.closed = closed;
-      this->stream(proxy.place, control.place, [&control, &proxy, number, set] {
-        auto found = control.streams.find(proxy.place);
-        if (found == control.streams.end() || found->second.number != number) return;
-        found->second.applied = std::max(found->second.applied, set->number);
-      });
-    });
+    this->send_on_stream(
+        replica.place, place, [this, &replica, &proxy, number, publication, closed = !has_quorum] {
+          if (proxy.connected_replica != replica.place || proxy.stream != number) return;
+          proxy.publication = publication;
+          proxy.closed = closed;
+          this->send_on_stream(proxy.place, replica.place, [&replica, &proxy, number, publication] {
+            auto found = replica.streams.find(proxy.place);
+            if (found == replica.streams.end() || found->second.number != number) return;
+            found->second.applied_publication =
+                std::max(found->second.applied_publication, publication->number);
+          });
+        });
   }
 }
 
--- a/measure/demo.cpp
+++ b/measure/demo.cpp
@@ -1,14 +1,14 @@
-// A demonstration: four servers, their engines, a database, control and two proxies on this machine; one
-// server's engine falls silent.
+// Demonstration on this machine: four servers with stand-in engines and a database, the control service and
+// two proxies. The engine of one server stops answering.
 #include <cstdio>
 
 #include "rehearsal.h"
 
 int main() {
   using namespace myrtlecroft::measure;
-  std::printf("four nodes, two proxies, about 20 s; n3's engine will take work and answer none\n");
-  Figures figures = play({.short_one = true, .per_second = 220});
-  std::printf("%s\ncompleted %d of %d, benefit %.3f; lost %d, run twice %d\n", figures.table.c_str(),
-              figures.completed, figures.offered, figures.priority_weight, figures.lost, figures.doubled);
-  return figures.lost == 0 && figures.doubled == 0 ? 0 : 1;
+  std::printf("four servers, two proxies, about 20 s; the engine of n3 will accept work and not answer\n");
+  RehearsalResult result = play({.single_fault = true, .requests_per_s = 220});
+  std::printf("%s\ncompleted %d of %d, benefit %.3f; lost %d, duplicate runs %d\n", result.table.c_str(),
+              result.completed, result.offered, result.benefit, result.lost_requests, result.duplicate_runs);
+  return result.lost_requests == 0 && result.duplicate_runs == 0 ? 0 : 1;
 }
--- a/measure/measure_ready.cpp
+++ b/measure/measure_ready.cpp
@@ -1,5 +1,5 @@
-// 30 servers killed and started again together: how soon they are ready, with the engine up at once and late,
-// and with the membership service up and down.
+// Measures the time to readiness of 30 servers that are killed and restarted together, with engines that are
+// up at once or 3 s late, and with the membership service up or down.
 #include <algorithm>
 #include <cstdio>
 
@@ -7,27 +7,28 @@
 
 int main() {
   using namespace myrtlecroft;
-  std::size_t fewest = 30;
-  double worst = 0;
-  double worst_own = 0;
+  std::size_t fewest_ready = 30;
+  double max_p90_ms = 0;
+  double max_own_p90_ms = 0;
   int crashed = 0;
   for (bool membership : {true, false}) {
-    for (Nanos after : {Nanos{0}, 3 * kSecond}) {
-      measure::ReadyResult got = measure::play_ready({.engine_after = after, .membership = membership});
+    for (Nanos startup_delay : {Nanos{0}, 3 * kSecond}) {
+      measure::ReadyResult result =
+          measure::play_ready({.engine_after = startup_delay, .membership = membership});
       using measure::ReadyResult;
       std::printf(
-          "engine after %lld ms, membership %s: ready %zu of 30, p50 %.0f p90 %.0f ms; of it the program's "
+          "engine after %lld ms, membership %s: ready %zu of 30, p50 %.0f p90 %.0f ms; the server's own "
           "p90 "
           "%.0f ms; completed %d, crashed %d\n",
-          static_cast<long long>(after / kMs), membership ? "up" : "down", got.ready_ms.size(),
-          ReadyResult::at(got.ready_ms, 0.5), ReadyResult::at(got.ready_ms, 0.9),
-          ReadyResult::at(got.own_ms, 0.9), got.completed, got.crashed);
-      fewest = std::min(fewest, got.ready_ms.size());
-      worst = std::max(worst, ReadyResult::at(got.ready_ms, 0.9));
-      worst_own = std::max(worst_own, ReadyResult::at(got.own_ms, 0.9));
-      crashed += got.crashed;
+          static_cast<long long>(startup_delay / kMs), membership ? "up" : "down", result.ready_ms.size(),
+          ReadyResult::at(result.ready_ms, 0.5), ReadyResult::at(result.ready_ms, 0.9),
+          ReadyResult::at(result.own_ms, 0.9), result.completed, result.crashed);
+      fewest_ready = std::min(fewest_ready, result.ready_ms.size());
+      max_p90_ms = std::max(max_p90_ms, ReadyResult::at(result.ready_ms, 0.9));
+      max_own_p90_ms = std::max(max_own_p90_ms, ReadyResult::at(result.own_ms, 0.9));
+      crashed += result.crashed;
     }
   }
-  std::printf("measured ready nodes=30 fewest_ready=%zu p90_ms=%.0f own_p90_ms=%.0f crashed=%d\n", fewest,
-              worst, worst_own, crashed);
+  std::printf("measured ready nodes=30 fewest_ready=%zu p90_ms=%.0f own_p90_ms=%.0f crashed=%d\n",
+              fewest_ready, max_p90_ms, max_own_p90_ms, crashed);
 }
--- a/measure/measure_store.cpp
+++ b/measure/measure_store.cpp
@@ -1,6 +1,6 @@
-// What the store costs and keeps, on files: appends with shared syncs, recovery of a gigabyte with and
-// without hints, commits beside compaction, and kills at random moments. Beside it, as the baseline, a plain
-// log with one sync for each append and a full scan at the start.
+// Measures the cost and durability of the store on files: appends with group commit, recovery of a gigabyte
+// with and without hint files, commits during compaction, and kills at random moments. The baseline is a
+// plain log with one sync for each append and a full scan at the start.
 #include <fcntl.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -37,16 +37,16 @@
 using recovery::Event;
 using recovery::IdempotencyRecords;
 
-constexpr Nanos kLong = 1'000'000 * kSecond;
+constexpr Nanos kLongWindow = 1'000'000 * kSecond;
 
-Nanos steady() { return std::chrono::steady_clock::now().time_since_epoch().count(); }
-double seconds_since(Nanos then) { return static_cast<double>(steady() - then) / 1e9; }
+Nanos steady_now() { return std::chrono::steady_clock::now().time_since_epoch().count(); }
+double seconds_since(Nanos then) { return static_cast<double>(steady_now() - then) / 1e9; }
 
-struct Folder {
-  explicit Folder(const std::string& base) : path(base + "/myrtlecroft_measure_store.XXXXXX") {
-    if (!mkdtemp(path.data())) throw DiskError(path + ": can't be made", errno);
+struct TemporaryFolder {
+  explicit TemporaryFolder(const std::string& base) : path(base + "/myrtlecroft_measure_store.XXXXXX") {
+    if (!mkdtemp(path.data())) throw DiskError(path + ": can't create the folder", errno);
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
@@ -56,40 +56,40 @@
   return values[static_cast<std::size_t>(at * static_cast<double>(values.size() - 1))];
 }
 
-// Commits by `width` at once, each put again as soon as it is durable, for so long.
-struct Load {
+// Result of measure_appends(), where `width` concurrent writers each put a record once their last is durable.
+struct AppendResult {
   double per_second = 0;
   double p99_ms = 0;
   double sync_per_append = 0;
-  double amplification = 0;
+  double write_amplification = 0;
 };
-Load load(const std::string& folder, int width, std::size_t bytes, Nanos how_long, Nanos window,
-          bool compacting) {
+AppendResult measure_appends(const std::string& folder, int width, std::size_t bytes, Nanos duration,
+                             Nanos window, bool compacting) {
   FileDisk disk(folder);
   StoreOptions options{.segment_bytes = std::size_t{8} << 20};
   if (!compacting) options.dead_share = 2, options.max_small_segments = 1'000'000;
-  Store store(disk, options, steady, 1);
+  Store store(disk, options, steady_now, 1);
   store.open();
   std::vector<double> took;
   std::uint64_t done = 0;
   StoreStats before = store.stats();
   {
-    std::atomic<bool> woken = false;
-    GroupCommitter committer(store, {}, steady, [&] { woken = true; });
-    Nanos begun = steady();
+    std::atomic<bool> has_completions = false;
+    GroupCommitter committer(store, {}, steady_now, [&] { has_completions = true; });
+    Nanos started_at = steady_now();
     std::mt19937 random(3);
     std::function<void(int)> put = [&](int slot) {
-      Nanos since = steady();
+      Nanos since = steady_now();
       committer.put("key" + std::to_string(compacting ? random() % 20'000 : done), std::string(bytes, 'v'),
                     window, [&, slot, since](bool durable) {
                       if (durable) ++done;
-                      took.push_back(static_cast<double>(steady() - since) / 1e6);
-                      if (steady() - begun < how_long) put(slot);
+                      took.push_back(static_cast<double>(steady_now() - since) / 1e6);
+                      if (steady_now() - started_at < duration) put(slot);
                     });
     };
     for (int slot = 0; slot < width; ++slot) put(slot);
-    while (steady() - begun < how_long + 200 * kMs) {
-      if (woken.exchange(false)) {
+    while (steady_now() - started_at < duration + 200 * kMs) {
+      if (has_completions.exchange(false)) {
         committer.deliver_completions();
       } else {
         std::this_thread::sleep_for(std::chrono::microseconds(50));
@@ -97,48 +97,49 @@
     }
     committer.deliver_completions();
   }
-  Load out;
+  AppendResult out;
   const StoreStats& totals = store.stats();
-  out.per_second = static_cast<double>(done) / (static_cast<double>(how_long) / 1e9);
+  out.per_second = static_cast<double>(done) / (static_cast<double>(duration) / 1e9);
   out.p99_ms = quantile(took, 0.99);
   out.sync_per_append = static_cast<double>(totals.syncs - before.syncs) /
                         static_cast<double>(std::max<std::uint64_t>(done, 1));
-  out.amplification = static_cast<double>(totals.written_bytes) /
-                      static_cast<double>(std::max<std::uint64_t>(totals.appended_bytes, 1));
+  out.write_amplification = static_cast<double>(totals.written_bytes) /
+                            static_cast<double>(std::max<std::uint64_t>(totals.appended_bytes, 1));
   return out;
 }
 
-// A gigabyte of records of 1,000 bytes; the time to know them all again, by hints and by reading.
-void recovery_of_a_gigabyte(const std::string& folder, double& by_hint_s, double& by_scan_s) {
+// Measures the time to recover a gigabyte of 1,000-byte records, by hint files and by a scan of the segments.
+// A time is -1 where not all records were recovered.
+void measure_recovery(const std::string& folder, double& by_hint_s, double& by_scan_s) {
   {
     FileDisk disk(folder);
-    Store store(disk, {}, steady, 2);
+    Store store(disk, {}, steady_now, 2);
     store.open();
     for (int i = 0; i < 1'000'000; ++i) {
-      store.put("key" + std::to_string(i), std::string(1'000, 'v'), kLong);
+      store.put("key" + std::to_string(i), std::string(1'000, 'v'), kLongWindow);
       if (i % 5'000 == 4'999) store.commit();
     }
   }
-  // Each in a process of its own, as a start is, after the disk has caught up.
+  // Each recovery runs in a new process, like a real start, after pending writes are on disk.
   auto open = [&] {
     ::sync();
-    int ends[2];
-    if (::pipe(ends) != 0) return -1.0;
+    int pipe_ends[2];
+    if (::pipe(pipe_ends) != 0) return -1.0;
     pid_t child = ::fork();
     if (child == 0) {
-      Nanos begun = steady();
+      Nanos started_at = steady_now();
       FileDisk disk(folder);
-      Store store(disk, {}, steady, 3);
+      Store store(disk, {}, steady_now, 3);
       RecoveryStats found = store.open();
-      double took = found.live_records == 1'000'000 ? seconds_since(begun) : -1;
-      if (::write(ends[1], &took, sizeof took) < 0) ::_exit(1);
+      double took = found.live_records == 1'000'000 ? seconds_since(started_at) : -1;
+      if (::write(pipe_ends[1], &took, sizeof took) < 0) ::_exit(1);
       ::_exit(0);
     }
     double took = -1;
-    if (::read(ends[0], &took, sizeof took) < 0) took = -1;
+    if (::read(pipe_ends[0], &took, sizeof took) < 0) took = -1;
     ::waitpid(child, nullptr, 0);
-    ::close(ends[0]);
-    ::close(ends[1]);
+    ::close(pipe_ends[0]);
+    ::close(pipe_ends[1]);
     return took;
   };
   by_hint_s = open();
@@ -148,28 +149,29 @@
   by_scan_s = open();
 }
 
-// ---- The baseline: one file, one sync for each append, read whole at the start.
+// ---- The baseline: one file, one sync for each append, a full scan at the start
 
-double plain_log(const std::string& folder, std::size_t bytes, Nanos how_long, double& recover_gb_s) {
+double measure_plain_log(const std::string& folder, std::size_t bytes, Nanos duration, double& recover_gb_s) {
   std::string path = folder + "/plain.log";
   int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   std::string value(bytes, 'v');
   std::uint64_t done = 0;
-  for (Nanos begun = steady(); steady() - begun < how_long; ++done) {
+  for (Nanos started_at = steady_now(); steady_now() - started_at < duration; ++done) {
     std::string record;
     append_record(
-        record, {.sequence = done + 1, .window = kLong, .key = "key" + std::to_string(done), .value = value},
+        record,
+        {.sequence = done + 1, .window = kLongWindow, .key = "key" + std::to_string(done), .value = value},
         {});
     if (::write(file, record.data(), record.size()) < 0 || ::fdatasync(file) != 0) return -1;
   }
   ::close(file);
-  // Its start over a gigabyte.
+  // Measures the start with a gigabyte.
   file = ::open(path.c_str(), O_WRONLY | O_TRUNC, 0600);
   std::string chunk;
   for (std::uint64_t i = 0; i < 1'000'000; ++i) {
     append_record(chunk,
                   {.sequence = i + 1,
-                   .window = kLong,
+                   .window = kLongWindow,
                    .key = "key" + std::to_string(i),
                    .value = std::string(1'000, 'v')},
                   {});
@@ -179,9 +181,9 @@
     }
   }
   ::close(file);
-  Nanos begun = steady();
+  Nanos started_at = steady_now();
   std::ifstream in(path, std::ios::binary);
-  std::unordered_map<std::string, std::string> known;
+  std::unordered_map<std::string, std::string> index;
   std::string bytes_read;
   std::vector<char> buffer(std::size_t{1} << 20);
   while (in.read(buffer.data(), static_cast<std::streamsize>(buffer.size())), in.gcount() > 0) {
@@ -190,125 +192,126 @@
     for (;;) {
       ParsedRecord parsed = read_record(std::string_view(bytes_read).substr(at), {});
       if (parsed.status != ParseStatus::kRecord) break;
-      known[parsed.record.key] = parsed.record.value;
+      index[parsed.record.key] = parsed.record.value;
       at += parsed.size;
     }
     bytes_read.erase(0, at);
   }
-  recover_gb_s = seconds_since(begun);
-  if (known.size() != 1'000'000) std::printf("baseline read %zu of 1000000\n", known.size());
+  recover_gb_s = seconds_since(started_at);
+  if (index.size() != 1'000'000) std::printf("baseline read %zu of 1000000\n", index.size());
   std::filesystem::remove(path);
-  return static_cast<double>(done) / (static_cast<double>(how_long) / 1e9);
+  return static_cast<double>(done) / (static_cast<double>(duration) / 1e9);
 }
 
 // ---- Kills
 
-// One life: takes keys from 1 up, writes intents, "runs" by a line on the pipe, writes outcomes. What its
-// callers were told goes over the pipe as well. It lives until it is killed.
-[[noreturn]] void incarnation(const std::string& folder, int out, unsigned seed, int keys) {
+// One incarnation, in a child process that runs until it is killed. For random keys it writes the intent,
+// runs the request by sending a line on the pipe, and writes the outcome. Its answers to callers are also
+// sent as lines: S started, R run, A answered, X answered with a wrong result, T outcome unknown.
+[[noreturn]] void run_store_process(const std::string& folder, int out, unsigned seed, int keys) {
   FileDisk disk(folder);
-  Store store(disk, {.segment_bytes = 200'000}, steady, seed);
+  Store store(disk, {.segment_bytes = 200'000}, steady_now, seed);
   store.open();
   IdempotencyRecords records;
   store.for_each([&](const Record& record) { records.restore(record.key, record.value, record.window); });
-  auto tell = [&](char what, const std::string& key) {
-    std::string line = what + key + "\n";
+  auto send_line = [&](char event, const std::string& key) {
+    std::string line = event + key + "\n";
     if (::write(out, line.data(), line.size()) < 0) ::_exit(1);
   };
-  std::atomic<bool> woken = false;
-  GroupCommitter committer(store, {}, steady, [&] { woken = true; });
+  std::atomic<bool> has_completions = false;
+  GroupCommitter committer(store, {}, steady_now, [&] { has_completions = true; });
   std::mt19937 random(seed);
-  tell('S', "");
-  std::function<void(const std::string&)> want = [&](const std::string& key) {
-    switch (records.handle(key, Event::kRequested, {.window = kLong})) {
+  send_line('S', "");
+  std::function<void(const std::string&)> request = [&](const std::string& key) {
+    switch (records.handle(key, Event::kRequested, {.window = kLongWindow})) {
       case Action::kRecordIntent:
-        committer.put(key, records.encoded(key), kLong, [&, key](bool durable) {
+        committer.put(key, records.encoded(key), kLongWindow, [&, key](bool durable) {
           if (records.handle(key, durable ? Event::kWriteDurable : Event::kWriteLost) != Action::kRun) return;
-          tell('R', key);  // its effect
+          send_line('R', key);  // the effect of the run
           records.handle(key, Event::kRunCompleted, {.result = "of " + key});
-          committer.put(key, records.encoded(key), kLong, [&, key](bool kept) {
-            if (kept) tell('A', key);  // answered only now: what was told to be done stays done
+          committer.put(key, records.encoded(key), kLongWindow, [&, key](bool is_durable) {
+            if (is_durable) send_line('A', key);  // answers only once the outcome is durable
           });
         });
         return;
       case Action::kAnswer:
-        tell(records.find(key)->result == "of " + key ? 'A' : 'X', key);
+        send_line(records.find(key)->result == "of " + key ? 'A' : 'X', key);
         return;
       case Action::kFail:
-        tell('T', key);
+        send_line('T', key);
         return;
       default:
         return;
     }
   };
   for (;;) {
-    for (int i = 0; i < 20; ++i) want("k" + std::to_string(random() % static_cast<unsigned>(keys)));
+    for (int i = 0; i < 20; ++i) request("k" + std::to_string(random() % static_cast<unsigned>(keys)));
     std::this_thread::sleep_for(std::chrono::microseconds(200));
-    if (woken.exchange(false)) committer.deliver_completions();
+    if (has_completions.exchange(false)) committer.deliver_completions();
   }
 }
 
-void kills(const std::string& folder, int count, int& doubled, int& lost, int& runs) {
-  std::map<std::string, int> ran;
-  std::map<std::string, bool> answered;
+void measure_kills(const std::string& folder, int count, int& duplicate_runs, int& lost, int& runs) {
+  std::map<std::string, int> run_counts;
+  std::map<std::string, bool> was_answered;
   std::mt19937 random(9);
   for (int i = 0; i < count; ++i) {
-    int ends[2];
-    if (::pipe(ends) != 0) return;
+    int pipe_ends[2];
+    if (::pipe(pipe_ends) != 0) return;
     pid_t child = ::fork();
     if (child == 0) {
-      ::close(ends[0]);
-      incarnation(folder, ends[1], 100 + static_cast<unsigned>(i), 400 * (i / 4 + 1));
+      ::close(pipe_ends[0]);
+      run_store_process(folder, pipe_ends[1], 100 + static_cast<unsigned>(i), 400 * (i / 4 + 1));
     }
-    ::close(ends[1]);
+    ::close(pipe_ends[1]);
     std::string text;
     char buffer[65'536];
     bool started = false;
     Nanos until = 0;
-    fcntl(ends[0], F_SETFL, O_NONBLOCK);
+    fcntl(pipe_ends[0], F_SETFL, O_NONBLOCK);
     for (;;) {
-      ssize_t got = ::read(ends[0], buffer, sizeof buffer);
-      if (got > 0) text.append(buffer, static_cast<std::size_t>(got));
+      ssize_t received = ::read(pipe_ends[0], buffer, sizeof buffer);
+      if (received > 0) text.append(buffer, static_cast<std::size_t>(received));
       if (!started && text.find("S\n") != std::string::npos) {
         started = true;
-        until = steady() + static_cast<Nanos>(random() % 60'000) * 1'000;
+        until = steady_now() + static_cast<Nanos>(random() % 60'000) * 1'000;
       }
-      if (started && steady() >= until) break;
-      if (got <= 0) std::this_thread::sleep_for(std::chrono::microseconds(100));
+      if (started && steady_now() >= until) break;
+      if (received <= 0) std::this_thread::sleep_for(std::chrono::microseconds(100));
     }
     ::kill(child, SIGKILL);
     ::waitpid(child, nullptr, 0);
-    fcntl(ends[0], F_SETFL, 0);
-    for (ssize_t got; (got = ::read(ends[0], buffer, sizeof buffer)) > 0;)
-      text.append(buffer, static_cast<std::size_t>(got));
-    ::close(ends[0]);
+    fcntl(pipe_ends[0], F_SETFL, 0);
+    for (ssize_t received; (received = ::read(pipe_ends[0], buffer, sizeof buffer)) > 0;)
+      text.append(buffer, static_cast<std::size_t>(received));
+    ::close(pipe_ends[0]);
     for (std::size_t at = 0, end; (end = text.find('\n', at)) != std::string::npos; at = end + 1) {
       std::string key = text.substr(at + 1, end - at - 1);
-      if (text[at] == 'R' && ++ran[key] > 1) ++doubled;
-      if (text[at] == 'A') answered[key] = true;
-      // Told to be done once, and not known to be later.
-      if ((text[at] == 'T' && answered[key]) || text[at] == 'X') ++lost;
+      if (text[at] == 'R' && ++run_counts[key] > 1) ++duplicate_runs;
+      if (text[at] == 'A') was_answered[key] = true;
+      // Answered as done once, but its outcome unknown or wrong later.
+      if ((text[at] == 'T' && was_answered[key]) || text[at] == 'X') ++lost;
     }
   }
-  for (const auto& [key, times] : ran) runs += times;
+  for (const auto& [key, times] : run_counts) runs += times;
 }
 
-// ---- The whole server killed under load, with a stand-in engine that counts what runs
+// ---- Kills of the whole server under load, with a stand-in engine that counts the runs
 
-class NodeKills {
+class ServerKills {
  public:
-  struct Figures {
-    int kills = 0;
+  struct Counts {
+    int kill_count = 0;
     int runs = 0;
-    int doubled = 0;
+    int duplicate_runs = 0;
     int rejected_after_run = 0;
-    int answered_again = 0;  // from a record, with no run in this life
+    int answered_from_record = 0;  // from a record, without a run in this incarnation
     int terminated = 0;
   };
-  explicit NodeKills(const std::string& folder)
+  explicit ServerKills(const std::string& folder)
       : folder_(folder),
         random_(13),
-        engine_(loop_, log_, "n1", 4, [this](const standin::ObservedRun& run) { ran(run.key); }),
+        engine_(loop_, log_, "n1", 4, [this](const standin::ObservedRun& run) { record_run(run.key); }),
         database_(loop_, log_),
         tick_(loop_.base(), [this] { tick(); }) {
     port_ = 26'000 + static_cast<int>(::getpid()) % 5'000;
@@ -326,50 +329,50 @@
          .family = R"("nCores":4,"ramKb":400000,"blowup":8,"keyKb":0.1,"idleNs":30000000000)"});
   }
 
-  Figures run(int kills) {
-    for (int i = 0; i < kills; ++i) {
-      ran_here_.clear();
-      keys_ = 60 * (i / 3 + 1);
+  Counts run(int count) {
+    for (int i = 0; i < count; ++i) {
+      executed_by_this_process_.clear();
+      key_count_ = 60 * (i / 3 + 1);
       engine_.restart(0);
-      standin::ChildProcess node(
+      standin::ChildProcess server(
           {MYRTLECROFT_PROGRAM}, folder_ + "/node.log",
           {{"LB_CONFIG", folder_ + "/node.json"}, {"MYRTLECROFT_SETTINGS", folder_ + "/node.conf"}});
-      first_answer_ = 0;
-      last_ = static_cast<Nanos>(random_() % 120'000) * 1'000;
-      begun_ = loop_.now();
+      first_answer_at_ = 0;
+      load_duration_ = static_cast<Nanos>(random_() % 120'000) * 1'000;
+      started_at_ = loop_.now();
       tick_.set(0);
       loop_.run();
-      node.end(SIGKILL);
-      // What was on its way still comes.
-      net::Timer enough(loop_.base(), [this] { loop_.stop(); });
-      enough.set(20 * kMs);
+      server.end(SIGKILL);
+      // Runs that were already sent to the engine still arrive.
+      net::Timer settle_timer(loop_.base(), [this] { loop_.stop(); });
+      settle_timer.set(20 * kMs);
       loop_.run();
       caller_.reset();
-      figures_.kills += first_answer_ != 0;
+      counts_.kill_count += first_answer_at_ != 0;
     }
-    for (const auto& [key, times] : ran_) figures_.runs += times;
-    return figures_;
+    for (const auto& [key, times] : runs_by_key_) counts_.runs += times;
+    return counts_;
   }
 
  private:
   class Caller final : public net::ConnectionOwner {
    public:
-    explicit Caller(NodeKills& all)
-        : all_(all), connection_(all.loop_.base(), all.address(), *this, all.log_, "caller") {}
+    explicit Caller(ServerKills& owner)
+        : owner_(owner), connection_(owner.loop_.base(), owner.address(), *this, owner.log_, "caller") {}
     void opened(net::Connection&) override { up_ = true; }
     std::size_t bytes_received(net::Connection&, std::string_view bytes) override {
       return standin::for_each_fastcgi_record(bytes,
                                               [this](std::uint8_t type, int id, std::string_view content) {
                                                 if (type == standin::kFastCgiStdout) answers_[id] += content;
                                                 if (type != standin::kFastCgiEndRequest) return;
-                                                all_.answered(open_[id], answers_[id]);
+                                                owner_.record_answer(open_[id], answers_[id]);
                                                 open_.erase(id), answers_.erase(id);
                                               });
     }
-    void ended(net::Connection&, net::CloseReason) override { gone_ = true; }
-    bool gone() const { return gone_; }
+    void ended(net::Connection&, net::CloseReason) override { ended_ = true; }
+    bool has_ended() const { return ended_; }
     void send(const std::string& key, std::uint64_t trace) {
-      if (!up_ || gone_ || open_.size() >= 30) return;
+      if (!up_ || ended_ || open_.size() >= 30) return;
       int id = 1;
       while (open_.contains(id)) ++id;
       open_[id] = key;
@@ -383,42 +386,43 @@
     }
 
    private:
-    NodeKills& all_;
+    ServerKills& owner_;
     net::Connection connection_;
     std::map<int, std::string> open_;
     std::map<int, std::string> answers_;
     bool up_ = false;
-    bool gone_ = false;
+    bool ended_ = false;
   };
 
   sockaddr_in address() const { return net::loopback(static_cast<std::uint16_t>(port_)); }
   void tick() {
     Nanos now = loop_.now();
-    bool over = first_answer_ ? now - first_answer_ >= last_ : now - begun_ >= 5 * kSecond;
-    if (over) return loop_.stop();
+    bool is_over =
+        first_answer_at_ ? now - first_answer_at_ >= load_duration_ : now - started_at_ >= 5 * kSecond;
+    if (is_over) return loop_.stop();
     tick_.set(kMs);
-    if (caller_ && caller_->gone()) caller_.reset();
+    if (caller_ && caller_->has_ended()) caller_.reset();
     if (!caller_) caller_ = std::make_unique<Caller>(*this);
     for (int i = 0; i < 2; ++i) {
       char key[17];
       std::snprintf(key, sizeof key, "%016x",
-                    1 + static_cast<unsigned>(random_()) % static_cast<unsigned>(keys_));
-      caller_->send(key, ++traces_);
+                    1 + static_cast<unsigned>(random_()) % static_cast<unsigned>(key_count_));
+      caller_->send(key, ++last_trace_);
     }
   }
-  void ran(const std::string& key) {
-    if (++ran_[key] > 1) ++figures_.doubled;
-    ran_here_.insert(key);
+  void record_run(const std::string& key) {
+    if (++runs_by_key_[key] > 1) ++counts_.duplicate_runs;
+    executed_by_this_process_.insert(key);
   }
-  void answered(const std::string& key, const std::string& answer) {
-    if (!first_answer_) first_answer_ = loop_.now();
-    bool ran_before = ran_.contains(key) && !ran_here_.contains(key);
+  void record_answer(const std::string& key, const std::string& answer) {
+    if (!first_answer_at_) first_answer_at_ = loop_.now();
+    bool ran_before = runs_by_key_.contains(key) && !executed_by_this_process_.contains(key);
     if (answer.starts_with("Status: 200")) {
-      figures_.answered_again += ran_before;
+      counts_.answered_from_record += ran_before;
     } else if (answer.starts_with("Status: 503")) {
-      figures_.rejected_after_run += ran_.contains(key);
+      counts_.rejected_after_run += runs_by_key_.contains(key);
     } else {
-      ++figures_.terminated;
+      ++counts_.terminated;
     }
   }
 
@@ -430,78 +434,80 @@
   standin::Database database_;
   net::Timer tick_;
   int port_ = 0;
-  int keys_ = 0;
+  int key_count_ = 0;
   std::unique_ptr<Caller> caller_;
-  std::map<std::string, int> ran_;
-  std::set<std::string> ran_here_;
-  std::uint64_t traces_ = 0;
-  Nanos begun_ = 0;
-  Nanos first_answer_ = 0;
-  Nanos last_ = 0;
-  Figures figures_;
+  std::map<std::string, int> runs_by_key_;
+  std::set<std::string> executed_by_this_process_;
+  std::uint64_t last_trace_ = 0;
+  Nanos started_at_ = 0;
+  Nanos first_answer_at_ = 0;
+  Nanos load_duration_ = 0;
+  Counts counts_;
 };
 
 }  // namespace
 
-// Arguments: a folder on the disk to measure (the current one when left out), how many kills.
+// Arguments: a folder on the disk to measure (default: the current one), number of kills.
 int main(int argc, char** argv) {
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::string base = argc > 1 ? argv[1] : ".";
-  int kill_count = argc > 2 ? std::atoi(argv[2]) : 120;
-  int doubled = 0;
+  int kill_target = argc > 2 ? std::atoi(argv[2]) : 120;
+  int duplicate_runs = 0;
   int lost = 0;
   int runs = 0;
   {
-    Folder folder(base);
-    kills(folder.path, kill_count, doubled, lost, runs);
+    TemporaryFolder folder(base);
+    measure_kills(folder.path, kill_target, duplicate_runs, lost, runs);
   }
-  std::printf("kills %d, runs %d, doubled %d, lost %d\n", kill_count, runs, doubled, lost);
-  NodeKills::Figures node;
+  std::printf("kills %d, runs %d, doubled %d, lost %d\n", kill_target, runs, duplicate_runs, lost);
+  ServerKills::Counts server;
   {
-    Folder folder(base);
-    node = NodeKills(folder.path).run(kill_count);
+    TemporaryFolder folder(base);
+    server = ServerKills(folder.path).run(kill_target);
   }
   std::printf(
-      "the node killed %d times: runs %d, doubled %d, denied after a run %d; answered from a record %d, "
+      "server killed %d times: runs %d, duplicate runs %d, rejected after a run %d; answered from a record "
+      "%d, "
       "terminated %d\n",
-      node.kills, node.runs, node.doubled, node.rejected_after_run, node.answered_again, node.terminated);
-  Load quiet;
-  Load busy;
+      server.kill_count, server.runs, server.duplicate_runs, server.rejected_after_run,
+      server.answered_from_record, server.terminated);
+  AppendResult quiet;
+  AppendResult busy;
   {
-    Folder folder(base);
-    quiet = load(folder.path, 256, 500, 5 * kSecond, kLong, false);
+    TemporaryFolder folder(base);
+    quiet = measure_appends(folder.path, 256, 500, 5 * kSecond, kLongWindow, false);
   }
   std::printf("appends without compaction: %.0f a second, p99 %.2f ms, %.4f syncs each\n", quiet.per_second,
               quiet.p99_ms, quiet.sync_per_append);
   {
-    Folder folder(base);
-    busy = load(folder.path, 256, 500, 5 * kSecond, 3 * kSecond, true);
+    TemporaryFolder folder(base);
+    busy = measure_appends(folder.path, 256, 500, 5 * kSecond, 3 * kSecond, true);
   }
-  std::printf("with compaction (20,000 keys over and over): %.0f a second, p99 %.2f ms, amplification %.2f\n",
-              busy.per_second, busy.p99_ms, busy.amplification);
+  std::printf("with compaction (20,000 keys, overwritten): %.0f a second, p99 %.2f ms, amplification %.2f\n",
+              busy.per_second, busy.p99_ms, busy.write_amplification);
   double plain_recover = 0;
   double plain = 0;
   {
-    Folder folder(base);
-    plain = plain_log(folder.path, 500, 3 * kSecond, plain_recover);
+    TemporaryFolder folder(base);
+    plain = measure_plain_log(folder.path, 500, 3 * kSecond, plain_recover);
   }
-  std::printf("baseline, a plain log: %.0f appends a second, a gigabyte read in %.2f s\n", plain,
+  std::printf("baseline, a plain log: %.0f appends a second, a gigabyte scanned in %.2f s\n", plain,
               plain_recover);
   double by_hint = 0;
   double by_scan = 0;
   {
-    Folder folder(base);
-    recovery_of_a_gigabyte(folder.path, by_hint, by_scan);
+    TemporaryFolder folder(base);
+    measure_recovery(folder.path, by_hint, by_scan);
   }
-  std::printf("a gigabyte: by hints %.2f s, read %.2f s\n", by_hint, by_scan);
+  std::printf("recovery of a gigabyte: by hint files %.2f s, by a scan %.2f s\n", by_hint, by_scan);
   std::printf(
       "measured store recover_1gb_s=%.2f recover_scan_1gb_s=%.2f appends_per_s=%.0f commit_p99_ms=%.2f "
       "sync_per_append=%.4f "
       "write_amplification=%.2f compaction_p99_ratio=%.2f kills=%d doubled=%d lost=%d "
       "baseline_appends_per_s=%.0f "
       "baseline_recover_1gb_s=%.2f\n",
-      by_hint, by_scan, quiet.per_second, quiet.p99_ms, quiet.sync_per_append, busy.amplification,
-      busy.p99_ms / quiet.p99_ms, kill_count + node.kills, doubled + node.doubled,
-      lost + node.rejected_after_run, plain, plain_recover);
-  return doubled || lost || node.doubled || node.rejected_after_run;
+      by_hint, by_scan, quiet.per_second, quiet.p99_ms, quiet.sync_per_append, busy.write_amplification,
+      busy.p99_ms / quiet.p99_ms, kill_target + server.kill_count, duplicate_runs + server.duplicate_runs,
+      lost + server.rejected_after_run, plain, plain_recover);
+  return duplicate_runs || lost || server.duplicate_runs || server.rejected_after_run;
 }
--- a/measure/ready.cpp
+++ b/measure/ready.cpp
@@ -24,17 +24,17 @@
 namespace myrtlecroft::measure {
 namespace {
 
-constexpr Nanos kBefore = 2 * kSecond;    // from the first start to the kill
-constexpr Nanos kLongest = 20 * kSecond;  // that a server is waited for
+constexpr Nanos kWarmUp = 2 * kSecond;    // from the first start to the kill
+constexpr Nanos kMaxWait = 20 * kSecond;  // for servers, after their engines are up
 constexpr Nanos kTick = 5 * kMs;
-constexpr Nanos kPatience = 2 * kSecond;  // of callers
+constexpr Nanos kClientTimeout = 2 * kSecond;  // wait field of the load requests
 constexpr int kCores = 4;
 constexpr int kWorkMs = 4;
 
-// One request on a connection of its own.
-class Ask final : public net::ConnectionOwner {
+// One request on its own connection.
+class SingleRequest final : public net::ConnectionOwner {
  public:
-  Ask(net::Loop& loop, service::Logger& log, int port, const standin::FastCgiRequestFields& fields)
+  SingleRequest(net::Loop& loop, service::Logger& log, int port, const standin::FastCgiRequestFields& fields)
       : request_(standin::encode_fastcgi_request(fields)),
         connection_(loop.base(), net::loopback(static_cast<std::uint16_t>(port)), *this, log, "ask") {}
   void opened(net::Connection& connection) override {
@@ -46,84 +46,84 @@
       if (type == standin::kFastCgiStdout) answer_ += content;
     });
   }
-  void ended(net::Connection&, net::CloseReason) override { over_ = true; }
-  bool over() const { return over_; }
-  bool good() const { return answer_.starts_with("Status: 200"); }
+  void ended(net::Connection&, net::CloseReason) override { ended_ = true; }
+  bool has_ended() const { return ended_; }
+  bool is_completed() const { return answer_.starts_with("Status: 200"); }
 
  private:
   std::string request_;
   std::string answer_;
-  bool over_ = false;
+  bool ended_ = false;
   net::Connection connection_;
 };
 
-struct Node {
+struct ServerProcess {
   std::unique_ptr<standin::Engine> engine;
   standin::ChildProcess child;
   std::string config;
   std::string log;
   int port = 0;
-  std::unique_ptr<Ask> check;
-  Nanos exec_at = 0;
+  std::unique_ptr<SingleRequest> health_check;
+  Nanos started_at = 0;
   Nanos ready_at = 0;
 };
 
-class Play {
+class ReadinessMeasurement {
  public:
-  explicit Play(const ReadyOptions& options)
+  explicit ReadinessMeasurement(const ReadyOptions& options)
       : options_(options),
         database_(loop_, log_),
         tick_(loop_.base(), [this] { tick(); }),
-        members_(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
+        membership_socket_(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
     char folder[] = "/tmp/myrtlecroft-ready-XXXXXX";
     folder_ = ::mkdtemp(folder);
     sockaddr_in address = net::loopback(0);
     socklen_t size = sizeof address;
-    ::bind(members_, reinterpret_cast<sockaddr*>(&address), size);
-    ::getsockname(members_, reinterpret_cast<sockaddr*>(&address), &size);
-    int members = ntohs(address.sin_port);
-    if (!options.membership) ::close(std::exchange(members_, -1));
-    for (int i = 0; i < options.nodes; ++i) {
-      Node& node = nodes_.emplace_back();
+    ::bind(membership_socket_, reinterpret_cast<sockaddr*>(&address), size);
+    ::getsockname(membership_socket_, reinterpret_cast<sockaddr*>(&address), &size);
+    int membership_port = ntohs(address.sin_port);
+    if (!options.membership) ::close(std::exchange(membership_socket_, -1));
+    for (int i = 0; i < options.server_count; ++i) {
+      ServerProcess& server = servers_.emplace_back();
       std::string name = "n" + std::to_string(i);
-      node.engine =
+      server.engine =
           std::make_unique<standin::Engine>(loop_, log_, name, kCores, [](const standin::ObservedRun&) {});
-      node.config = folder_ + "/" + name + ".json";
-      node.log = folder_ + "/" + name + ".log";
-      node.port = standin::free_port(taken_);
+      server.config = folder_ + "/" + name + ".json";
+      server.log = folder_ + "/" + name + ".log";
+      server.port = standin::free_port(used_ports_);
       standin::write_server_config(
-          node.config,
+          server.config,
           {.name = name,
-           .port = node.port,
-           .engine = node.engine->port(),
+           .port = server.port,
+           .engine = server.engine->port(),
            .database = database_.port(),
-           .members = members,
+           .members = membership_port,
            .request_classes = R"({"name":"look-up","effect":"idempotent","gain":1,"goalTimeNs":500000000,)"
                               R"("hardLimitNs":2000000000})",
            .family = R"("nCores":4,"ramKb":400000,"blowup":8)"});
     }
   }
-  ~Play() {
-    for (Node& node : nodes_) node.child.end(SIGKILL);
-    if (members_ >= 0) ::close(members_);
+  ~ReadinessMeasurement() {
+    for (ServerProcess& server : servers_) server.child.end(SIGKILL);
+    if (membership_socket_ >= 0) ::close(membership_socket_);
     std::filesystem::remove_all(folder_);
   }
 
   ReadyResult run() {
-    for (Node& node : nodes_) start(node, 0);
-    kill_at_ = loop_.now() + kBefore;
+    for (ServerProcess& server : servers_) start_server(server, 0);
+    kill_at_ = loop_.now() + kWarmUp;
     tick_.set(0);
     loop_.run();
-    for (Node& node : nodes_) {
-      if (node.child.has_exited()) {
+    for (ServerProcess& server : servers_) {
+      if (server.child.has_exited()) {
         ++result_.crashed;
-        std::ifstream log(node.log);
+        std::ifstream log(server.log);
         for (std::string line; std::getline(log, line);) result_.last_words = line;
       }
-      if (!node.ready_at) continue;
-      double took = static_cast<double>(node.ready_at - node.exec_at) / 1e6;
-      result_.ready_ms.push_back(took);
-      result_.own_ms.push_back(std::max(0.0, took - static_cast<double>(options_.engine_after) / 1e6));
+      if (!server.ready_at) continue;
+      double took_ms = static_cast<double>(server.ready_at - server.started_at) / 1e6;
+      result_.ready_ms.push_back(took_ms);
+      result_.own_ms.push_back(std::max(0.0, took_ms - static_cast<double>(options_.engine_after) / 1e6));
     }
     std::sort(result_.ready_ms.begin(), result_.ready_ms.end());
     std::sort(result_.own_ms.begin(), result_.own_ms.end());
@@ -131,55 +131,56 @@
   }
 
  private:
-  void start(Node& node, Nanos engine_after) {
-    node.exec_at = loop_.now();
-    node.ready_at = 0;
-    node.engine->restart(0);
-    node.engine->become_ready_at(node.exec_at + engine_after);
-    node.child = standin::ChildProcess({MYRTLECROFT_PROGRAM}, node.log, {{"LB_CONFIG", node.config}});
+  void start_server(ServerProcess& server, Nanos engine_after) {
+    server.started_at = loop_.now();
+    server.ready_at = 0;
+    server.engine->restart(0);
+    server.engine->become_ready_at(server.started_at + engine_after);
+    server.child = standin::ChildProcess({MYRTLECROFT_PROGRAM}, server.log, {{"LB_CONFIG", server.config}});
   }
 
-  void kill_all() {
-    for (Node& node : nodes_) node.child.signal(SIGKILL);
-    for (Node& node : nodes_) node.child.wait();
-    for (Node& node : nodes_) start(node, options_.engine_after);
-    killed_ = true;
+  void restart_all() {
+    for (ServerProcess& server : servers_) server.child.signal(SIGKILL);
+    for (ServerProcess& server : servers_) server.child.wait();
+    for (ServerProcess& server : servers_) start_server(server, options_.engine_after);
+    has_restarted_ = true;
   }
 
   void tick() {
     Nanos now = loop_.now();
     tick_.set(kTick);
-    if (!killed_ && now >= kill_at_) kill_all();
-    bool all = killed_;
-    for (Node& node : nodes_) {
-      if (node.check && node.check->over()) {
-        if (node.check->good() && !node.ready_at) node.ready_at = now;
-        node.check.reset();
+    if (!has_restarted_ && now >= kill_at_) restart_all();
+    bool all_ready = has_restarted_;
+    for (ServerProcess& server : servers_) {
+      if (server.health_check && server.health_check->has_ended()) {
+        if (server.health_check->is_completed() && !server.ready_at) server.ready_at = now;
+        server.health_check.reset();
       }
-      if (!node.check && !node.ready_at)
-        node.check =
-            std::make_unique<Ask>(loop_, log_, node.port,
-                                  standin::FastCgiRequestFields{.path = "/-/healthy", .key = "", .body = ""});
-      all = all && node.ready_at;
+      if (!server.health_check && !server.ready_at)
+        server.health_check = std::make_unique<SingleRequest>(
+            loop_, log_, server.port,
+            standin::FastCgiRequestFields{.path = "/-/healthy", .key = "", .body = ""});
+      all_ready = all_ready && server.ready_at;
     }
-    load(now);
-    if (all || (killed_ && now >= kill_at_ + options_.engine_after + kLongest)) loop_.stop();
+    send_load(now);
+    if (all_ready || (has_restarted_ && now >= kill_at_ + options_.engine_after + kMaxWait)) loop_.stop();
   }
 
-  void load(Nanos now) {
-    while (!load_.empty() && load_.front()->over()) {
-      result_.completed += load_.front()->good();
-      load_.pop_front();
+  void send_load(Nanos now) {
+    while (!load_requests_.empty() && load_requests_.front()->has_ended()) {
+      result_.completed += load_requests_.front()->is_completed();
+      load_requests_.pop_front();
     }
-    if (next_ == 0) next_ = now;
-    for (; next_ <= now; next_ += static_cast<Nanos>(1e9 / options_.per_second)) {
+    if (next_request_at_ == 0) next_request_at_ = now;
+    for (; next_request_at_ <= now; next_request_at_ += static_cast<Nanos>(1e9 / options_.requests_per_s)) {
       standin::FastCgiRequestFields fields{.path = "/api/v2/look-up",
-                                           .trace = ++traces_,
+                                           .trace = ++last_trace_,
                                            .accepted_unix = net::Loop::unix_now(),
-                                           .wait = kPatience,
+                                           .wait = kClientTimeout,
                                            .key = "",
                                            .body = "look-up - " + std::to_string(kWorkMs) + " 0"};
-      load_.push_back(std::make_unique<Ask>(loop_, log_, nodes_[traces_ % nodes_.size()].port, fields));
+      load_requests_.push_back(
+          std::make_unique<SingleRequest>(loop_, log_, servers_[last_trace_ % servers_.size()].port, fields));
     }
   }
 
@@ -188,25 +189,25 @@
   net::Loop loop_;
   standin::Database database_;
   net::Timer tick_;
-  int members_;
+  int membership_socket_;
   std::string folder_;
-  std::set<int> taken_;
-  std::deque<Node> nodes_;
-  std::deque<std::unique_ptr<Ask>> load_;
-  std::uint64_t traces_ = 0;
-  Nanos next_ = 0;
+  std::set<int> used_ports_;
+  std::deque<ServerProcess> servers_;
+  std::deque<std::unique_ptr<SingleRequest>> load_requests_;
+  std::uint64_t last_trace_ = 0;
+  Nanos next_request_at_ = 0;
   Nanos kill_at_ = 0;
-  bool killed_ = false;
+  bool has_restarted_ = false;
   ReadyResult result_;
 };
 
 }  // namespace
 
 double ReadyResult::at(const std::vector<double>& sorted, double part) {
-  if (sorted.empty()) return static_cast<double>(kLongest) / 1e6;
+  if (sorted.empty()) return static_cast<double>(kMaxWait) / 1e6;
   return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
 }
 
-ReadyResult play_ready(const ReadyOptions& options) { return Play(options).run(); }
+ReadyResult play_ready(const ReadyOptions& options) { return ReadinessMeasurement(options).run(); }
 
 }  // namespace myrtlecroft::measure
--- a/measure/ready.h
+++ b/measure/ready.h
@@ -1,5 +1,5 @@
-// Real servers that are killed and started again together, under load, and how soon each is ready: from its
-// exec to the first good health check.
+// Measures how soon real servers are ready after all are killed and restarted together under load: from the
+// exec of a server to its first successful health check.
 #pragma once
 
 #include <string>
@@ -9,23 +9,26 @@
 
 namespace myrtlecroft::measure {
 
+// Options of one measurement.
 struct ReadyOptions {
-  int nodes = 30;
-  Nanos engine_after = 0;   // from the exec to when its engine is up
-  bool membership = true;   // false: nobody listens there
-  double per_second = 600;  // requests, over all servers, throughout
+  int server_count = 30;
+  Nanos engine_after = 0;       // from the exec of a server until its engine is up
+  bool membership = true;       // false: the membership service is down
+  double requests_per_s = 600;  // load over all servers, throughout the measurement
 };
 
+// Times of one measurement, in milliseconds.
 struct ReadyResult {
-  std::vector<double> ready_ms;  // of each server that was, sorted
-  std::vector<double> own_ms;    // the same without the wait for its engine: what the program itself adds
-  int crashed = 0;               // ended by themselves
-  std::string last_words;        // of one of these
-  int completed = 0;
-  // A quantile; of no servers the longest wait there was.
+  std::vector<double> ready_ms;  // of each server that became ready, sorted
+  std::vector<double> own_ms;    // ready_ms without engine_after: the time of the server itself, sorted
+  int crashed = 0;               // servers that exited by themselves
+  std::string last_words;        // last log line of one of these
+  int completed = 0;             // requests of the load
+  // Returns the quantile `part` (0 to 1) of sorted times; the maximum wait if there are none.
   static double at(const std::vector<double>& sorted, double part);
 };
 
+// Runs the measurement on the calling thread.
 ReadyResult play_ready(const ReadyOptions& options);
 
 }  // namespace myrtlecroft::measure
--- a/measure/rehearse.cpp
+++ b/measure/rehearse.cpp
@@ -1,5 +1,5 @@
-// Plays an incident with real processes on this machine: rehearse FILE --seed N, or reads one over: rehearse
-// --check FILE.
+// Plays an incident with real processes on this machine (rehearse FILE --seed N) or only validates its file
+// (rehearse --check FILE).
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -9,16 +9,16 @@
 
 int main(int argc, char** argv) {
   using namespace myrtlecroft;
-  CLI::App app("Plays an incident with real instances, nodes and proxies on this machine (docs/rehearse.md)");
+  CLI::App app(
+      "Plays an incident with real control replicas, servers and proxies on this machine (docs/rehearse.md)");
   std::string file;
   rehearsal::RigOptions options;
   bool check = false;
-  bool alone = false;
-  app.add_option("file", file, "The incident")->required();
-  app.add_option("--seed", options.seed, "For the load, and for faults that are drawn")
-      ->capture_default_str();
-  app.add_flag("--check", check, "Only read it over");
-  app.add_flag("--alone", alone, "Control services that each decide alone, to compare");
+  bool independent = false;
+  app.add_option("file", file, "The incident file")->required();
+  app.add_option("--seed", options.seed, "Seed of the load and of random faults")->capture_default_str();
+  app.add_flag("--check", check, "Only validate the incident file");
+  app.add_flag("--alone", independent, "Control services that decide independently, for comparison");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
@@ -26,9 +26,9 @@
   }
   try {
     options.incident = rehearsal::read_incident(file);
-    options.replicated = !alone;
+    options.replicated = !independent;
     if (check) {
-      std::printf("%s: good: %d instances, %d nodes, %d proxies, %zu steps\n", file.c_str(),
+      std::printf("%s: valid: %d instances, %d servers, %d proxies, %zu steps\n", file.c_str(),
                   options.incident.instances, options.incident.nodes, options.incident.proxies,
                   options.incident.steps.size());
       return 0;
@@ -36,11 +36,11 @@
     rehearsal::RigResult result = rehearsal::play(options);
     std::fputs(result.timeline.c_str(), stdout);
     if (!result.first_violation.empty())
-      std::printf("first: %s; logs in %s\n", result.first_violation.c_str(), result.folder.c_str());
-    for (const rehearsal::ReleaseOutcome& one : result.releases) {
-      std::printf("release to %d, %s: %s after %.1f s, reached %.2f%s\n", one.planned.version,
-                  rehearsal::name_of(one.planned.defect), one.outcome.c_str(), one.duration_s,
-                  one.max_updated_share, one.stopped ? ("; stopped: " + one.reason).c_str() : "");
+      std::printf("first violation: %s; logs in %s\n", result.first_violation.c_str(), result.folder.c_str());
+    for (const rehearsal::ReleaseOutcome& release : result.releases) {
+      std::printf("release to %d, %s: %s after %.1f s, reached %.2f%s\n", release.planned.version,
+                  rehearsal::name_of(release.planned.defect), release.outcome.c_str(), release.duration_s,
+                  release.max_updated_share, release.stopped ? ("; stopped: " + release.reason).c_str() : "");
     }
     if (!result.releases.empty())
       std::printf(
