--- a/measure/agreement_world.h
+++ b/measure/agreement_world.h
@@ -22,8 +22,8 @@
 // Size, load and faults of one simulation; all times are virtual.
 struct SimulationOptions {
   std::uint32_t seed = 1;
-  int instances = 3;
-  int nodes = 6;
+  int instances = 3;  // replicas of the control service
+  int nodes = 6;      // servers
   int proxies = 4;
   int shard_digits = 1;
   double faults_per_s = 0.5;
@@ -93,6 +93,7 @@
   Nanos draw_duration(Nanos min, Nanos max) {
     return std::uniform_int_distribution<Nanos>(min, max)(random_);
   }
+  // Datagrams may be lost; stream data waits while the link is cut.
   void deliver(int from, int to, std::function<void()> on_arrival);
   void send_on_stream(int from, int to, std::function<void()> on_arrival);
   bool is_cut(int from, int to) const;
@@ -139,11 +140,13 @@
   void run_operator();
   agreement::Plan random_plan();
   void restart_as_ordered(Server& server, const fencing::ShardAssignment& order, Nanos reported_at);
+  // Notes which servers may restart, and counts releases of bad versions that finished.
   void track_leases(const agreement::ReplicatedState& state);
   void end_all_faults();
   void check_shard_owners();
   void check_recovery();
-  void record_violation(int& count, const std::string& what);
+  // Increments `count`, and keeps the description of the first violation.
+  void record_violation(int& count, const std::string& description);
   fleet::Fleet fleet() const;
 
   SimulationOptions options_;
--- a/measure/agreement_world_checks.cpp
+++ b/measure/agreement_world_checks.cpp
@@ -3,11 +3,11 @@
 
 namespace myrtlecroft::rehearsal {
 
-void Simulation::record_violation(int& count, const std::string& what) {
+void Simulation::record_violation(int& count, const std::string& description) {
   ++count;
   if (result_.first.empty()) {
     result_.first =
-        "seed " + std::to_string(options_.seed) + " at " + std::to_string(now_ / kMs) + " ms: " + what;
+        "seed " + std::to_string(options_.seed) + " at " + std::to_string(now_ / kMs) + " ms: " + description;
   }
 }
 
--- a/measure/agreement_world_parts.h
+++ b/measure/agreement_world_parts.h
@@ -19,11 +19,12 @@
 using fencing::FencingGuard;
 using fencing::ShardAssignment;
 
-inline constexpr Nanos kTick = 25 * kMs;
+inline constexpr Nanos kTick = 25 * kMs;  // of a replica
 inline constexpr Nanos kReportInterval = 250 * kMs;
-inline constexpr Nanos kRequestTimeout = 500 * kMs;  // from the acceptance of a request
+inline constexpr Nanos kRequestTimeout = 500 * kMs;  // client timeout of a request
 inline constexpr Nanos kStreamTimeout = 300 * kMs;   // a stream breaks when its link is cut for longer
-inline constexpr Nanos kMaxAnswerAge = 1000 * kMs;   // of an assignment that orders a restart
+inline constexpr Nanos kMaxAnswerAge =
+    1000 * kMs;  // servers ignore restart orders that answer an older report
 inline constexpr Nanos kCancelledRestartGrace = 3000 * kMs;  // a server may still act on a cancelled restart
 inline constexpr Nanos kUnixStart = 1'700'000'000 * kSecond;
 
@@ -69,13 +70,13 @@
   void replace(const consensus::PersistentState& state) override { durable_state = state; }
 
   // Completes writes in order after a random delay; drops those of a process that has ended.
-  void write(WriteCallback done, std::function<void()> what) {
+  void write(WriteCallback done, std::function<void()> apply) {
     busy_until = std::max(busy_until, world.now_) + world.draw_duration(kMs / 5, 4 * kMs);
     world.schedule(busy_until - world.now_,
-                   [this, incarnation = incarnation, done = std::move(done), what = std::move(what)] {
+                   [this, incarnation = incarnation, done = std::move(done), apply = std::move(apply)] {
                      if (incarnation != this->incarnation) return;
                      failed = failed || has_write_fault;
-                     if (!failed) what();
+                     if (!failed) apply();
                      if (done) done(!failed);
                    });
   }
--- a/measure/agreement_world_servers.cpp
+++ b/measure/agreement_world_servers.cpp
@@ -67,7 +67,7 @@
       std::count_if(servers_.begin(), servers_.end(), [](const auto& one) { return one->out_for_restart; });
   if (out > options_.max_unavailable)
     record_violation(result_.over_budget, std::to_string(out) + " servers are out for restarts");
-  // In 3% of the restarts each, the version stays the old one or the server is late.
+  // 3% of the servers come back with the old version, and 3% come back late.
   std::uint32_t version = draw_fraction() < 0.03 ? server.version : *order.restart_version;
   schedule(draw_fraction() < 0.03 ? 8 * kSecond : draw_duration(200 * kMs, 2 * kSecond),
            [this, &server, version] {
--- a/measure/measure_slow.cpp
+++ b/measure/measure_slow.cpp
@@ -225,6 +225,7 @@
   Nanos close_at_ = 0;
 };
 
+// Runs one server with the normal load and `slow` slow callers, and collects the Result.
 class SlowCallerRun {
  public:
   SlowCallerRun(std::string program, int slow, int descriptors)
@@ -244,7 +245,8 @@
       int kind = i % 100 == 0 ? static_cast<int>(SlowCaller::Kind::kFloods)
                               : i % static_cast<int>(SlowCaller::Kind::kCount);
       if (kind == static_cast<int>(SlowCaller::Kind::kFloods) && i % 100) kind = 0;
-      slow_.push_back(std::make_unique<SlowCaller>(static_cast<SlowCaller::Kind>(kind), i, server_address_));
+      slow_callers_.push_back(
+          std::make_unique<SlowCaller>(static_cast<SlowCaller::Kind>(kind), i, server_address_));
     }
   }
   ~SlowCallerRun() {
@@ -346,7 +348,7 @@
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
     std::mt19937 random(11);
     std::uint64_t last_trace = std::uint64_t{1} << 40;
-    for (std::size_t i = 0; i < slow_.size(); ++i) {
+    for (std::size_t i = 0; i < slow_callers_.size(); ++i) {
       due.emplace(started_at_ + kSecond + static_cast<Nanos>(random() % 1'000) * kMs, i);
     }
     while (!stop.stop_requested()) {
@@ -354,7 +356,7 @@
       while (!due.empty() && due.top().first <= now) {
         std::size_t i = due.top().second;
         due.pop();
-        due.emplace(slow_[i]->step(now, last_trace, result_.dropped), i);
+        due.emplace(slow_callers_[i]->step(now, last_trace, result_.dropped), i);
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
@@ -436,7 +438,7 @@
   sockaddr_in server_address_{};
   standin::ChildProcess server_;
   std::vector<std::unique_ptr<BalancerConnection>> connections_;
-  std::vector<std::unique_ptr<SlowCaller>> slow_;
+  std::vector<std::unique_ptr<SlowCaller>> slow_callers_;
   std::uint64_t last_trace_ = 0;
   Nanos started_at_ = 0;
   Nanos next_arrival_ = 0;
--- a/measure/measure_store.cpp
+++ b/measure/measure_store.cpp
@@ -42,6 +42,7 @@
 Nanos steady_now() { return std::chrono::steady_clock::now().time_since_epoch().count(); }
 double seconds_since(Nanos then) { return static_cast<double>(steady_now() - then) / 1e9; }
 
+// Creates a folder and removes it at the end; throws DiskError if it can't be created.
 struct TemporaryFolder {
   explicit TemporaryFolder(const std::string& base) : path(base + "/myrtlecroft_measure_store.XXXXXX") {
     if (!mkdtemp(path.data())) throw DiskError(path + ": can't create the folder", errno);
@@ -70,7 +71,7 @@
   if (!compacting) options.dead_share = 2, options.max_small_segments = 1'000'000;
   Store store(disk, options, steady_now, 1);
   store.open();
-  std::vector<double> took;
+  std::vector<double> latencies_ms;
   std::uint64_t done = 0;
   StoreStats before = store.stats();
   {
@@ -83,7 +84,7 @@
       committer.put("key" + std::to_string(compacting ? random() % 20'000 : done), std::string(bytes, 'v'),
                     window, [&, slot, since](bool durable) {
                       if (durable) ++done;
-                      took.push_back(static_cast<double>(steady_now() - since) / 1e6);
+                      latencies_ms.push_back(static_cast<double>(steady_now() - since) / 1e6);
                       if (steady_now() - started_at < duration) put(slot);
                     });
     };
@@ -100,7 +101,7 @@
   AppendResult out;
   const StoreStats& totals = store.stats();
   out.per_second = static_cast<double>(done) / (static_cast<double>(duration) / 1e9);
-  out.p99_ms = quantile(took, 0.99);
+  out.p99_ms = quantile(latencies_ms, 0.99);
   out.sync_per_append = static_cast<double>(totals.syncs - before.syncs) /
                         static_cast<double>(std::max<std::uint64_t>(done, 1));
   out.write_amplification = static_cast<double>(totals.written_bytes) /
@@ -131,16 +132,16 @@
       FileDisk disk(folder);
       Store store(disk, {}, steady_now, 3);
       RecoveryStats found = store.open();
-      double took = found.live_records == 1'000'000 ? seconds_since(started_at) : -1;
-      if (::write(pipe_ends[1], &took, sizeof took) < 0) ::_exit(1);
+      double recovery_s = found.live_records == 1'000'000 ? seconds_since(started_at) : -1;
+      if (::write(pipe_ends[1], &recovery_s, sizeof recovery_s) < 0) ::_exit(1);
       ::_exit(0);
     }
-    double took = -1;
-    if (::read(pipe_ends[0], &took, sizeof took) < 0) took = -1;
+    double recovery_s = -1;
+    if (::read(pipe_ends[0], &recovery_s, sizeof recovery_s) < 0) recovery_s = -1;
     ::waitpid(child, nullptr, 0);
     ::close(pipe_ends[0]);
     ::close(pipe_ends[1]);
-    return took;
+    return recovery_s;
   };
   by_hint_s = open();
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
@@ -298,6 +299,7 @@
 
 // ---- Kills of the whole server under load, with a stand-in engine that counts the runs
 
+// Kills the server at random moments under load and counts what callers and the engine saw.
 class ServerKills {
  public:
   struct Counts {
--- a/measure/ready.cpp
+++ b/measure/ready.cpp
@@ -57,6 +57,7 @@
   net::Connection connection_;
 };
 
+// A server, its stand-in engine and the health check under way.
 struct ServerProcess {
   std::unique_ptr<standin::Engine> engine;
   standin::ChildProcess child;
--- a/measure/rehearsal.cpp
+++ b/measure/rehearsal.cpp
@@ -31,6 +31,7 @@
 constexpr Nanos kLatencyObjective = 400 * kMs;
 constexpr int kMaxAttempts = 3;
 
+// One class of the load: its share of the arrivals, and what its requests need.
 struct RequestClass {
   const char* name;
   double share;
@@ -166,6 +167,7 @@
     }
     return client.applied();
   }
+  // Encodes the type_url of a discovery response.
   static std::string encode_type_url(xds::ResourceType type) {
     const std::string& url = xds::type_url_of(type);
     return std::string("\x22") + static_cast<char>(url.size()) + url;  // type_url, the fourth field
