--- a/measure/capacity/change_watch.cpp
+++ b/measure/capacity/change_watch.cpp
@@ -9,8 +9,8 @@
 namespace myrtlecroft::capacity {
 namespace {
 
-// Only clusters of request classes show whether a server receives requests. A server's own cluster always
-// keeps its endpoint.
+// Only clusters of request classes show whether a server receives requests. A
+// server's own cluster always keeps its endpoint.
 constexpr std::string_view kRequestClassClusterPrefix = "group/";
 constexpr std::size_t kMinSizeToPrune = 1000;
 
@@ -47,7 +47,8 @@
   return servers;
 }
 
-void ChangeTracker::applied(std::uint32_t number, const standin::AppliedSet& set, std::int64_t now_ns) {
+void ChangeTracker::record_applied_set(std::uint32_t number, const standin::AppliedSet& set,
+                                       std::int64_t now_ns) {
   std::lock_guard lock(mutex_);
   Caller& caller = callers_[number];
   caller.clusters.clear();
--- a/measure/capacity/change_watch.h
+++ b/measure/capacity/change_watch.h
@@ -19,7 +19,7 @@
 class ChangeTracker {
  public:
   // Records the resource set that a caller applied; `now_ns` is on the steady clock.
-  void applied(std::uint32_t caller, const standin::AppliedSet& set, std::int64_t now_ns);
+  void record_applied_set(std::uint32_t caller, const standin::AppliedSet& set, std::int64_t now_ns);
 
   // Announces the next change. Servers about to leave touch each caller that has one of them. Servers about
   // to return touch each caller that lost some of them in the previous change; the change is in force at a
--- a/measure/capacity/control_slopes.cpp
+++ b/measure/capacity/control_slopes.cpp
@@ -146,8 +146,8 @@
   return variant == xds::ProtocolVariant::kDelta ? "_delta" : "_sotw";
 }
 
-// Measures the time and bytes of a caller's complete set and of a push of one changed weight, and the memory
-// of its session.
+// Measures the time and bytes of a caller's complete set and of a push of one
+// changed weight, and the memory of its session.
 void measure_sessions(Publications& publications, xds::ProtocolVariant variant, const SweepPoint& point) {
   Sessions sessions(publications.set(), {.variant = variant, .clusters = {}}, kSampleCallers);
   sessions.pool.connect(1);  // allocates what all sessions share
--- a/measure/capacity/generated_fleet.cpp
+++ b/measure/capacity/generated_fleet.cpp
@@ -35,8 +35,8 @@
   return service == size.deduplicated_services + 1 ? "mutating" : "repeatable";
 }
 
-// Services with adjacent numbers share most of their servers, and every server has about the same number of
-// services.
+// Services with adjacent numbers share most of their servers, and every
+// server has about the same number of services.
 void write_servers_of_service(const FleetSize& size, int service, std::ofstream& out) {
   const std::int64_t first = std::int64_t{service} * size.servers / size.services;
   const int count = std::min(kServersPerService, size.servers);
--- a/measure/capacity/generated_fleet.h
+++ b/measure/capacity/generated_fleet.h
@@ -1,5 +1,5 @@
-// Generates fleet files of any size in the operators' format, so that a measurement reads its fleet as a
-// control instance does.
+// Generates fleet files of any size in the operators' format, so that a measurement
+// reads its fleet as a control instance does.
 #pragma once
 
 #include <filesystem>
@@ -42,13 +42,13 @@
 
 // Throws std::runtime_error when the file can't be written.
 void write_fleet(const FleetSize& size, const std::filesystem::path& file);
-// Writes the file and reads it back. Throws settings::DocumentError when this version rejects a fleet of that
-// size.
+// Writes the file and reads it back. Throws settings::DocumentError when
+// this version rejects a fleet of that size.
 fleet::Fleet generate_fleet(const FleetSize& size);
 // `shards` is a power of 16. 65,536 is set after reading, because the file accepts only 16 to 4,096.
 fleet::Fleet generate_fleet_with_shards(FleetSize size, int shards);
-// `services` is the total; services beyond `size.services` are added after reading, as copies of the first
-// one.
+// `services` is the total; services beyond `size.services` are added
+// after reading, as copies of the first one.
 fleet::Fleet generate_fleet_with_services(const FleetSize& size, int services);
 
 }  // namespace myrtlecroft::capacity
--- a/measure/capacity/log_slopes.cpp
+++ b/measure/capacity/log_slopes.cpp
@@ -206,9 +206,9 @@
   });
 }
 
-// The replicated state supports 16, 256 or 4,096 shards: three sizes are too few for a slope, so single
-// figures are printed.
-void print_key_shards(const LogOptions& options) {
+// The replicated state supports 16, 256 or 4,096 shards: three sizes are too few
+// for a slope, so single figures are printed.
+void measure_key_shards(const LogOptions& options) {
   for (int shards : {16, 256, 4096}) {
     SlopeReport slope_report;
     measure_logged_decisions(
@@ -228,7 +228,7 @@
 void measure_log_slopes(const LogOptions& options, SlopeReport& slope_report) {
   sweep_servers(options, slope_report);
   sweep_servers_leaving(options, slope_report);
-  print_key_shards(options);
+  measure_key_shards(options);
   sweep_entry_bytes(slope_report);
 }
 
--- a/measure/capacity/measure_capacity_real.cpp
+++ b/measure/capacity/measure_capacity_real.cpp
@@ -163,7 +163,7 @@
 
   void record_change(const char* what, const ChangeResult& result) {
     figures_.lost += static_cast<int>(result.missed);
-    if (result.touched == 0) figures_.record_failure(std::string(what) + " touched nobody");
+    if (result.touched == 0) figures_.record_failure(std::string(what) + " touched no caller");
     if (result.missed == 0) return;
     std::printf("%s: %u of %u touched callers did not have it in force in time\n", what, result.missed,
                 result.touched);
@@ -239,7 +239,7 @@
     capacity::ReconnectResult result = rig.reconnect_all();
     figures_.reconnect_s = result.seconds;
     if (result.missing > 0)
-      figures_.record_failure(std::to_string(result.missing) + " callers did not come back");
+      figures_.record_failure(std::to_string(result.missing) + " callers did not reconnect");
     std::printf(
         "%d callers come at once: all have their set after %.1f s, %u missing; control %.1f s CPU, %ld MB "
         "then, "
--- a/measure/capacity/real_callers.cpp
+++ b/measure/capacity/real_callers.cpp
@@ -30,7 +30,7 @@
   }
   bool delta = number % 2 == 0;
   auto applied = [this, number](const standin::AppliedSet& set) {
-    change_tracker_.applied(static_cast<std::uint32_t>(number), set, steady_ns());
+    change_tracker_.record_applied_set(static_cast<std::uint32_t>(number), set, steady_ns());
   };
   links_.push_back(std::make_unique<standin::AdsLink>(target_, delta, name_of_caller(number), applied,
                                                       parsed_resources_, std::move(services),
--- a/measure/capacity/real_callers.h
+++ b/measure/capacity/real_callers.h
@@ -19,7 +19,9 @@
   HollowCallers(std::string target, const FleetPlan& plan)
       : target_(std::move(target)), plan_(plan), choices_(plan) {}
 
+  // Connects the callers of the command; returns before they have resources.
   void add(const hollow::Command::AddCallers& command);
+  // Announces the next change of the fleet (see ChangeTracker::expect).
   void expect(const hollow::Command::Expect& command);
   // Adds the counts of all callers to the answer; `complete` adds the figures that take longer to collect.
   void fill_answer(hollow::Answer& answer, bool complete) const;
--- a/measure/capacity/real_figures.cpp
+++ b/measure/capacity/real_figures.cpp
@@ -34,9 +34,9 @@
   change_bytes_per_caller = quantile(bytes, 0.5);
 }
 
-void RealFigures::record_failure(const std::string& what) {
+void RealFigures::record_failure(const std::string& failure) {
   ++failures_;
-  std::printf("FAULT: %s\n", what.c_str());
+  std::printf("FAULT: %s\n", failure.c_str());
 }
 
 void RealFigures::print(const FleetPlan& plan) const {
--- a/measure/capacity/real_figures.h
+++ b/measure/capacity/real_figures.h
@@ -43,7 +43,7 @@
   // Sets the change_* figures from the samples of single changes.
   void set_change_figures(const std::vector<double>& in_force_ms, const std::vector<double>& bytes);
   // Prints and counts a part of the plan that failed.
-  void record_failure(const std::string& what);
+  void record_failure(const std::string& failure);
   // Failed parts, plus lost changes, half-applied sets and doubled owners. 0: the measurement succeeded.
   int failures() const { return failures_ + lost + half_applied + (doubled > 0 ? doubled : 0); }
   void print(const FleetPlan& plan) const;
--- a/measure/capacity/real_load.h
+++ b/measure/capacity/real_load.h
@@ -11,12 +11,12 @@
 
 namespace myrtlecroft::capacity {
 
-// The members that send commands throw std::runtime_error when a process has exited or doesn't answer in
-// time.
+// The members that send commands throw std::runtime_error when a
+// process has exited or doesn't answer in time.
 class HollowProcesses {
  public:
-  // Starts `program` with these arguments and `--commands` with the descriptor for its commands; its output
-  // goes to the file `log`.
+  // Starts `program` with these arguments and `--commands` with the descriptor for its
+  // commands; its output goes to the file `log`.
   void start(const std::string& program, std::vector<std::string> arguments, const std::string& log);
   // Sends one command to all processes at once and returns the sum of their answers.
   hollow::Answer command_all(const hollow::Command& command);
--- a/measure/capacity/real_rig.h
+++ b/measure/capacity/real_rig.h
@@ -1,5 +1,5 @@
-// One real control instance on loopback with hollow servers and callers, and the changes that a measurement
-// makes to them.
+// One real control instance on loopback with hollow servers and callers, and the
+// changes that a measurement makes to them.
 #pragma once
 
 #include <cstdint>
@@ -62,8 +62,8 @@
   std::string error;  // empty after a complete answer
 };
 
-// Not thread-safe. Members that use the hollow processes throw std::runtime_error when one of them has
-// exited.
+// Not thread-safe. Members that use the hollow processes throw
+// std::runtime_error when one of them has exited.
 class RealRig {
  public:
   explicit RealRig(RigOptions options);
--- a/measure/capacity/reporting_servers.h
+++ b/measure/capacity/reporting_servers.h
@@ -1,5 +1,5 @@
-// The servers of a fleet as a control instance sees them: all send equal reports, except those that leave or
-// are lost.
+// The servers of a fleet as a control instance sees them: all send equal
+// reports, except those that leave or are lost.
 #pragma once
 
 #include <set>
--- a/measure/capacity/server_latency.h
+++ b/measure/capacity/server_latency.h
@@ -13,8 +13,8 @@
   double median_interval_p99_us = 0;  // of the median interval of a run
 };
 
-// Adds the slopes by rate to the report. Throws std::runtime_error when the server or the relay doesn't
-// answer.
+// Adds the slopes by rate to the report. Throws std::runtime_error
+// when the server or the relay doesn't answer.
 AddedLatency measure_added_latency(SlopeReport& slope_report);
 
 }  // namespace myrtlecroft::capacity
--- a/measure/capacity/server_load.cpp
+++ b/measure/capacity/server_load.cpp
@@ -12,7 +12,7 @@
 
 constexpr int kConnections = 8;
 constexpr Nanos kTickInterval = kMs;
-constexpr Nanos kRetry = 2 * kMs;
+constexpr Nanos kRetryInterval = 2 * kMs;
 constexpr Nanos kAnswerGrace = kSecond;        // after the end of the run, for outstanding answers
 constexpr Nanos kClientTimeout = 2 * kSecond;  // client timeout in each request
 constexpr Nanos kOpenLimit = 10 * kSecond;
@@ -101,7 +101,7 @@
   const Nanos deadline = loop_.now() + within;
   net::Timer retry(loop_.base(), [&] {
     if (!result_.completed_us.empty() || loop_.now() >= deadline) return loop_.stop();
-    retry.set(kRetry);
+    retry.set(kRetryInterval);
     connections_.front()->open();
     if (connections_.front()->is_open() && in_flight() == 0) send_one();
   });
--- a/measure/capacity/server_load.h
+++ b/measure/capacity/server_load.h
@@ -1,5 +1,5 @@
-// Sends requests at a constant mean rate over FastCGI keep-alive connections and records the times of the
-// answers.
+// Sends requests at a constant mean rate over FastCGI keep-alive
+// connections and records the times of the answers.
 #pragma once
 
 #include <functional>
--- a/measure/capacity/server_rig.cpp
+++ b/measure/capacity/server_rig.cpp
@@ -16,8 +16,8 @@
 
 constexpr int kCores = 4;
 constexpr Nanos kStartLimit = 20 * kSecond;
-constexpr Nanos kReloadDelay = 100 * kMs;  // after the start of the probe
-constexpr Nanos kProbeAfter = 100 * kMs;   // time that the probe continues after the reload
+constexpr Nanos kReloadDelay = 100 * kMs;           // after the start of the probe
+constexpr Nanos kProbeTimeAfterReload = 100 * kMs;  // time that the probe continues after the reload
 constexpr Nanos kReloadLimit = 10 * kSecond;
 constexpr double kProbesPerSecond = 1'000;
 
@@ -77,10 +77,10 @@
 }
 
 Nanos ServerRig::start() {
-  Nanos begun = loop_.now();
+  Nanos start_time = loop_.now();
   server_ = standin::ChildProcess({MYRTLECROFT_PROGRAM}, folder_ + "/server.log",
                                   {{"LB_CONFIG", folder_ + "/server.json"}});
-  return load_->wait_for_answer(kStartLimit) ? loop_.now() - begun : -1;
+  return load_->wait_for_answer(kStartLimit) ? loop_.now() - start_time : -1;
 }
 
 int ServerRig::count_reload_lines() const {
@@ -105,7 +105,7 @@
     } else if (signalled_at != 0 && !result.reloaded && count_reload_lines() > before) {
       result.reloaded = true;
       result.reload_time = elapsed - signalled_at;
-      probe_end = elapsed + kProbeAfter;
+      probe_end = elapsed + kProbeTimeAfterReload;
     }
     return result.reloaded && elapsed >= probe_end;
   });
--- a/measure/capacity/server_rig.h
+++ b/measure/capacity/server_rig.h
@@ -31,8 +31,8 @@
   ServerRig(net::Loop& loop, ConfigSizes sizes);
   ~ServerRig();
 
-  // Returns the time from the start of the process to the first completed request; negative when none
-  // completed within 20 s.
+  // Returns the time from the start of the process to the first completed request;
+  // negative when none completed within 20 s.
   Nanos start();
   ReloadResult reload();
   Load& load() { return *load_; }
--- a/measure/capacity/server_sizes.h
+++ b/measure/capacity/server_sizes.h
@@ -1,5 +1,5 @@
-// Measures memory, CPU time, start time and reload time of a server by the tenants and the request classes of
-// its settings.
+// Measures memory, CPU time, start time and reload time of a server by the tenants
+// and the request classes of its settings.
 #pragma once
 
 #include "slope.h"
--- a/measure/capacity/sweep.h
+++ b/measure/capacity/sweep.h
@@ -1,5 +1,5 @@
-// Runs a measurement at ascending sizes, and skips those that this version rejects or that would take too
-// long.
+// Runs a measurement at ascending sizes, and skips those that this
+// version rejects or that would take too long.
 #pragma once
 
 #include <functional>
--- a/tests/capacity_real_test.cpp
+++ b/tests/capacity_real_test.cpp
@@ -14,7 +14,7 @@
 
 using standin::AppliedSet;
 
-FleetPlan with_subsets() {
+FleetPlan plan_with_subsetting() {
   FleetPlan plan;
   plan.servers = 500;
   plan.services = 300;
@@ -22,7 +22,7 @@
   return plan;
 }
 
-AppliedSet set_of(const std::vector<int>& servers) {
+AppliedSet make_applied_set(const std::vector<int>& servers) {
   auto body = std::make_shared<AppliedSet::Endpoints>();
   for (int server : servers) body->add_endpoints()->mutable_locality()->set_sub_zone(name_of_server(server));
   AppliedSet out;
@@ -31,15 +31,15 @@
 }
 
 TEST(FleetChoices, EqualPlansGiveEqualChoices) {
-  FleetChoices one(with_subsets());
-  FleetChoices other(with_subsets());
+  FleetChoices one(plan_with_subsetting());
+  FleetChoices other(plan_with_subsetting());
   EXPECT_EQ(one.services_of(17), other.services_of(17));
   EXPECT_EQ(one.servers_of(17), other.servers_of(17));
   EXPECT_NE(one.servers_of(17), one.servers_of(18));
 }
 
 TEST(FleetChoices, PopularServicesAreUsedByManyCallersAndEachCallerUsesEight) {
-  FleetChoices choices(with_subsets());
+  FleetChoices choices(plan_with_subsetting());
   int of_first = 0;
   int of_last = 0;
   for (int caller = 1; caller <= 1000; ++caller) {
@@ -51,7 +51,7 @@
 }
 
 TEST(FleetFile, ServersOfAServiceAreNamedOnlyWithSubsets) {
-  EXPECT_NE(fleet_file(with_subsets()).find("servers = ("), std::string::npos);
+  EXPECT_NE(fleet_file(plan_with_subsetting()).find("servers = ("), std::string::npos);
   EXPECT_EQ(fleet_file(FleetPlan{}).find("servers = ("), std::string::npos);
 }
 
@@ -68,14 +68,14 @@
 
 TEST(ChangeTracker, ChangeTouchesCallersWithTheServerAndIsInForceOnceItIsRemoved) {
   ChangeTracker tracker;
-  tracker.applied(1, set_of({1, 2, 3}), 10);
-  tracker.applied(2, set_of({2, 3}), 10);
+  tracker.record_applied_set(1, make_applied_set({1, 2, 3}), 10);
+  tracker.record_applied_set(2, make_applied_set({2, 3}), 10);
   tracker.expect({1}, false);
   EXPECT_EQ(tracker.progress().touched, 1u);
   EXPECT_EQ(tracker.stale(), 1u);
-  tracker.applied(1, set_of({1, 3}), 20);  // a different change
+  tracker.record_applied_set(1, make_applied_set({1, 3}), 20);  // a different change
   EXPECT_EQ(tracker.progress().in_force, 0u);
-  tracker.applied(1, set_of({3, 4}), 30);
+  tracker.record_applied_set(1, make_applied_set({3, 4}), 30);
   EXPECT_EQ(tracker.progress().in_force, 1u);
   EXPECT_EQ(tracker.in_force_at_ns(), std::vector<std::int64_t>{30});
   EXPECT_EQ(tracker.stale(), 0u);
@@ -83,36 +83,36 @@
 
 TEST(ChangeTracker, CallerIsStaleWhenItReaddsAServerThatLeft) {
   ChangeTracker tracker;
-  tracker.applied(1, set_of({1, 2}), 10);
+  tracker.record_applied_set(1, make_applied_set({1, 2}), 10);
   tracker.expect({1}, false);
-  tracker.applied(1, set_of({2}), 20);
-  tracker.applied(1, set_of({1, 2}), 30);
+  tracker.record_applied_set(1, make_applied_set({2}), 20);
+  tracker.record_applied_set(1, make_applied_set({1, 2}), 30);
   EXPECT_EQ(tracker.progress().in_force, 1u);
   EXPECT_EQ(tracker.stale(), 1u);
 }
 
 TEST(ChangeTracker, ReturnIsInForceOnceTheCallerHasAllLostServersAgain) {
   ChangeTracker tracker;
-  tracker.applied(1, set_of({1, 2, 3}), 10);
-  tracker.applied(2, set_of({3}), 10);
+  tracker.record_applied_set(1, make_applied_set({1, 2, 3}), 10);
+  tracker.record_applied_set(2, make_applied_set({3}), 10);
   tracker.expect({1, 2, 4}, false);
-  tracker.applied(1, set_of({3}), 20);
+  tracker.record_applied_set(1, make_applied_set({3}), 20);
   tracker.expect({1, 2, 4}, true);
   EXPECT_EQ(tracker.progress().touched, 1u);
-  tracker.applied(1, set_of({1, 3}), 30);
+  tracker.record_applied_set(1, make_applied_set({1, 3}), 30);
   EXPECT_EQ(tracker.progress().in_force, 0u);
-  tracker.applied(1, set_of({1, 2, 3}), 40);
+  tracker.record_applied_set(1, make_applied_set({1, 2, 3}), 40);
   EXPECT_EQ(tracker.in_force_at_ns(), std::vector<std::int64_t>{40});
 }
 
 TEST(ChangeTracker, OwnClusterOfAServerThatLeftIsIgnored) {
   ChangeTracker tracker;
-  AppliedSet set = set_of({1, 2});
-  set.endpoints["node/n1"] = set_of({1}).endpoints.begin()->second;
-  tracker.applied(1, set, 10);
+  AppliedSet set = make_applied_set({1, 2});
+  set.endpoints["node/n1"] = make_applied_set({1}).endpoints.begin()->second;
+  tracker.record_applied_set(1, set, 10);
   tracker.expect({1}, false);
-  set.endpoints["group/s1"] = set_of({2}).endpoints.begin()->second;
-  tracker.applied(1, set, 20);
+  set.endpoints["group/s1"] = make_applied_set({2}).endpoints.begin()->second;
+  tracker.record_applied_set(1, set, 20);
   EXPECT_EQ(tracker.progress().in_force, 1u);
 }
 
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -9,7 +9,7 @@
 namespace myrtlecroft::capacity {
 namespace {
 
-std::vector<Point> points_of(double factor, double exponent) {
+std::vector<Point> make_points(double factor, double exponent) {
   std::vector<Point> out;
   for (double size : {100.0, 250.0, 900.0, 6100.0}) {
     double cost = factor * std::pow(size, exponent);
@@ -20,7 +20,7 @@
 
 TEST(Slope, FitOfAPowerGivesItsExponentAndFactor) {
   for (double exponent : {0.0, 0.5, 1.0, 1.37, 2.0}) {
-    Fit found = fit_power_law(points_of(3, exponent));
+    Fit found = fit_power_law(make_points(3, exponent));
     EXPECT_NEAR(found.exponent, exponent, 1e-9);
     EXPECT_NEAR(found.factor, 3, 1e-6);
     EXPECT_NEAR(found.cost_at(1000), 3 * std::pow(1000, exponent), 1e-3);
@@ -34,7 +34,7 @@
 }
 
 TEST(Slope, FitThrowsOnTooFewSizesRepeatedSizesOrAZeroCost) {
-  std::vector<Point> points = points_of(1, 1);
+  std::vector<Point> points = make_points(1, 1);
   points.pop_back();
   EXPECT_THROW(fit_power_law(points), std::invalid_argument);
   points.push_back(points.back());
@@ -53,7 +53,8 @@
 }
 
 TEST(Slope, LineHasTheSpreadAtEachSizeAndTheExtrapolatedCost) {
-  Slope slope{.name = "step", .by = "servers", .unit = "ms", .planned_size = 6100, .points = points_of(2, 1)};
+  Slope slope{
+      .name = "step", .by = "servers", .unit = "ms", .planned_size = 6100, .points = make_points(2, 1)};
   EXPECT_EQ(format_slope(slope),
             "slope step by=servers sizes=100,250,900,6100 median=200,500,1800,1.22e+04 "
             "min=100,250,900,6100 max=600,1500,5400,3.66e+04 exponent=1.00 unit=ms");
@@ -64,7 +65,7 @@
 }
 
 TEST(Slope, LineWithAZeroCostHasNoExponent) {
-  Slope slope{.name = "bytes", .by = "services", .unit = "B", .planned_size = 0, .points = points_of(1, 1)};
+  Slope slope{.name = "bytes", .by = "services", .unit = "B", .planned_size = 0, .points = make_points(1, 1)};
   slope.points[1].cost = {};
   EXPECT_NE(format_slope(slope).find("exponent=none"), std::string::npos);
 }
