--- a/measure/capacity/logged_instance.cpp
+++ b/measure/capacity/logged_instance.cpp
@@ -8,8 +8,8 @@
 namespace myrtlecroft::capacity {
 namespace {
 
-constexpr Nanos kDecisionInterval =
-    600 * kMs;                         // longer than the longest interval of a replica between two decisions
+// Longer than the longest interval of a replica between two decisions.
+constexpr Nanos kDecisionInterval = 600 * kMs;
 constexpr int kDecisionsToSettle = 3;  // a new leader first continues from the committed state
 constexpr consensus::ReplicaId kId = 1;
 constexpr double kWaitLimitSeconds = 30;  // limit of each wait
--- a/measure/capacity/measure_capacity_slopes.cpp
+++ b/measure/capacity/measure_capacity_slopes.cpp
@@ -29,13 +29,14 @@
 }  // namespace
 
 int main(int count, char** words) {
-  CLI::App app{"What the control service costs in process, by the size of the fleet"};
+  CLI::App app{"Measures the cost of the control service in process, by the size of the fleet"};
   ControlOptions control;
   bool before = false;
-  app.add_flag("--before", before, "The version measured is the one before: the last line says so");
+  app.add_flag("--before", before, "Labels the last line as figures of the previous version");
   LogOptions log;
-  app.add_option("--subsetting", control.subset_size, "Servers that a caller uses of each service");
-  app.add_option("--most-seconds", control.max_seconds, "That one size may take, beyond the first four");
+  app.add_option("--subsetting", control.subset_size,
+                 "Servers of each service in a caller's subset; 0: no subsetting");
+  app.add_option("--most-seconds", control.max_seconds, "Wall time limit of one size, beyond the first four");
   CLI11_PARSE(app, count, words);
   log.subset_size = control.subset_size;
   log.max_seconds = control.max_seconds;
--- a/measure/capacity/real_figures.h
+++ b/measure/capacity/real_figures.h
@@ -8,7 +8,7 @@
 
 namespace myrtlecroft::capacity {
 
-// Returns the smallest value that is not below `share` (0 to 1) of the values; -1 without values.
+// Returns the smallest value that at least `share` (0 to 1) of the values do not exceed; -1 without values.
 double quantile(std::vector<double> values, double share);
 // The machine's load average over the last minute; -1 when it can't be read.
 double load_average();
--- a/measure/capacity/real_fleet.cpp
+++ b/measure/capacity/real_fleet.cpp
@@ -9,8 +9,8 @@
 namespace myrtlecroft::capacity {
 namespace {
 
-constexpr unsigned kServiceSeedOffset = 1u
-                                        << 24;  // keeps the seeds of services distinct from those of callers
+// Keeps the seeds of services distinct from those of callers.
+constexpr unsigned kServiceSeedOffset = 1u << 24;
 constexpr int kServersPerAddress = 250;
 constexpr int kFirstPort = 20'000;
 
--- a/measure/capacity/real_server_process.cpp
+++ b/measure/capacity/real_server_process.cpp
@@ -83,18 +83,18 @@
   }
 
   void read_reports() {
-    for (auto& port : ports_) port->read_reports();
+    for (auto& receiver : receivers_) receiver->read_reports();
   }
   bool has_reported() const {
     bool out = true;
-    for (const auto& port : ports_) out = out && port->reports() > 0;
+    for (const auto& receiver : receivers_) out = out && receiver->reports() > 0;
     return out;
   }
   ServerProcessCost total_cost() const {
     ServerProcessCost out{.cores = cpu_seconds()};
-    for (const auto& port : ports_) {
-      out.bytes_per_second += port->bytes();
-      out.reports_per_second += port->reports();
+    for (const auto& receiver : receivers_) {
+      out.bytes_per_second += receiver->bytes();
+      out.reports_per_second += receiver->reports();
     }
     return out;
   }
@@ -106,8 +106,8 @@
     if (instances == 0) return;
     out << "reports = { to = (";
     for (int i = 0; i < instances; ++i) {
-      ports_.push_back(std::make_unique<ReportReceiver>());
-      out << (i ? ", " : "") << '"' << standin::loopback_address(ports_.back()->port()) << '"';
+      receivers_.push_back(std::make_unique<ReportReceiver>());
+      out << (i ? ", " : "") << '"' << standin::loopback_address(receivers_.back()->port()) << '"';
     }
     out << "); };\n";
   }
@@ -119,7 +119,7 @@
     return nanos / 1e9;
   }
 
-  std::vector<std::unique_ptr<ReportReceiver>> ports_;
+  std::vector<std::unique_ptr<ReportReceiver>> receivers_;
   standin::ChildProcess child_;
 };
 
--- a/measure/capacity/real_servers.h
+++ b/measure/capacity/real_servers.h
@@ -1,7 +1,7 @@
 // Hollow servers: each sends report frames as net::Reporter does, on its own connection, and does nothing
-// else. Their reports are spread evenly over the report interval. The Reporters of
-// tests/control_harness.h all send at once and never reset a connection, so a thousand of them load
-// control with one burst and not as a thousand servers do.
+// else. Their reports are spread evenly over the report interval. The Reporters of tests/control_harness.h
+// all send at once and never reset a connection, so a thousand of them load control with a single burst,
+// which a thousand servers don't.
 #pragma once
 
 #include <map>
--- a/measure/capacity/server_load.cpp
+++ b/measure/capacity/server_load.cpp
@@ -14,7 +14,7 @@
 constexpr Nanos kTickInterval = kMs;
 constexpr Nanos kRetryInterval = 2 * kMs;
 constexpr Nanos kAnswerGrace = kSecond;        // after the end of the run, for outstanding answers
-constexpr Nanos kClientTimeout = 2 * kSecond;  // client timeout in each request
+constexpr Nanos kClientTimeout = 2 * kSecond;  // sent with each request
 constexpr Nanos kOpenLimit = 10 * kSecond;
 
 }  // namespace
--- a/measure/capacity/server_load.h
+++ b/measure/capacity/server_load.h
@@ -1,5 +1,4 @@
-// Sends requests at a constant mean rate over FastCGI keep-alive
-// connections and records the times of the answers.
+// Sends requests at a constant mean rate over FastCGI keep-alive connections and times their answers.
 #pragma once
 
 #include <functional>
--- a/measure/capacity/shard_owners.cpp
+++ b/measure/capacity/shard_owners.cpp
@@ -10,8 +10,8 @@
 namespace myrtlecroft::capacity {
 namespace {
 
-constexpr std::string_view kIgnoreCasePrefix =
-    "(?i)";  // not supported by std::regex; the keys here are lower case
+// Not supported by std::regex; the keys here are lower case.
+constexpr std::string_view kIgnoreCasePrefix = "(?i)";
 
 std::string shard_key(std::size_t shard, int digits) {
   constexpr std::string_view kDigits = "0123456789abcdef";
@@ -33,7 +33,7 @@
 }  // namespace
 
 int shards_with_two_owners(const std::vector<hollow::ShardOwner>& rows, int shard_digits) {
-  std::map<std::string, std::vector<std::size_t>> shards_by_pattern;  // shards by pattern
+  std::map<std::string, std::vector<std::size_t>> shards_by_pattern;
   std::map<std::pair<std::string, std::size_t>, std::set<std::string>> owners;
   for (const hollow::ShardOwner& row : rows) {
     auto [found, inserted] = shards_by_pattern.try_emplace(row.pattern());
--- a/measure/capacity/slope.h
+++ b/measure/capacity/slope.h
@@ -14,7 +14,7 @@
 constexpr double kPlannedRoutes = 49'000;
 constexpr double kPlannedTenants = 380'000;
 
-constexpr std::size_t kMinSizesForFit = 4;  // for a fit; fewer hide a deviation from a straight line
+constexpr std::size_t kMinSizesForFit = 4;  // fewer hide a deviation from a straight line
 
 // Minimum, median and maximum of repeated runs.
 struct Spread {
