--- a/measure/capacity/caller_pool.h
+++ b/measure/capacity/caller_pool.h
@@ -1,5 +1,5 @@
-// Callers' proxies in this process, on the sessions of one instance and without a network: each subscribes,
-// accepts all it is told, and counts its bytes as they would be written.
+// xDS clients of callers that use the session table of one control instance directly, without a network. Each
+// client subscribes, ACKs every response and counts the bytes that the response would have on the wire.
 #pragma once
 
 #include <array>
@@ -11,51 +11,54 @@
 
 namespace myrtlecroft::capacity {
 
+// Responses that callers received, with their encoded size.
 struct Traffic {
   double bytes = 0;
   std::size_t responses = 0;
 };
 
+// Not thread-safe. Throws std::runtime_error when the session table ends a stream.
 class CallerPool {
  public:
-  // What a caller asks for: all clusters, or those of some services by name.
-  struct Wants {
+  // The clusters that each caller subscribes to: all of them, or some by name.
+  struct Subscription {
     xds::ProtocolVariant variant = xds::ProtocolVariant::kStateOfTheWorld;
     std::vector<std::string> clusters;  // empty: all
   };
-  CallerPool(xds::SessionTable& table, Wants wants) : table_(table), wants_(std::move(wants)) {}
+  CallerPool(xds::SessionTable& table, Subscription subscription)
+      : table_(table), subscription_(std::move(subscription)) {}
 
-  // So many more; each has its whole set when it returns.
+  // Adds callers; on return each has received its complete resource set.
   Traffic connect(std::size_t callers);
-  // All streams break at once.
+  // Closes all streams at once.
   void disconnect();
-  // Everything that is due to any of them, accepted by each.
-  Traffic take_all();
+  // Receives and ACKs all pending responses of every caller.
+  Traffic receive_all();
   std::size_t size() const { return callers_.size(); }
-  // So that what the callers here keep of their own does not count as the sessions'.
+  // Allocates the callers' own memory in advance, so that it isn't counted as memory of the sessions.
   void reserve(std::size_t callers) { callers_.reserve(callers); }
 
  private:
-  using Names = std::shared_ptr<const std::vector<std::string>>;
+  using SharedNames = std::shared_ptr<const std::vector<std::string>>;
   struct Caller {
     xds::StreamId stream = 0;
     std::size_t number = 0;
-    Names endpoints;  // that it has asked for
+    SharedNames endpoints;  // names it subscribed to
     bool routes = false;
   };
-  void take(Caller& caller, Traffic& traffic);
+  void receive(Caller& caller, Traffic& traffic);
   void accept(Caller& caller, const xds::Response& response);
-  void ask_for_endpoints(Caller& caller, const xds::Response& clusters);
-  void ask_by_name(Caller& caller, xds::ResourceType type, const std::vector<std::string>& names);
-  void say(const Caller& caller, const xds::Request& request);
-  Names shared(const std::vector<std::string>& names);
+  void subscribe_to_endpoints(Caller& caller, const xds::Response& clusters);
+  void subscribe_by_name(Caller& caller, xds::ResourceType type, const std::vector<std::string>& names);
+  void send_request(const Caller& caller, const xds::Request& request);
+  SharedNames share_names(const std::vector<std::string>& names);
 
   xds::SessionTable& table_;
-  Wants wants_;
+  Subscription subscription_;
   std::vector<Caller> callers_;
-  Names last_names_;
+  SharedNames last_names_;
   std::string listener_;
-  std::size_t opened_ = 0;
+  std::size_t streams_opened_ = 0;
   Nanos now_ = 1000 * kSecond;
 };
 
--- a/measure/capacity/instance_under_load.h
+++ b/measure/capacity/instance_under_load.h
@@ -1,5 +1,5 @@
-// The deciding part of one instance with every server of its fleet reporting, in one process and by a clock
-// that only the measurement moves.
+// Routing decisions of one control instance with every server of its fleet reporting, in one process and on a
+// simulated clock that the measurement advances.
 #pragma once
 
 #include <memory>
@@ -11,23 +11,28 @@
 
 class InstanceUnderLoad {
  public:
-  // All servers are in service, and the first snapshot is published, when it returns.
+  // Returns once all servers are in service and the first snapshot is published; throws std::runtime_error
+  // when they don't come into service.
   explicit InstanceUnderLoad(fleet::Fleet fleet);
 
-  // Reports of all servers that are up, then a decision; callers apply what is published at once. The time
-  // of the processor that the decision took.
-  double step_ms();
-  void settle();  // some steps, so that what a change set off is over
+  // Delivers the reports of all servers that are up, then makes one decision; callers apply a publication at
+  // once. Returns the CPU time of the decision in ms.
+  double measure_step_ms();
+  void settle();  // makes a few steps, so that the effects of a change are over
 
-  void leave(int server) { servers_.leave(server); }
-  void lose(int first_server, int servers) { servers_.lose(first_server, servers, router_, now_); }
-  void bring_back(int first_server, int servers) {
-    servers_.bring_back(first_server, servers, router_, now_);
+  void start_draining(int server) { servers_.start_draining(server); }
+  void disconnect_servers(int first_server, int servers) {
+    servers_.disconnect_servers(first_server, servers, router_, now_);
+  }
+  void reconnect_servers(int first_server, int servers) {
+    servers_.reconnect_servers(first_server, servers, router_, now_);
   }
 
   const std::shared_ptr<const routing::PublishedSnapshot>& published() const { return router_.published(); }
   Nanos now() const { return now_; }
-  std::size_t in_service() const { return published() ? servers_in_service(published()->snapshot) : 0; }
+  std::size_t healthy_servers() const {
+    return published() ? count_healthy_servers(published()->snapshot) : 0;
+  }
 
  private:
   Nanos now_ = 1000 * kSecond;
--- a/measure/capacity/real_figures.h
+++ b/measure/capacity/real_figures.h
@@ -1,4 +1,4 @@
-// The figures of one capacity measurement on real sockets, and its last line.
+// The figures of one capacity measurement over real sockets, and the `measured` line that reports them.
 #pragma once
 
 #include <string>
@@ -8,21 +8,22 @@
 
 namespace myrtlecroft::capacity {
 
-// The smallest value that at least such a share of the values is not above; -1 where there are none.
+// Returns the smallest value that at least `share` (0 to 1) of the values do not exceed; -1 without values.
 double quantile(std::vector<double> values, double share);
-// Of the machine, over the last minute.
+// The machine's load average over the last minute; -1 when it can't be read.
 double load_average();
 
+// Measures wall time from its construction.
 class Stopwatch {
  public:
   double seconds() const;
 
  private:
-  std::int64_t since_ns_ = now_ns();
+  std::int64_t start_ns_ = now_ns();
   static std::int64_t now_ns();
 };
 
-// -1 where it was not measured.
+// A figure of -1 was not measured.
 struct RealFigures {
   double change_p50_ms = -1;
   double change_p99_ms = -1;
@@ -39,14 +40,16 @@
   double burst380_p99_ms = -1;
   double nodes_answer_ms = -1;
 
-  void take_changes(const std::vector<double>& in_force_ms, const std::vector<double>& bytes);
-  // Something of the plan did not come to be; told now and counted.
-  void fault(const std::string& what);
-  int faults() const { return faults_ + lost + half_applied + (doubled > 0 ? doubled : 0); }
+  // Sets the change_* figures from the samples of single changes.
+  void set_change_figures(const std::vector<double>& in_force_ms, const std::vector<double>& bytes);
+  // Prints and counts a part of the plan that failed.
+  void record_failure(const std::string& failure);
+  // Failed parts, plus lost changes, half-applied sets and doubled owners. 0: the measurement succeeded.
+  int failures() const { return failures_ + lost + half_applied + (doubled > 0 ? doubled : 0); }
   void print(const FleetPlan& plan) const;
 
  private:
-  int faults_ = 0;
+  int failures_ = 0;
 };
 
 }  // namespace myrtlecroft::capacity
