--- a/measure/measure_ready.cpp
+++ b/measure/measure_ready.cpp
@@ -14,7 +14,7 @@
   for (bool membership : {true, false}) {
     for (Nanos startup_delay : {Nanos{0}, 3 * kSecond}) {
       measure::ReadyResult result =
-          measure::play_ready({.engine_after = startup_delay, .membership = membership});
+          measure::measure_readiness({.engine_delay = startup_delay, .membership = membership});
       using measure::ReadyResult;
       std::printf(
           "engine after %lld ms, membership %s: ready %zu of 30, p50 %.0f p90 %.0f ms; the server's own "
@@ -22,10 +22,10 @@
           "%.0f ms; completed %d, crashed %d\n",
           static_cast<long long>(startup_delay / kMs), membership ? "up" : "down", result.ready_ms.size(),
           ReadyResult::at(result.ready_ms, 0.5), ReadyResult::at(result.ready_ms, 0.9),
-          ReadyResult::at(result.own_ms, 0.9), result.completed, result.crashed);
+          ReadyResult::at(result.own_startup_ms, 0.9), result.completed, result.crashed);
       fewest_ready = std::min(fewest_ready, result.ready_ms.size());
       max_p90_ms = std::max(max_p90_ms, ReadyResult::at(result.ready_ms, 0.9));
-      max_own_p90_ms = std::max(max_own_p90_ms, ReadyResult::at(result.own_ms, 0.9));
+      max_own_p90_ms = std::max(max_own_p90_ms, ReadyResult::at(result.own_startup_ms, 0.9));
       crashed += result.crashed;
     }
   }
--- a/measure/ready.cpp
+++ b/measure/ready.cpp
@@ -119,31 +119,32 @@
       if (server.child.has_exited()) {
         ++result_.crashed;
         std::ifstream log(server.log);
-        for (std::string line; std::getline(log, line);) result_.last_words = line;
+        for (std::string line; std::getline(log, line);) result_.last_log_line = line;
       }
       if (!server.ready_at) continue;
       double took_ms = static_cast<double>(server.ready_at - server.started_at) / 1e6;
       result_.ready_ms.push_back(took_ms);
-      result_.own_ms.push_back(std::max(0.0, took_ms - static_cast<double>(options_.engine_after) / 1e6));
+      result_.own_startup_ms.push_back(
+          std::max(0.0, took_ms - static_cast<double>(options_.engine_delay) / 1e6));
     }
     std::sort(result_.ready_ms.begin(), result_.ready_ms.end());
-    std::sort(result_.own_ms.begin(), result_.own_ms.end());
+    std::sort(result_.own_startup_ms.begin(), result_.own_startup_ms.end());
     return result_;
   }
 
  private:
-  void start_server(ServerProcess& server, Nanos engine_after) {
+  void start_server(ServerProcess& server, Nanos engine_delay) {
     server.started_at = loop_.now();
     server.ready_at = 0;
     server.engine->restart(0);
-    server.engine->become_ready_at(server.started_at + engine_after);
+    server.engine->become_ready_at(server.started_at + engine_delay);
     server.child = standin::ChildProcess({MYRTLECROFT_PROGRAM}, server.log, {{"LB_CONFIG", server.config}});
   }
 
   void restart_all() {
     for (ServerProcess& server : servers_) server.child.signal(SIGKILL);
     for (ServerProcess& server : servers_) server.child.wait();
-    for (ServerProcess& server : servers_) start_server(server, options_.engine_after);
+    for (ServerProcess& server : servers_) start_server(server, options_.engine_delay);
     has_restarted_ = true;
   }
 
@@ -164,7 +165,7 @@
       all_ready = all_ready && server.ready_at;
     }
     send_load(now);
-    if (all_ready || (has_restarted_ && now >= kill_at_ + options_.engine_after + kMaxWait)) loop_.stop();
+    if (all_ready || (has_restarted_ && now >= kill_at_ + options_.engine_delay + kMaxWait)) loop_.stop();
   }
 
   void send_load(Nanos now) {
@@ -209,6 +210,6 @@
   return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
 }
 
-ReadyResult play_ready(const ReadyOptions& options) { return ReadinessMeasurement(options).run(); }
+ReadyResult measure_readiness(const ReadyOptions& options) { return ReadinessMeasurement(options).run(); }
 
 }  // namespace myrtlecroft::measure
--- a/src/server_program.cpp
+++ b/src/server_program.cpp
@@ -99,7 +99,7 @@
   report::decode(
       idempotency_log_->saved_assignment(),
       {.report = {},
-       .order =
+       .assignment =
            [this](const fencing::ShardAssignment& assignment) { key_ownership_.guard.restore(assignment); }},
       malformed);
   if (key_ownership_.guard.assignment())
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -68,12 +68,12 @@
 // All servers are killed and restarted together under load; the engines come up late and the membership
 // service is down.
 TEST(Ready, ServersKilledTogetherAreReadyOnceTheirEnginesAre) {
-  measure::ReadyResult result = measure::play_ready({.engine_after = kSecond, .membership = false});
+  measure::ReadyResult result = measure::measure_readiness({.engine_delay = kSecond, .membership = false});
   EXPECT_GE(result.ready_ms.size(), 27u);
   EXPECT_LT(measure::ReadyResult::at(result.ready_ms, 0.9), 10'000);
-  EXPECT_LT(measure::ReadyResult::at(result.own_ms, 0.9), 1'000);
+  EXPECT_LT(measure::ReadyResult::at(result.own_startup_ms, 0.9), 1'000);
   EXPECT_GT(result.completed, 0);
-  EXPECT_EQ(result.crashed, 0) << result.last_words;
+  EXPECT_EQ(result.crashed, 0) << result.last_log_line;
 }
 
 }  // namespace
