--- a/tests/slow_peers_test.cpp
+++ b/tests/slow_peers_test.cpp
@@ -184,13 +184,13 @@
   healthy_client.write(request(1, "/-/healthy", ""));
   EXPECT_TRUE(receives(healthy_client, "Status: 200"));
   EXPECT_GT(complete_unread_requests(flood, 1), 20);
-  std::uint64_t read = harness.service.counts()[kWriteClass].read;
+  std::uint64_t read = harness.service.counts()[kWriteClass].received;
   std::string pending;
   for (int n = 0; n < 1'000 && !logged("ended: unread"); ++n) {
     if (pending.empty()) pending = keyed_request(n % 32 + 1, trace_id(10'000 + n), trace_id(10'000 + n));
     pending.erase(0, flood.send_available(pending));
     run_loop_for(kMs);
-    EXPECT_EQ(harness.service.counts()[kWriteClass].read, read);
+    EXPECT_EQ(harness.service.counts()[kWriteClass].received, read);
   }
   EXPECT_TRUE(logged("ended: unread"));
   healthy_client.write(request(1, "/-/healthy", ""));
