--- a/Makefile
+++ b/Makefile
@@ -49,7 +49,7 @@
 	cmake -B build/ci $(CI_FORM)
 	cmake --build build/ci -j4 --target myrtlecroft_proto
 	clang-format --dry-run --Werror $(FORMATTED)
-	printf '%s\n' $(LINTED) | xargs -P4 -n1 clang-tidy -quiet -p build/ci --header-filter='$(LISTED_HEADERS)'
+	printf '%s\n' $(LINTED) | xargs -P$$(nproc) -n1 clang-tidy -quiet -p build/ci --header-filter='$(LISTED_HEADERS)'
 
 format:
 	clang-format -i $(FORMATTED)
--- a/src/peers/slow_client_policy.cpp
+++ b/src/peers/slow_client_policy.cpp
@@ -102,7 +102,7 @@
   account.evaluate_at_ = at + kEvaluationInterval;
   account.watched_position_ = watched_.insert(watched_.end(), &account);
   enter_state(account, State::kActive);
-  determine_input(account, account.connection_->current_progress(), at);
+  classify(account, account.connection_->current_progress(), at);
 }
 
 void SlowClientPolicy::stop_watching(ConnectionAccount& account) {
@@ -132,8 +132,7 @@
   return flow.moved_bytes->read(at) / (span * -std::expm1(-age / span));
 }
 
-Input SlowClientPolicy::determine_input(ConnectionAccount& account, const ConnectionProgress& progress,
-                                        Nanos at) {
+Input SlowClientPolicy::classify(ConnectionAccount& account, const ConnectionProgress& progress, Nanos at) {
   double strictness_factor = strictness();
   if (exceeds_balancer_share(account.balancer_->second)) strictness_factor = kMaxStrictness;
   Nanos grace = static_cast<Nanos>(static_cast<double>(options_.grace) / strictness_factor);
@@ -216,7 +215,7 @@
 void SlowClientPolicy::evaluate(ConnectionAccount& account, Nanos now) {
   if (!account.watched_) return start_watching(account, now);
   Nanos at = effective_time(now);
-  apply_input(account, determine_input(account, account.connection_->current_progress(), at), at);
+  apply_input(account, classify(account, account.connection_->current_progress(), at), at);
 }
 
 void SlowClientPolicy::evaluate_due_connections(Nanos now) {
@@ -225,7 +224,7 @@
     ConnectionAccount& account = *watched_.front();
     account.evaluate_at_ = at + kEvaluationInterval;
     watched_.splice(watched_.end(), watched_, watched_.begin());
-    apply_input(account, determine_input(account, account.connection_->current_progress(), at), at);
+    apply_input(account, classify(account, account.connection_->current_progress(), at), at);
   }
 }
 
--- a/src/peers/slow_client_policy.h
+++ b/src/peers/slow_client_policy.h
@@ -178,7 +178,7 @@
  private:
   // `now` without the time during which the process was paused.
   Nanos effective_time(Nanos now);
-  Input determine_input(ConnectionAccount& account, const ConnectionProgress& progress, Nanos at);
+  Input classify(ConnectionAccount& account, const ConnectionProgress& progress, Nanos at);
   void apply_input(ConnectionAccount& account, Input input, Nanos at);
   void enter_state(ConnectionAccount& account, State next);
   void stop_watching(ConnectionAccount& account);
