--- a/src/peers/slow_client_policy.cpp
+++ b/src/peers/slow_client_policy.cpp
@@ -159,15 +159,13 @@
   account.awaited_request_ = progress.awaited_request;
   bool sending_slowly = update_flow(account.incoming_, awaits_request, progress.in);
   bool reading_slowly = update_flow(account.outgoing_, progress.unread_bytes > 0, progress.out);
-  bool warning_expired = is_slow(account.state_) && at >= account.warning_expires_at_;
+  bool expired = is_slow(account.state_) && at >= account.warning_expires_at_;
   if (!progress.awaited_request && !progress.unread_bytes) return Input::kNothingPending;
   if (reading_slowly)
-    return warning_expired && account.state_ == State::kWriteStalled && !progress.open
-               ? Input::kWarningExpired
-               : Input::kSlowReading;
+    return expired && account.state_ == State::kWriteStalled && !progress.open ? Input::kWarningExpired
+                                                                               : Input::kSlowReading;
   if (sending_slowly)
-    return warning_expired && account.state_ == State::kFinalWarning ? Input::kWarningExpired
-                                                                     : Input::kSlowSending;
+    return expired && account.state_ == State::kFinalWarning ? Input::kWarningExpired : Input::kSlowSending;
   if (progress.unread_bytes && unread_limit_reached(account, progress.unread_bytes, at))
     return Input::kUnreadLimitReached;
   if (awaits_request && at - account.incoming_.since >= options_.max_request_read_time)
